--- a/src/api/user-requests.ts
+++ b/src/api/user-requests.ts
@@ -11,10 +11,11 @@
 import { JobId, later, ms, since, sleep, type Clock, type DurationMs } from '../units/index.js';
 import {
   JOB_ID,
+  JobStatus,
+  encodeJobState,
   parseSubmission,
   submissionId,
   type JobSpec,
-  type JobStatus,
 } from '../wire/index.js';
 import type { Leadership } from './leadership.js';
 import { ISOLATED, METHOD_NOT_ALLOWED, NO_SUCH_JOB, TRY_AGAIN, type Reply } from './reply.js';
@@ -124,7 +125,7 @@
     const parsed = parseSubmission(body);
     const verdict = parsed.ok ? this.admission.judge(parsed.value) : undefined;
     if (!parsed.ok)
-      return this.refuse(body, { status: 400, body: { error: parsed.why } }, relaying);
+      return this.refuse(body, { status: 400, body: { error: parsed.reason } }, relaying);
     if (typeof verdict === 'object') {
       return this.refuse(body, { status: 422, body: { error: verdict.never } }, relaying);
     }
@@ -132,7 +133,7 @@
     const term = this.leadership.authorisedTerm();
     if (term?.isReady) {
       if (verdict !== 'unsure') return this.submitToTerm(spec, term);
-      return this.answer(spec.name_id, await term.find(JobId(spec.name_id)), TRY_AGAIN, term);
+      return this.answer(spec.id, await term.find(JobId(spec.id)), TRY_AGAIN, term);
     }
     if (relaying === 'relay' && !term) {
       const reply = await this.askLeader({ type: 'submitJob', body }, RELAY_SUBMIT_TIMEOUT);
@@ -155,7 +156,7 @@
     if (outcome.kind === 'busy') {
       return { status: 429, retryAfter: Math.max(1, Math.ceil(outcome.after / 1000)) };
     }
-    return this.answer(spec.name_id, outcome, TRY_AGAIN, term);
+    return this.answer(spec.id, outcome, TRY_AGAIN, term);
   }
 
   /** No leader can be reached: the record is made by this node, if there is none. */
@@ -165,15 +166,15 @@
     const asked = this.clock.steady();
     const made = await this.front.create(spec);
     if (made === 'created') {
-      this.tellLeader(spec.name_id);
+      this.tellLeader(spec.id);
       // The store's word came late: the user may have been told since that the job is cancelled.
       if (since(asked, this.clock.steady()) > STORE_ANSWER_FRESH) {
-        return this.read(spec.name_id, relaying);
+        return this.read(spec.id, relaying);
       }
       return created(spec);
     }
     if (made !== 'exists') return TRY_AGAIN;
-    const known = await this.read(spec.name_id, relaying);
+    const known = await this.read(spec.id, relaying);
     return known.status === 404 ? TRY_AGAIN : known;
   }
 
@@ -266,29 +267,28 @@
 
 const created = (spec: JobSpec): Reply => ({
   status: 201,
-  body: { name_id: spec.name_id, status: 'pending' },
+  body: encodeJobState({ id: spec.id, status: JobStatus.pending }),
 });
 
-function jobBody(job: Job): Record<string, unknown> {
+function jobBody(job: Job): object {
   // Only what is committed is shown; a cancellation that a follower wrote is.
   const aborted = job.shown.aborted || (job.aborted && job.committed >= job.version);
-  const status: JobStatus = statusOf({ ...job.shown, aborted }, job.spec.entries);
-  return {
-    name_id: job.id,
+  const status = statusOf({ ...job.shown, aborted }, job.spec.taskCount);
+  return encodeJobState({
+    id: job.id,
     status,
     done: job.shown.done,
-    running: status === 'aborted' ? 0 : job.shown.running,
-    desk: job.spec.desk,
-  };
+    running: status === JobStatus.cancelled ? 0 : job.shown.running,
+    team: job.spec.team,
+  });
 }
 
-function finalBody(id: string, final: Final): Record<string, unknown> {
-  return {
-    name_id: id,
+const finalBody = (id: string, final: Final): object =>
+  encodeJobState({
+    id,
     status: final.status,
     done: final.done,
     running: 0,
-    desk: final.desk,
-    cause: final.cause,
-  };
-}
+    team: final.desk,
+    reason: final.cause,
+  });
--- a/src/api/worker-reports.ts
+++ b/src/api/worker-reports.ts
@@ -18,7 +18,13 @@
   type SteadyMs,
 } from '../units/index.js';
 import { ExpiringMap } from '../units/expiring-map.js';
-import { Beat, decode } from '../wire/index.js';
+import {
+  decode,
+  decodeHeartbeat,
+  encodeHeartbeatReply,
+  encodeRedirect,
+  type Heartbeat,
+} from '../wire/index.js';
 import type { Leadership } from './leadership.js';
 import { NOT_AUTHORISED, type Reply } from './reply.js';
 
@@ -68,9 +74,9 @@
     if (this.isIsolated()) return NOT_AUTHORISED;
     const leader = this.leaderCutOff();
     // The worker may reach the leader where we don't.
-    if (leader !== undefined && !this.isBack(report.box)) return redirectTo(leader);
+    if (leader !== undefined && !this.isBack(report.machine)) return redirectTo(leader);
     const reply = await this.relay.send(report, body.length);
-    if (reply) return { status: 200, body: reply };
+    if (reply) return { status: 200, body: encodeHeartbeatReply(reply) };
     const own = this.leadership.authorisedTerm();
     return own ? this.answerHere(report, own) : NOT_AUTHORISED;
   }
@@ -87,15 +93,15 @@
     return since(this.leaderSilentSince, now) > LEADER_CUT_OFF ? leader : undefined;
   }
 
-  private async answerHere(report: Beat, term: Term): Promise<Reply> {
+  private async answerHere(report: Heartbeat, term: Term): Promise<Reply> {
     // It has seen a newer token than ours: we have no right to act any more.
-    if (report.baton > term.epoch) return NOT_AUTHORISED;
-    const follower = term.redirectsWorkers ? this.followerFor(report.box) : undefined;
-    if (follower !== undefined && !this.isBack(report.box)) return redirectTo(follower);
+    if (report.fencingToken > term.epoch) return NOT_AUTHORISED;
+    const follower = term.redirectsWorkers ? this.followerFor(report.machine) : undefined;
+    if (follower !== undefined && !this.isBack(report.machine)) return redirectTo(follower);
     if (!(await this.isRebuilt(term))) return NOT_AUTHORISED;
     const reply = term.takeReport(report);
     return this.leadership.authorisedTerm() === term
-      ? { status: 200, body: reply }
+      ? { status: 200, body: encodeHeartbeatReply(reply) }
       : NOT_AUTHORISED;
   }
 
@@ -140,15 +146,15 @@
     relayed: RelayedReport,
   ): ReportResponse {
     if (relayed.kind === 'full') {
-      if (relayed.report.baton > term.epoch) return REFUSED;
+      if (relayed.report.fencingToken > term.epoch) return REFUSED;
       const { reply, baseline } = term.takeRelayedReport(relayed.report, sender);
-      return { outcome: 'accepted', baseline, orders: reply.orders };
+      return { outcome: 'accepted', baseline, orders: reply.commands };
     }
     if (relayed.token > term.epoch) return REFUSED;
     if (epoch !== term.epoch) return BASELINE_UNKNOWN;
     const reply = term.takeUnchangedReport(relayed, sender);
     if (!reply) return BASELINE_UNKNOWN;
-    return { outcome: 'accepted', baseline: relayed.unchangedSince, orders: reply.orders };
+    return { outcome: 'accepted', baseline: relayed.unchangedSince, orders: reply.commands };
   }
 
   /** The node through which a worker is to report; none if no other answers. */
@@ -179,7 +185,7 @@
 const isServedHere = ({ at, servedUntil }: Redirect, now: SteadyMs): boolean =>
   servedUntil === undefined ? since(at, now) < REDIRECT_BOUNCE : now < servedUntil;
 
-const redirectTo = (node: NodeId): Reply => ({ status: 421, body: { clerk: node } });
+const redirectTo = (node: NodeId): Reply => ({ status: 421, body: encodeRedirect(node) });
 
 const allRefused = (count: number): PeerResponse => ({
   type: 'reportResponses',
@@ -187,10 +193,9 @@
   responses: Array.from({ length: count }, () => REFUSED),
 });
 
-function parseReport(body: Buffer): Beat | undefined {
+function parseReport(body: Buffer): Heartbeat | undefined {
   try {
-    const parsed = Beat.safeParse(decode(body));
-    return parsed.success ? parsed.data : undefined;
+    return decodeHeartbeat(decode(body));
   } catch {
     return undefined;
   }
--- a/src/capacity/keeper.ts
+++ b/src/capacity/keeper.ts
@@ -23,7 +23,7 @@
   type NodeId,
   type Random,
 } from '../units/index.js';
-import type { Box, Hire, JobSpec } from '../wire/index.js';
+import type { ListedMachine, ScaleOutRequest, JobSpec } from '../wire/index.js';
 import { lostMachines } from './lost-machines.js';
 import {
   NEVER,
@@ -62,13 +62,13 @@
 
 const demandOf = (spec: JobSpec): Omit<Demand, 'count' | 'patience' | 'slack'> => ({
   size: sizeOfSpec(spec),
-  types: spec.builds,
-  onlyZone: spec.hall,
-  spot: spec.loaners,
-  run: ms(spec.expected_s * 1000),
+  types: spec.machineTypes,
+  onlyZone: spec.zone,
+  spot: spec.allowSpot,
+  run: ms(spec.expectedRuntimeSeconds * 1000),
   isGang: isGang(spec),
-  together: spec.together,
-  apart: spec.apart,
+  together: spec.singleZone,
+  apart: spec.spreadZones,
 });
 
 interface Refusal {
@@ -104,7 +104,7 @@
  */
 export class CapacityKeeper {
   private busy = false;
-  private pending: Hire | undefined;
+  private pending: ScaleOutRequest | undefined;
   private queued: Plan[] = [];
   private counter = 0;
   private readonly refusals = new Map<string, Refusal>();
@@ -164,12 +164,12 @@
     }
     const want = this.queued.shift();
     if (want) {
-      const hire: Hire = {
-        hire: `e${this.epoch}-${++this.counter}`,
-        build: want.type,
-        hall: want.zone,
-        loaners: want.spot,
-        how_many: Math.min(want.count, MAX_HIRE),
+      const hire: ScaleOutRequest = {
+        requestId: `e${this.epoch}-${++this.counter}`,
+        machineType: want.type,
+        zone: want.zone,
+        spot: want.spot,
+        count: Math.min(want.count, MAX_HIRE),
       };
       this.pending = hire;
       return () => this.hire(hire);
@@ -194,36 +194,39 @@
     return true;
   }
 
-  private async hire(hire: Hire): Promise<boolean> {
+  private async hire(hire: ScaleOutRequest): Promise<boolean> {
     const result = await this.cloud.hire(hire);
     const now = this.deps.clock.steady();
-    const offer = { type: hire.build, zone: hire.hall, spot: hire.loaners };
+    const offer = { type: hire.machineType, zone: hire.zone, spot: hire.spot };
     switch (result.kind) {
       case 'hired': {
         this.pending = undefined;
-        this.deps.log.info({ hire: hire.hire, ...offer, count: result.machines.length }, 'rented');
+        this.deps.log.info(
+          { hire: hire.requestId, ...offer, count: result.machines.length },
+          'rented',
+        );
         for (const id of result.machines) {
           if (this.view.fleet.isGone(id)) continue;
           const m = this.view.fleet.meet(id, offer, '');
           m.rentedAt ??= now;
           if (!m.up) m.bootingSince ??= now;
         }
-        if (result.machines.length < hire.how_many) this.refuse(offerKey(offer), now);
+        if (result.machines.length < hire.count) this.refuse(offerKey(offer), now);
         else this.refusals.delete(offerKey(offer));
         return true;
       }
       case 'none':
         this.pending = undefined;
         this.refuse(offerKey(offer), now);
-        this.deps.log.info({ hire: hire.hire, ...offer }, 'no capacity');
+        this.deps.log.info({ hire: hire.requestId, ...offer }, 'no capacity');
         return true;
       case 'malformed':
         this.pending = undefined;
         this.refuse(offerKey(offer), now);
-        this.deps.log.error({ hire: hire.hire, ...offer }, 'rental refused as malformed');
+        this.deps.log.error({ hire: hire.requestId, ...offer }, 'rental refused as malformed');
         return true;
       case 'again':
-        this.deps.log.info({ hire: hire.hire, why: result.why }, 'rental not answered');
+        this.deps.log.info({ hire: hire.requestId, why: result.why }, 'rental not answered');
         return false;
     }
   }
@@ -270,7 +273,7 @@
       out.push({
         ...demand,
         count: job.waiting.size,
-        patience: ms(ready * WORTH_BOOTING * (isUrgent(spec.urgency) ? URGENT_PATIENCE : 1)),
+        patience: ms(ready * WORTH_BOOTING * (isUrgent(spec.priority) ? URGENT_PATIENCE : 1)),
         slack: neglected ? NO_WAIT : early || hopeless ? NEVER : ms(Math.max(0, slack)),
       });
     }
@@ -280,7 +283,7 @@
   private leastReady(size: Size): number {
     let least = Infinity;
     for (const f of this.catalog.all()) {
-      if (fits(size, sizeOfFlavor(f))) least = Math.min(least, f.ready_s * 1000);
+      if (fits(size, sizeOfFlavor(f))) least = Math.min(least, f.bootSeconds * 1000);
     }
     return Number.isFinite(least) ? least : 0;
   }
@@ -295,7 +298,7 @@
       const total = sizeOfFlavor(f);
       if (!m.up) {
         const booting = m.bootingSince !== undefined && since(m.bootingSince, now);
-        if (booting !== false && booting < f.ready_s * 1000 * BOOT_LATE) {
+        if (booting !== false && booting < f.bootSeconds * 1000 * BOOT_LATE) {
           coming.push({ ...m.place, free: total });
         }
         continue;
@@ -309,11 +312,11 @@
       for (const a of m.assigned.values()) {
         const spec = this.view.spec(a.job);
         // What urgent tasks free is taken by urgent tasks to come.
-        if (!spec || isUrgent(spec.urgency)) continue;
-        sum.busy += spec.vcpus;
+        if (!spec || isUrgent(spec.priority)) continue;
+        sum.busy += spec.cpus;
         // One that has run for longer than estimated shows that the estimate was too low.
-        const length = Math.max(spec.expected_s * 1000, since(a.placedAt, now));
-        sum.work += spec.vcpus * length;
+        const length = Math.max(spec.expectedRuntimeSeconds * 1000, since(a.placedAt, now));
+        sum.work += spec.cpus * length;
       }
     }
     const turnover = [...working.values()].map(({ offer, total, busy, work }) => ({
@@ -332,7 +335,7 @@
       listeningSince: this.view.listeningSince(),
       report,
       lease,
-      bootTime: (type) => seconds(this.catalog.flavor(type)?.ready_s ?? UNKNOWN_BOOT_S),
+      bootTime: (type) => seconds(this.catalog.flavor(type)?.bootSeconds ?? UNKNOWN_BOOT_S),
       unreachableAt: this.view.unreachableAt,
     });
     return lost.slice(0, MAX_DELETE);
@@ -347,14 +350,14 @@
     for (const m of dearFirst) {
       if (!m.up || m.assigned.size > 0 || m.idleSince === undefined) continue;
       // Keeping it costs as much as its boot would: after that it is cheaper to rent another.
-      const ready = (this.catalog.flavor(m.place.type)?.ready_s ?? 0) * 1000;
+      const ready = (this.catalog.flavor(m.place.type)?.bootSeconds ?? 0) * 1000;
       const patience = ready * this.deps.operator.idleBoots * (m.place.spot ? 1 : DEAR_IDLE_SHARE);
       if (since(m.idleSince, now) < patience) continue;
       if (m.rentedAt !== undefined && since(m.rentedAt, now) < LEAST_CHARGE) continue;
       const load = this.view.fleet.load(m);
       if (load.unknown || load.used.cpus > 0) continue;
       // Giving it back must not take the room that stands by for urgent work.
-      const cpus = this.catalog.flavor(m.place.type)?.vcpus ?? 0;
+      const cpus = this.catalog.flavor(m.place.type)?.cpus ?? 0;
       if (this.isSmallest(cpus)) {
         if (spare.any < cpus || (!m.place.spot && spare.ordinary < cpus)) continue;
         spare.any -= cpus;
@@ -366,7 +369,7 @@
   }
 
   private isSmallest(cpus: number): boolean {
-    return this.catalog.all().every((f) => f.vcpus >= cpus);
+    return this.catalog.all().every((f) => f.cpus >= cpus);
   }
 
   /**
@@ -376,7 +379,7 @@
   private spareCpus(): { any: number; ordinary: number } {
     const spare = { any: 0, ordinary: 0 };
     for (const m of this.machines.values()) {
-      const cpus = this.catalog.flavor(m.place.type)?.vcpus ?? 0;
+      const cpus = this.catalog.flavor(m.place.type)?.cpus ?? 0;
       if (!m.up || m.draining || !this.isSmallest(cpus)) continue;
       const load = this.view.fleet.load(m);
       const free = cpus - (load.unknown ? cpus : load.used.cpus);
@@ -384,8 +387,8 @@
       if (!m.place.spot) spare.ordinary += free;
     }
     for (const { spec, count } of this.view.expected()) {
-      spare.any -= spec.vcpus * count;
-      if (!spec.loaners) spare.ordinary -= spec.vcpus * count;
+      spare.any -= spec.cpus * count;
+      if (!spec.allowSpot) spare.ordinary -= spec.cpus * count;
     }
     return spare;
   }
@@ -408,7 +411,7 @@
     this.listAt = now;
     const seen = new Set<MachineId>();
     for (const box of boxes) {
-      const id = MachineId(box.name_id);
+      const id = MachineId(box.id);
       seen.add(id);
       if (!this.view.fleet.isGone(id)) this.take(id, box, now);
     }
@@ -422,14 +425,14 @@
     return true;
   }
 
-  private take(id: MachineId, box: Box, now: SteadyMs): void {
+  private take(id: MachineId, box: ListedMachine, now: SteadyMs): void {
     const m = this.view.fleet.meet(
       id,
-      { type: box.build, zone: box.hall, spot: box.loaners },
-      box.addr,
+      { type: box.machineType, zone: box.zone, spot: box.spot },
+      box.address,
     );
     m.listedAt ??= now;
-    m.rentedAt ??= later(now, ms(-box.age_s * 1000));
+    m.rentedAt ??= later(now, ms(-box.ageSeconds * 1000));
     if (box.status === 'failed') {
       // It stopped on its own: its tasks are gone. The delete only takes it off the list.
       m.returning = true;
@@ -440,7 +443,7 @@
       if (box.status === 'running') {
         m.bootingSince = undefined;
         m.runsSince ??= now;
-      } else m.bootingSince ??= later(now, ms(-box.age_s * 1000));
+      } else m.bootingSince ??= later(now, ms(-box.ageSeconds * 1000));
     }
   }
 }
--- a/src/capacity/planner.ts
+++ b/src/capacity/planner.ts
@@ -1,7 +1,7 @@
 import { fits, sizeOfFlavor, type Size } from '../fleet/size.js';
 import { allows } from '../placer/placer.js';
 import { ms, seconds, type DurationMs } from '../units/index.js';
-import type { Flavor } from '../wire/index.js';
+import type { MachineType } from '../wire/index.js';
 
 /**
  * What to rent. Pure: waiting tasks are packed into the room that is there or on its way; of what
@@ -125,7 +125,7 @@
   demands: readonly Demand[],
   coming: readonly Coming[],
   turnover: readonly Turnover[],
-  flavors: readonly Flavor[],
+  flavors: readonly MachineType[],
   refused: ReadonlySet<string>,
   most: number,
 ): Plan[] {
@@ -174,7 +174,7 @@
 function byZone(
   d: Demand,
   bins: readonly Bin[],
-  flavors: readonly Flavor[],
+  flavors: readonly MachineType[],
   refused: ReadonlySet<string>,
 ): Demand[] {
   if (!d.isGang || d.onlyZone !== null || !(d.together || d.apart)) return [d];
@@ -201,11 +201,11 @@
 function zonesByRoom(
   d: Demand,
   bins: readonly Bin[],
-  flavors: readonly Flavor[],
+  flavors: readonly MachineType[],
 ): { zone: string; tasks: number }[] {
   const room = new Map<string, number>();
   for (const flavor of flavors) {
-    for (const zone of flavor.halls) {
+    for (const zone of flavor.zones) {
       const offer = { type: flavor.name, zone, spot: false };
       if (fits(d.size, sizeOfFlavor(flavor)) && allows(d, offer)) room.set(zone, 0);
     }
@@ -222,21 +222,21 @@
   d: Demand,
   left: number,
   pressing: boolean,
-  flavors: readonly Flavor[],
+  flavors: readonly MachineType[],
   refused: ReadonlySet<string>,
-): { offer: Offer; flavor: Flavor } | undefined {
-  let best: { offer: Offer; flavor: Flavor } | undefined;
+): { offer: Offer; flavor: MachineType } | undefined {
+  let best: { offer: Offer; flavor: MachineType } | undefined;
   let bestCost = Infinity;
   for (const flavor of flavors) {
     const size = sizeOfFlavor(flavor);
     if (!fits(d.size, size)) continue;
-    const slow = pressing && flavor.ready_s * seconds(1) > d.slack ? TOO_SLOW : 1;
-    for (const zone of flavor.halls) {
+    const slow = pressing && flavor.bootSeconds * seconds(1) > d.slack ? TOO_SLOW : 1;
+    for (const zone of flavor.zones) {
       for (const spot of [true, false]) {
         const offer = { type: flavor.name, zone, spot };
         if (!allows(d, offer) || refused.has(offerKey(offer))) continue;
         if (!spot && d.spot && !pressing) continue;
-        const price = spot ? flavor.spot_price : flavor.rate;
+        const price = spot ? flavor.spotPrice : flavor.onDemandPrice;
         // What is left over on a machine serves others, but counts for less than what is used.
         const slots = perMachine(size, d.size);
         const used = Math.min(slots, left) + 0.7 * Math.max(0, slots - left);
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,7 +1,16 @@
 import type { HttpClient, Outcome, Request } from '../net/http.js';
 import { Bucket } from '../store/budget.js';
 import { MachineId, ms, type Clock, type DurationMs, type Endpoint } from '../units/index.js';
-import { BoxPage, Flavors, Hired, type Box, type Flavor, type Hire } from '../wire/index.js';
+import {
+  decodeMachinePage,
+  decodeMachineTypes,
+  decodeScaleOutResponse,
+  encodeDeleteRequest,
+  encodeScaleOutRequest,
+  type ListedMachine,
+  type MachineType,
+  type ScaleOutRequest,
+} from '../wire/index.js';
 
 export const MAX_HIRE = 50;
 export const MAX_DELETE = 100;
@@ -45,19 +54,22 @@
     return o;
   }
 
-  async flavors(): Promise<readonly Flavor[] | undefined> {
+  async flavors(): Promise<readonly MachineType[] | undefined> {
     const o = await this.send({ method: 'GET', path: '/flavors' });
     if (o.kind !== 'answer' || o.status !== 200) return undefined;
-    const body = Flavors.safeParse(o.body);
-    return body.success ? body.data.builds : undefined;
+    return decodeMachineTypes(o.body);
   }
 
-  async hire(request: Hire): Promise<HireResult> {
-    const o = await this.send({ method: 'POST', path: '/machines', body: request });
+  async hire(request: ScaleOutRequest): Promise<HireResult> {
+    const o = await this.send({
+      method: 'POST',
+      path: '/machines',
+      body: encodeScaleOutRequest(request),
+    });
     if (o.kind !== 'answer') return { kind: 'again', why: o.why };
     if (o.status === 200) {
-      const body = Hired.safeParse(o.body);
-      if (body.success) return { kind: 'hired', machines: body.data.boxes.map(MachineId) };
+      const machines = decodeScaleOutResponse(o.body);
+      if (machines) return { kind: 'hired', machines: machines.map(MachineId) };
     }
     const error = (o.body as { error?: unknown } | undefined)?.error;
     if (o.status === 503 && error === 'no capacity') return { kind: 'none' };
@@ -70,24 +82,24 @@
     const o = await this.send({
       method: 'POST',
       path: '/machines/delete',
-      body: { boxes: machines },
+      body: encodeDeleteRequest(machines),
     });
     return o.kind === 'answer' && o.status === 200;
   }
 
-  async list(): Promise<readonly Box[] | undefined> {
-    const boxes: Box[] = [];
+  async list(): Promise<readonly ListedMachine[] | undefined> {
+    const machines: ListedMachine[] = [];
     let from: string | undefined;
     for (;;) {
       const query = from === undefined ? '' : `from=${from}&`;
       const o = await this.send({ method: 'GET', path: `/machines?${query}limit=${PAGE}` });
       if (o.kind !== 'answer' || o.status !== 200) return undefined;
-      const page = BoxPage.safeParse(o.body);
-      if (!page.success) return undefined;
-      boxes.push(...page.data.boxes);
-      const last = page.data.boxes.at(-1);
-      if (!page.data.has_next || !last) return boxes;
-      from = last.name_id;
+      const page = decodeMachinePage(o.body);
+      if (!page) return undefined;
+      machines.push(...page.machines);
+      const last = page.machines.at(-1);
+      if (!page.hasNext || !last) return machines;
+      from = last.id;
     }
   }
 }
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -10,6 +10,7 @@
 import { Machine, leaseEnd, attemptKey, type Assigned, type Load, type Place } from './machine.js';
 import type { Report } from './machine.js';
 import type { Size } from './size.js';
+import { TaskState } from '../wire/index.js';
 
 /** Names of this form take a few bytes in a record. */
 const NUMBERED_NAME = /\d$/;
@@ -119,7 +120,7 @@
       const mine = own && attemptKey(key, own.attempt);
       let still = false;
       for (const [attempt, e] of r?.byAttempt ?? []) {
-        if (e.entry === key && e.status !== 'exited' && attempt !== mine) still = true;
+        if (e.task === key && e.state !== TaskState.exited && attempt !== mine) still = true;
       }
       if (!still) set.delete(m.id);
       if (set.size === 0) this.strays.delete(key);
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -1,4 +1,4 @@
-import type { Beat, Entry } from '../wire/index.js';
+import { TaskState, type Heartbeat, type TaskStatus } from '../wire/index.js';
 import {
   later,
   stretched,
@@ -59,9 +59,9 @@
   readonly token: number;
   /** How long until the cloud takes the machine away, if it has said so. */
   readonly notice: DurationMs | undefined;
-  readonly tasks: readonly Entry[];
+  readonly tasks: readonly TaskStatus[];
   /** The tasks by attempt, so that each is found without a look at all. */
-  readonly byAttempt: ReadonlyMap<string, Entry>;
+  readonly byAttempt: ReadonlyMap<string, TaskStatus>;
   /** By which a follower refers to it when a later report shows the same; none if it came another way. */
   readonly baseline?: number;
 }
@@ -69,14 +69,17 @@
 export const attemptKey = (entry: string, attempt: number): string => `${entry}#${attempt}`;
 
 export const toReport = (
-  b: Pick<Beat, 'shift' | 'tally' | 'baton' | 'recall_s' | 'entries'>,
+  b: Pick<Heartbeat, 'session' | 'sequence' | 'fencingToken' | 'reclaimNoticeSeconds' | 'tasks'>,
 ): Report => ({
-  session: b.shift,
-  sequence: b.tally,
-  token: b.baton,
-  notice: b.recall_s === null || b.recall_s === undefined ? undefined : ms(b.recall_s * 1000),
-  tasks: b.entries,
-  byAttempt: new Map(b.entries.map((e) => [attemptKey(e.entry, e.try), e])),
+  session: b.session,
+  sequence: b.sequence,
+  token: b.fencingToken,
+  notice:
+    b.reclaimNoticeSeconds === null || b.reclaimNoticeSeconds === undefined
+      ? undefined
+      : ms(b.reclaimNoticeSeconds * 1000),
+  tasks: b.tasks,
+  byAttempt: new Map(b.tasks.map((e) => [attemptKey(e.task, e.attempt), e])),
 });
 
 /**
@@ -272,12 +275,12 @@
     add(a.size);
     if (m.images.has(a.image)) continue;
     const e = m.report?.byAttempt.get(attemptKey(key, a.attempt));
-    if (!e || e.status === 'fetching') fetching.add(a.image);
+    if (!e || e.state === TaskState.fetching) fetching.add(a.image);
   }
   for (const e of m.report?.tasks ?? []) {
-    if (e.status === 'exited') continue;
-    const ref = parseTaskKey(e.entry);
-    if (ref && m.assigned.get(taskKey(ref.job, ref.index))?.attempt === e.try) continue;
+    if (e.state === TaskState.exited) continue;
+    const ref = parseTaskKey(e.task);
+    if (ref && m.assigned.get(taskKey(ref.job, ref.index))?.attempt === e.attempt) continue;
     const size = ref && sizeOf(ref.job);
     if (size) add(size);
     else unknown = true;
@@ -309,7 +312,7 @@
 ): boolean {
   const own = attemptKey(key, attempt);
   const e = report.byAttempt.get(own);
-  if (e && e.status !== 'exited') return false;
+  if (e && e.state !== TaskState.exited) return false;
   if (doubts.has(own)) return false;
   if (how.inherited && report.token < epoch) return false;
   if (how.sent) {
--- a/src/fleet/size.ts
+++ b/src/fleet/size.ts
@@ -1,4 +1,4 @@
-import type { Flavor, JobSpec } from '../wire/index.js';
+import type { MachineType, JobSpec } from '../wire/index.js';
 
 /** What a task takes of its machine, or a machine has. */
 export interface Size {
@@ -14,15 +14,15 @@
   size.cpus <= room.cpus + EPS && size.gpus <= room.gpus + EPS && size.ramGb <= room.ramGb + EPS;
 
 export const sizeOfSpec = (s: JobSpec): Size => ({
-  cpus: s.vcpus,
+  cpus: s.cpus,
   gpus: s.gpus,
-  ramGb: s.ram_gb,
+  ramGb: s.memoryGb,
 });
 
-export const sizeOfFlavor = (f: Flavor): Size => ({
-  cpus: f.vcpus,
+export const sizeOfFlavor = (f: MachineType): Size => ({
+  cpus: f.cpus,
   gpus: f.gpus,
-  ramGb: f.ram_gb,
+  ramGb: f.memoryGb,
 });
 
 export const less = (a: Size, b: Size): Size => ({
--- a/src/leader/board.ts
+++ b/src/leader/board.ts
@@ -55,7 +55,7 @@
       index,
       attempt: p.attempt,
       size: sizeOfSpec(job.spec),
-      image: job.spec.bundle,
+      image: job.spec.image,
       placedAt: p.at,
     });
   }
@@ -109,7 +109,8 @@
 
   /** To be stopped, so that it can run elsewhere or later; it saves first if it can. */
   evict(job: Job, index: number, p: Placement): void {
-    if (p.evict === undefined) this.stop(job, index, p, canSave(job) ? job.spec.stamp_s : 0);
+    if (p.evict === undefined)
+      this.stop(job, index, p, canSave(job) ? job.spec.checkpointSeconds : 0);
   }
 
   /** To be stopped within so many seconds; less time than before replaces what was told first. */
@@ -117,7 +118,7 @@
     if (p.evict !== undefined && p.evict <= graceS) return;
     p.evict = graceS;
     p.stopped = false;
-    this.stopping.set(taskKey(job.id, index), job.spec.vcpus);
+    this.stopping.set(taskKey(job.id, index), job.spec.cpus);
   }
 
   /** Processors of tasks that were told to stop and have not yet. */
@@ -154,4 +155,4 @@
   [job.placed.size, job.waiting.size, job.doneCount].filter((n) => n > 0).length > 1;
 
 /** Whether a task of the job can save its progress when it is stopped. */
-export const canSave = (job: Job): boolean => job.spec.stamp_every_s > 0;
+export const canSave = (job: Job): boolean => job.spec.checkpointIntervalSeconds > 0;
--- a/src/leader/dispatch.ts
+++ b/src/leader/dispatch.ts
@@ -21,7 +21,7 @@
   type MachineId,
   type SteadyMs,
 } from '../units/index.js';
-import type { JobSpec } from '../wire/index.js';
+import { JobKind, type JobSpec } from '../wire/index.js';
 import { JUST_BEGUN, type Begun, type Board } from './board.js';
 import type { TermDeps } from './deps.js';
 import type { Orders } from './orders.js';
@@ -121,9 +121,9 @@
       const p = job.placed.get(index);
       if (!p) continue;
       this.board.assign(job, index, p);
-      p.hadImage = this.machines.get(p.machine)?.images.has(job.spec.bundle) ?? false;
+      p.hadImage = this.machines.get(p.machine)?.images.has(job.spec.image) ?? false;
     }
-    if (job.spec.together) {
+    if (job.spec.singleZone) {
       const first = tasks[0] && this.machines.get(tasks[0].machine);
       job.zone = first?.place.zone;
     }
@@ -147,16 +147,16 @@
     const rooms = this.teamRoom();
     for (const { job } of queue) {
       if (budget <= 0) return;
-      if (!isUrgent(job.spec.urgency)) continue;
+      if (!isUrgent(job.spec.priority)) continue;
       const left = job.waiting.size - placed.filter((a) => a.job === job.id).length;
-      let cpus = left * job.spec.vcpus - this.board.comingFree;
+      let cpus = left * job.spec.cpus - this.board.comingFree;
       if (left <= 0 || cpus <= 0) continue;
       // At its team's limit, no machine's room would help.
-      const room = rooms.get(job.spec.desk);
-      if (room && room.cpus < job.spec.vcpus) continue;
+      const room = rooms.get(job.spec.team);
+      if (room && room.cpus < job.spec.cpus) continue;
       for (const v of this.victims(job, now)) {
         if (cpus <= 0 || budget <= 0) break;
-        cpus -= v.job.spec.vcpus;
+        cpus -= v.job.spec.cpus;
         budget--;
         this.board.evict(v.job, v.index, v.placement);
         this.orders.push(v.placement.machine);
@@ -170,21 +170,21 @@
     for (const b of this.board.justBegun(now)) {
       const other = b.job;
       const { placement: p } = b;
-      if (rankOf(other.spec.urgency) <= rankOf(job.spec.urgency)) continue;
-      if (other.aborted || other.spec.shape !== 'sweep' || p.evict !== undefined) continue;
+      if (rankOf(other.spec.priority) <= rankOf(job.spec.priority)) continue;
+      if (other.aborted || other.spec.kind !== JobKind.array || p.evict !== undefined) continue;
       const lost = since(b.since, now);
       const m = this.machines.get(p.machine);
       if (!m?.up || m.draining || lost > JUST_BEGUN || !this.suits(job.spec, m)) continue;
       // It may have ended, or lost its place, since it began.
       if (this.board.ledger.jobs.get(other.id) !== other || other.placed.get(b.index) !== p)
         continue;
-      victims.push({ ...b, lost, holds: m.images.has(job.spec.bundle) });
+      victims.push({ ...b, lost, holds: m.images.has(job.spec.image) });
     }
     return victims.sort((a, b) => Number(b.holds) - Number(a.holds) || a.lost - b.lost);
   }
 
   private suits(spec: JobSpec, m: Machine): boolean {
-    return allows({ types: spec.builds, onlyZone: spec.hall, spot: spec.loaners }, m.place);
+    return allows({ types: spec.machineTypes, onlyZone: spec.zone, spot: spec.allowSpot }, m.place);
   }
 
   private hosts(now: SteadyMs): Host[] {
@@ -207,8 +207,8 @@
         spot: m.place.spot,
         total,
         free: less(total, load.used),
-        rate: (m.place.spot ? flavor.spot_price : flavor.rate) / flavor.vcpus,
-        fetchGbPerS: flavor.fetch_gb_per_s,
+        rate: (m.place.spot ? flavor.spotPrice : flavor.onDemandPrice) / flavor.cpus,
+        fetchGbPerS: flavor.fetchGbPerSecond,
         holds: (image) => m.images.has(image),
         fetching: load.fetching,
       });
@@ -223,14 +223,14 @@
   expected(): { spec: JobSpec; count: number }[] {
     let cpus = 0;
     for (const m of this.machines.values()) {
-      if (m.up) cpus += this.deps.catalog.flavor(m.place.type)?.vcpus ?? 0;
+      if (m.up) cpus += this.deps.catalog.flavor(m.place.type)?.cpus ?? 0;
     }
     return this.standby.expected(cpus, this.deps.clock.steady());
   }
 
   private want({ job, rank, tasks, mustBegin }: Place, now: SteadyMs): Want {
     const { spec } = job;
-    const zoned = spec.together || spec.apart;
+    const zoned = spec.singleZone || spec.spreadZones;
     const inZone = new Map<string, number>();
     if (zoned) {
       for (const p of job.placed.values()) {
@@ -240,7 +240,7 @@
     }
     const unknown = inZone.get('') ?? 0;
     // Tasks whose machine's zone is not known yet may be in any.
-    const perZone = spec.apart ? Math.ceil(spec.entries / 2) - unknown : Infinity;
+    const perZone = spec.spreadZones ? Math.ceil(spec.taskCount / 2) - unknown : Infinity;
     const whole = job.isGang;
     // The next attempt of a gang begins when the one before is gone.
     const isHeld = whole && job.placed.size > 0;
@@ -249,14 +249,14 @@
     const room = recordLimits.openTasks(spec, this.board.fleet.longestOtherName) - job.open;
     return {
       id: job.id,
-      team: spec.desk,
+      team: spec.team,
       size: sizeOfSpec(spec),
-      image: spec.bundle,
-      imageGb: spec.size_gb,
-      types: spec.builds,
-      onlyZone: spec.hall,
-      spot: spec.loaners,
-      together: spec.together,
+      image: spec.image,
+      imageGb: spec.imageSizeGb,
+      types: spec.machineTypes,
+      onlyZone: spec.zone,
+      spot: spec.allowSpot,
+      together: spec.singleZone,
       // While none of its tasks may be anywhere, it is free to start over in another zone.
       zone: job.placed.size > 0 ? (job.zone ?? '') : undefined,
       perZone,
@@ -265,7 +265,7 @@
       count: isHeld ? 0 : count,
       whole,
       avoid: new Set([...job.faultyOn].filter(([, until]) => until > now).map(([id]) => id)),
-      urgent: isUrgent(spec.urgency) || rank < 0,
+      urgent: isUrgent(spec.priority) || rank < 0,
       isExpected: this.standby.isExpected(spec),
       rank,
       mustBegin,
@@ -289,7 +289,7 @@
       if (left <= 0) return;
       if (fleet.isStray(taskKey(job.id, index))) continue;
       // Tasks of the untouched tail make the record grow; those below are counted already.
-      if (tail && tail[1] === job.spec.entries && index >= tail[0] && fresh-- <= 0) return;
+      if (tail && tail[1] === job.spec.taskCount && index >= tail[0] && fresh-- <= 0) return;
       left--;
       yield index;
     }
@@ -307,9 +307,9 @@
     }
     if (rooms.size === 0) return rooms;
     const take = (spec: JobSpec | undefined, tasks: number): void => {
-      const room = spec && rooms.get(spec.desk);
+      const room = spec && rooms.get(spec.team);
       if (!room) return;
-      room.cpus -= tasks * spec.vcpus;
+      room.cpus -= tasks * spec.cpus;
       room.gpus -= tasks * spec.gpus;
     };
     const { ledger, fleet } = this.board;
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -176,23 +176,24 @@
       if (holder.data.run === this.run) {
         // A transaction of ours whose answer was lost: the key is ours, if its lease still stands.
         const own = await this.store.get(LEADER_KEY, CALL_TIMEOUT, { urgent: true });
-        const lease = own.kind === 'found' && own.stamp === read.stamp ? own.tenure : undefined;
+        const lease =
+          own.kind === 'found' && own.revision === read.revision ? own.leaseId : undefined;
         const sent = this.clock.steady();
         if (
           lease !== undefined &&
           (await this.store.touchLease(lease, CALL_TIMEOUT)) === 'renewed'
         ) {
-          this.begin(Epoch(read.stamp), lease, this.horizon(sent));
+          this.begin(Epoch(read.revision), lease, this.horizon(sent));
         } else await sleep(this.clock, RETRY);
         return;
       }
       // Written by a process of this node that is dead, since we run in its place.
-      await this.take(read.stamp);
+      await this.take(read.revision);
       return;
     }
-    if (read.stamp >= this.holderEpoch) {
+    if (read.revision >= this.holderEpoch) {
       this.holder = holder.success ? NodeId(holder.data.node) : undefined;
-      this.holderEpoch = read.stamp;
+      this.holderEpoch = read.revision;
     }
     this.store.setRole('following');
     // A watch on a connection that leads nowhere any more would keep us from noticing a change.
@@ -214,7 +215,7 @@
     if (this.reign || since(this.store.servedAt, this.clock.steady()) < QUIET) return;
     const read = await this.store.get(LEADER_KEY, PROBE_TIMEOUT, { urgent: true });
     const changed =
-      read.kind === 'absent' || (read.kind === 'found' && read.stamp !== this.holderEpoch);
+      read.kind === 'absent' || (read.kind === 'found' && read.revision !== this.holderEpoch);
     if (changed) this.nudge?.();
   }
 
@@ -226,8 +227,8 @@
       return;
     }
     const result = await this.store.multi(
-      [{ key: LEADER_KEY, stamp: over }],
-      [{ put: LEADER_KEY, data: { node: this.node, run: this.run }, tenure: lease }],
+      [{ key: LEADER_KEY, revision: over }],
+      [{ put: LEADER_KEY, data: { node: this.node, run: this.run }, leaseId: lease }],
       CALL_TIMEOUT,
       { urgent: true },
     );
--- a/src/leader/gangs.ts
+++ b/src/leader/gangs.ts
@@ -42,7 +42,7 @@
 
   /** If one task of a gang is done, all are: they complete together, whatever becomes of their machines. */
   complete(job: Job): void {
-    for (let index = 0; index < job.spec.entries; index++) {
+    for (let index = 0; index < job.spec.taskCount; index++) {
       if (!job.isDone(index)) this.board.finish(job, index);
     }
   }
@@ -60,7 +60,7 @@
         this.stopAll(job, 0);
         return;
       case 'saveAndStop':
-        this.stopAll(job, job.spec.stamp_s);
+        this.stopAll(job, job.spec.checkpointSeconds);
         return;
     }
   }
@@ -78,11 +78,11 @@
 
   private viewOf(job: Job): GangView {
     return {
-      entries: job.spec.entries,
+      entries: job.spec.taskCount,
       waiting: job.waiting.size,
       done: job.doneCount,
       tasks: [...job.placed.values()].map((p) => this.taskOf(p)),
-      saveTime: canSave(job) ? seconds(job.spec.stamp_s) : undefined,
+      saveTime: canSave(job) ? seconds(job.spec.checkpointSeconds) : undefined,
     };
   }
 
--- a/src/leader/orders.ts
+++ b/src/leader/orders.ts
@@ -20,7 +20,7 @@
 } from '../units/index.js';
 import type { CommandOutcome } from '../peer/messages.js';
 import { callWorker, callWorkerThrough } from '../relay/worker-call.js';
-import type { Entry, Order } from '../wire/index.js';
+import { ExitReason, JobStatus, TaskState, type Command, type TaskStatus } from '../wire/index.js';
 import type { Board } from './board.js';
 import type { TermDeps } from './deps.js';
 
@@ -66,24 +66,25 @@
   }
 
   /** The orders that a report is answered with. */
-  answer(m: Machine, r: Report): Order[] {
-    const out: Order[] = [];
+  answer(m: Machine, r: Report): Command[] {
+    const out: Command[] = [];
     for (const e of r.tasks) {
-      const ref = parseTaskKey(e.entry);
+      const ref = parseTaskKey(e.task);
       if (!ref) {
-        if (e.status === 'exited') out.push({ verb: 'clear', entry: e.entry, try: e.try });
+        if (e.state === TaskState.exited)
+          out.push({ type: 'clear', task: e.task, attempt: e.attempt });
         continue;
       }
       const job = this.jobs.get(ref.job);
       const p = job?.placed.get(ref.index);
-      const mine = p !== undefined && p.machine === m.id && p.attempt === e.try;
-      if (e.status === 'exited') {
+      const mine = p !== undefined && p.machine === m.id && p.attempt === e.attempt;
+      if (e.state === TaskState.exited) {
         if (mine || !this.mayClear(m, e, job, ref.job, ref.index)) continue;
-        out.push({ verb: 'clear', entry: e.entry, try: e.try });
+        out.push({ type: 'clear', task: e.task, attempt: e.attempt });
       } else if (!mine || job?.aborted) {
-        out.push({ verb: 'kill', entry: e.entry, try: e.try, wind_down_s: 0 });
+        out.push({ type: 'kill', task: e.task, attempt: e.attempt, gracePeriodSeconds: 0 });
       } else if (p.evict !== undefined) {
-        out.push({ verb: 'kill', entry: e.entry, try: e.try, wind_down_s: p.evict });
+        out.push({ type: 'kill', task: e.task, attempt: e.attempt, gracePeriodSeconds: p.evict });
       }
     }
     for (const [key, a] of m.assigned) {
@@ -95,8 +96,8 @@
       if (job.aborted || p.evict !== undefined) {
         // A start sent straight to the worker may still arrive. Used up here, it can't run then.
         if (m.doubts.has(attempt)) {
-          out.push({ verb: 'launch', entry: key, try: a.attempt });
-          out.push({ verb: 'kill', entry: key, try: a.attempt, wind_down_s: 0 });
+          out.push({ type: 'launch', task: key, attempt: a.attempt });
+          out.push({ type: 'kill', task: key, attempt: a.attempt, gracePeriodSeconds: 0 });
         }
       } else if (
         !p.inherited &&
@@ -104,7 +105,7 @@
         (!m.draining || m.doubts.has(attempt))
       ) {
         p.sent = { session: r.session, sequence: r.sequence };
-        out.push({ verb: 'launch', entry: key, try: a.attempt });
+        out.push({ type: 'launch', task: key, attempt: a.attempt });
       }
     }
     return out;
@@ -114,10 +115,16 @@
    * Whether a worker may forget an attempt that has ended. Once it has, the same start would run it
    * again: one that is still on its way, or the repeat of one that was carried out long ago.
    */
-  private mayClear(m: Machine, e: Entry, job: Job | undefined, id: JobId, index: number): boolean {
-    const attempt = attemptKey(e.entry, e.try);
+  private mayClear(
+    m: Machine,
+    e: TaskStatus,
+    job: Job | undefined,
+    id: JobId,
+    index: number,
+  ): boolean {
+    const attempt = attemptKey(e.task, e.attempt);
     if (m.doubts.has(attempt)) return false;
-    const done = e.cause === 'done';
+    const done = e.exitReason === ExitReason.done;
     // The worker's word is the only record of a finish until ours is written.
     if (done && job && !(job.isDone(index) && finishKept(job))) return false;
     const direct = m.direct.get(attempt);
@@ -136,10 +143,10 @@
 
   /** Whether a task of the job would break something even in the moment that it takes to end. */
   private bound(job: Job | undefined, final: Final | undefined): boolean {
-    const team = this.deps.settings.teams.get(job?.spec.desk ?? final?.desk ?? '');
+    const team = this.deps.settings.teams.get(job?.spec.team ?? final?.desk ?? '');
     const limited = team !== undefined && (team.cpusMax > 0 || team.gpusMax > 0);
-    if (!job) return limited || final?.status !== 'done';
-    return limited || job.aborted || job.spec.together || job.spec.apart;
+    if (!job) return limited || final?.status !== JobStatus.done;
+    return limited || job.aborted || job.spec.singleZone || job.spec.spreadZones;
   }
 
   // --- direct orders ----------------------------------------------------------------------------
@@ -196,7 +203,7 @@
   /** A command under our epoch; the report that answers it, if one does, and how it went. */
   private async send(
     m: Machine,
-    orders: readonly Order[],
+    orders: readonly Command[],
     timeout: DurationMs,
   ): Promise<{ outcome: CommandOutcome; why: string; report: Report | undefined }> {
     if (!m.addr || !m.report)
@@ -215,11 +222,11 @@
       ? await callWorkerThrough(peer, request)
       : await callWorker(http, request);
     const { outcome, why, report } = result;
-    const sound = report?.box === m.id && !this.board.fleet.isGone(m.id);
+    const sound = report?.machine === m.id && !this.board.fleet.isGone(m.id);
     return { outcome, why, report: sound ? toReport(report) : undefined };
   }
 
-  private async command(m: Machine, orders: Order[], started: string[]): Promise<void> {
+  private async command(m: Machine, orders: Command[], started: string[]): Promise<void> {
     const unsure = m.isUnsure(this.epoch);
     const result = await this.send(m, orders, unsure ? UNSURE_TIMEOUT : COMMAND_TIMEOUT);
     if (this.closed) return;
@@ -304,8 +311,8 @@
   }
 
   /** What is to be told to a machine at once, and the attempts whose start is part of it. */
-  private direct(m: Machine): { orders: Order[]; started: string[] } {
-    const orders: Order[] = [];
+  private direct(m: Machine): { orders: Command[]; started: string[] } {
+    const orders: Command[] = [];
     const started: string[] = [];
     for (const [key, a] of m.assigned) {
       if (orders.length >= MAX_ORDERS) break;
@@ -316,14 +323,14 @@
         if (p.stopped || !(p.seen || p.pushed || p.sent || p.inherited)) continue;
         p.stopped = true;
         const grace = job.aborted ? 0 : (p.evict ?? 0);
-        orders.push({ verb: 'kill', entry: key, try: a.attempt, wind_down_s: grace });
+        orders.push({ type: 'kill', task: key, attempt: a.attempt, gracePeriodSeconds: grace });
       } else if (!this.isBusy && !p.seen && !p.pushed && !p.sent && !p.inherited && !m.draining) {
         p.pushed = true;
         // Until it is answered the start may arrive at any time.
         const attempt = attemptKey(key, a.attempt);
         m.doubts.add(attempt);
         started.push(attempt);
-        orders.push({ verb: 'launch', entry: key, try: a.attempt });
+        orders.push({ type: 'launch', task: key, attempt: a.attempt });
       }
     }
     return { orders, started };
--- a/src/leader/reports.ts
+++ b/src/leader/reports.ts
@@ -20,7 +20,13 @@
   type NodeId,
   type SteadyMs,
 } from '../units/index.js';
-import type { Beat, BeatReply, Entry } from '../wire/index.js';
+import {
+  ExitReason,
+  TaskState,
+  type Heartbeat,
+  type HeartbeatReply,
+  type TaskStatus,
+} from '../wire/index.js';
 import type { RelayedReport } from '../peer/messages.js';
 import type { Board } from './board.js';
 import type { TermDeps } from './deps.js';
@@ -41,7 +47,7 @@
 /** Takes in what machines report, and what follows from it for the tasks on them. */
 export class Reports {
   private nextBaseline = 1;
-  private readonly noOrders: BeatReply;
+  private readonly noOrders: HeartbeatReply;
 
   constructor(
     private readonly epoch: Epoch,
@@ -52,16 +58,16 @@
     /** The machine may have come to be of use. */
     private readonly wake: () => void,
   ) {
-    this.noOrders = { baton: epoch, orders: [] };
+    this.noOrders = { fencingToken: epoch, commands: [] };
   }
 
   /** A report that came straight from its worker. */
-  take(b: Beat): BeatReply {
+  take(b: Heartbeat): HeartbeatReply {
     return this.receive(b, toReport(b), undefined);
   }
 
   /** A report that a follower passed on, and the baseline by which it may refer to it from now on. */
-  takeRelayed(b: Beat, through: NodeId): { reply: BeatReply; baseline: number } {
+  takeRelayed(b: Heartbeat, through: NodeId): { reply: HeartbeatReply; baseline: number } {
     const baseline = this.nextBaseline++;
     return { reply: this.receive(b, { ...toReport(b), baseline }, through), baseline };
   }
@@ -70,22 +76,22 @@
    * A report that shows what the one taken as its baseline showed; undefined if that is not the latest
    * that we know of the machine, so that it must come in full.
    */
-  takeUnchanged(u: UnchangedReport, through: NodeId): BeatReply | undefined {
+  takeUnchanged(u: UnchangedReport, through: NodeId): HeartbeatReply | undefined {
     const m = this.board.fleet.machines.get(MachineId(u.machine));
     const last = m?.report;
     if (!m || last?.baseline !== u.unchangedSince || last.session !== u.session) return undefined;
     return this.accept(m, { ...last, sequence: u.sequence, token: u.token }, through);
   }
 
-  private receive(b: Beat, r: Report, through: NodeId | undefined): BeatReply {
-    const id = MachineId(b.box);
+  private receive(b: Heartbeat, r: Report, through: NodeId | undefined): HeartbeatReply {
+    const id = MachineId(b.machine);
     const { fleet } = this.board;
     if (fleet.isGone(id)) return this.noOrders;
-    const m = fleet.meet(id, { type: b.build, zone: b.hall, spot: b.loaners }, b.addr);
+    const m = fleet.meet(id, { type: b.machineType, zone: b.zone, spot: b.spot }, b.address);
     return this.accept(m, r, through);
   }
 
-  private accept(m: Machine, r: Report, through: NodeId | undefined): BeatReply {
+  private accept(m: Machine, r: Report, through: NodeId | undefined): HeartbeatReply {
     const now = this.deps.clock.steady();
     const wasUp = m.up;
     const last = m.report;
@@ -96,7 +102,7 @@
     m.reportsThrough = through;
     if (!wasUp) this.wake();
     this.observe(m, r, true);
-    return { baton: this.epoch, orders: this.orders.answer(m, r) };
+    return { fencingToken: this.epoch, commands: this.orders.answer(m, r) };
   }
 
   /**
@@ -131,23 +137,23 @@
     const { fleet, ledger } = this.board;
     let busy = false;
     for (const e of r.tasks) {
-      const ref = parseTaskKey(e.entry);
-      if (e.status !== 'exited') busy = true;
+      const ref = parseTaskKey(e.task);
+      if (e.state !== TaskState.exited) busy = true;
       if (!ref) continue;
       const job = ledger.jobs.get(ref.job);
       const p = job?.placed.get(ref.index);
-      const mine = p !== undefined && p.machine === m.id && p.attempt === e.try;
-      if (e.status !== 'exited') {
+      const mine = p !== undefined && p.machine === m.id && p.attempt === e.attempt;
+      if (e.state !== TaskState.exited) {
         if (mine && job) {
           p.seen = true;
-          if (e.status === 'running') {
+          if (e.state === TaskState.running) {
             if (!p.ran) this.noteStart(job, ref.index, p, m);
-            m.uses(job.spec.bundle, job.spec.size_gb);
+            m.uses(job.spec.image, job.spec.imageSizeGb);
           }
         } else fleet.stray(taskKey(ref.job, ref.index), m.id);
-      } else if (e.cause === 'done') {
+      } else if (e.exitReason === ExitReason.done) {
         if (job && !job.isDone(ref.index)) {
-          m.uses(job.spec.bundle, job.spec.size_gb);
+          m.uses(job.spec.image, job.spec.imageSizeGb);
           if (job.isGang) this.gangs.complete(job);
           else this.board.finish(job, ref.index);
         }
@@ -188,7 +194,7 @@
         job: job.id,
         index,
         machine: m.id,
-        docket: job.spec.docket,
+        docket: job.spec.jobClass,
         sinceSubmitMs: Math.round(clock.wall() - job.submitted),
         sincePlacedMs: Math.round(since(p.at, clock.steady())),
         hadImage: p.hadImage,
@@ -197,10 +203,10 @@
     );
   }
 
-  private failed(m: Machine, job: Job, index: number, e: Entry, now: SteadyMs): void {
-    this.board.unplace(job, index, e.cause ?? 'exited');
-    switch (e.cause) {
-      case 'error':
+  private failed(m: Machine, job: Job, index: number, e: TaskStatus, now: SteadyMs): void {
+    this.board.unplace(job, index, e.exitReason ?? 'exited');
+    switch (e.exitReason) {
+      case ExitReason.failed:
         m.faults++;
         job.faultyOn.set(m.id, later(now, MAX_HOLD));
         this.deps.log.warn({ job: job.id, index, machine: m.id }, 'task failed');
@@ -211,14 +217,14 @@
           job.holds++;
           job.faultyOn.clear();
           job.heldUntil = later(now, ms(Math.min(MAX_HOLD, FAULT_HOLD * 2 ** job.holds)));
-          this.deps.log.warn({ job: job.id, desk: job.spec.desk }, 'job held back after failures');
+          this.deps.log.warn({ job: job.id, desk: job.spec.team }, 'job held back after failures');
         }
         break;
-      case 'full':
-      case 'in_use':
+      case ExitReason.insufficientResources:
+      case ExitReason.attemptConflict:
         m.heldUntil = later(now, FULL_HOLD);
         break;
-      case 'no_such':
+      case ExitReason.unknownTask:
         job.heldUntil = later(now, FULL_HOLD);
         break;
       default:
--- a/src/leader/standby.ts
+++ b/src/leader/standby.ts
@@ -36,14 +36,14 @@
    * Ordinary arrays start task by task in what room there is; room for them would be paid for by all.
    */
   isExpected(spec: JobSpec): boolean {
-    return isUrgent(spec.urgency) || (isGang(spec) && this.awaitedClasses.has(spec.docket));
+    return isUrgent(spec.priority) || (isGang(spec) && this.awaitedClasses.has(spec.jobClass));
   }
 
   note(spec: JobSpec, now: SteadyMs): void {
     if (!this.isExpected(spec)) return;
-    const cpus = spec.entries * spec.vcpus;
-    const known = this.seen.get(spec.bundle);
-    this.seen.set(spec.bundle, {
+    const cpus = spec.taskCount * spec.cpus;
+    const known = this.seen.get(spec.image);
+    this.seen.set(spec.image, {
       spec,
       mean: known ? known.mean + WEIGHT * (cpus - known.mean) : cpus,
       at: now,
@@ -62,7 +62,7 @@
     const most = fleetCpus * MOST_SHARE;
     return [...this.seen.values()].map(({ spec, mean }) => ({
       spec,
-      count: Math.ceil(Math.min(mean, most) / spec.vcpus),
+      count: Math.ceil(Math.min(mean, most) / spec.cpus),
     }));
   }
 
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -19,7 +19,7 @@
   type Timer,
 } from '../units/index.js';
 import type { RelayedReport } from '../peer/messages.js';
-import type { Beat, BeatReply, JobSpec } from '../wire/index.js';
+import type { Heartbeat, HeartbeatReply, JobSpec } from '../wire/index.js';
 import { Board } from './board.js';
 import type { TermDeps } from './deps.js';
 import { Dispatch } from './dispatch.js';
@@ -98,7 +98,7 @@
     this.fleet = new Fleet({
       began,
       lease: settings.workers.lease,
-      cacheOf: (build) => catalog.flavor(build)?.cache_gb,
+      cacheOf: (build) => catalog.flavor(build)?.cacheGb,
       hinted: (id) => deps.imageHints.of(id),
       sizeOf: (id) => {
         const job = this.ledger.jobs.get(id);
@@ -163,7 +163,7 @@
         const id = JobId(item.key.slice(LIVE_PREFIX.length));
         try {
           this.deps.recordLimits.noteRecord(item.data);
-          this.admit(decodeJob(id, item.data, item.stamp, now));
+          this.admit(decodeJob(id, item.data, item.revision, now));
         } catch (e) {
           this.deps.log.error({ job: id, err: e }, 'unreadable record; the job waits for repair');
         }
@@ -246,14 +246,14 @@
       const sum = (machines[key] ??= { up: 0, booting: 0, cpus: 0, used: 0 });
       if (m.up) {
         sum.up++;
-        sum.cpus += flavor.vcpus;
+        sum.cpus += flavor.cpus;
         sum.used += Math.round(this.fleet.load(m).used.cpus);
       } else if (m.bootingSince !== undefined) sum.booting++;
     }
     const waiting: Record<string, number> = {};
     for (const job of this.ledger.jobs.values()) {
       if (job.aborted || job.waiting.size === 0) continue;
-      waiting[job.spec.docket] = (waiting[job.spec.docket] ?? 0) + job.waiting.size;
+      waiting[job.spec.jobClass] = (waiting[job.spec.jobClass] ?? 0) + job.waiting.size;
     }
     this.deps.log.info({ machines, jobs: this.ledger.jobs.size, waiting }, 'fleet');
   }
@@ -291,7 +291,7 @@
   }
 
   async submit(spec: JobSpec): Promise<Submitted> {
-    const id = JobId(spec.name_id);
+    const id = JobId(spec.id);
     const known = this.known(id);
     if (known) {
       if (known.kind === 'job' && known.job.revision === 0) {
@@ -393,11 +393,14 @@
 
   // --- machines ---------------------------------------------------------------------------------
 
-  takeReport(report: Beat): BeatReply {
+  takeReport(report: Heartbeat): HeartbeatReply {
     return this.reports.take(report);
   }
 
-  takeRelayedReport(report: Beat, through: NodeId): { reply: BeatReply; baseline: number } {
+  takeRelayedReport(
+    report: Heartbeat,
+    through: NodeId,
+  ): { reply: HeartbeatReply; baseline: number } {
     return this.reports.takeRelayed(report, through);
   }
 
@@ -405,7 +408,7 @@
   takeUnchangedReport(
     report: RelayedReport & { readonly kind: 'unchanged' },
     through: NodeId,
-  ): BeatReply | undefined {
+  ): HeartbeatReply | undefined {
     return this.reports.takeUnchanged(report, through);
   }
 
--- a/src/ledger/admission.ts
+++ b/src/ledger/admission.ts
@@ -1,7 +1,7 @@
 /** Whether a submitted job can ever run here, alike on every node. */
 import type { Team } from '../config/settings.js';
 import type { Catalog, Verdict } from '../cloud/catalog.js';
-import type { JobSpec } from '../wire/index.js';
+import { TASK_COUNT_FIELD, type JobSpec } from '../wire/index.js';
 import { isGang } from './job.js';
 import type { RecordLimits } from './record-limits.js';
 
@@ -14,9 +14,11 @@
 
   judge(spec: JobSpec): Verdict {
     // A gang is placed in one transaction, so all of it has to fit one record.
-    const openTasks = isGang(spec) ? spec.entries : 1;
+    const openTasks = isGang(spec) ? spec.taskCount : 1;
     if (!this.recordLimits.canRecord(spec, openTasks)) {
-      return { never: 'entries: its record would exceed the limits of the state service' };
+      return {
+        never: `${TASK_COUNT_FIELD}: its record would exceed the limits of the state service`,
+      };
     }
     return this.catalog.judge(spec, this.teams);
   }
--- a/src/ledger/batch.ts
+++ b/src/ledger/batch.ts
@@ -47,7 +47,7 @@
     /** How many changes it may hold. */
     private readonly most: number,
   ) {
-    this.conditions = [{ key: LEADER_KEY, stamp: epoch }];
+    this.conditions = [{ key: LEADER_KEY, revision: epoch }];
   }
 
   get isEmpty(): boolean {
@@ -83,9 +83,9 @@
 
   private write(job: Job, record: unknown, isOver: boolean): void {
     const key = liveKey(job.id);
-    this.conditions.push({ key, stamp: job.revision });
+    this.conditions.push({ key, revision: job.revision });
     // A creation must not bring back a job that is over.
-    if (isOver || job.revision === 0) this.conditions.push({ key: doneKey(job.id), stamp: 0 });
+    if (isOver || job.revision === 0) this.conditions.push({ key: doneKey(job.id), revision: 0 });
     if (isOver) this.writes.push({ put: doneKey(job.id), data: record }, { delete: key });
     else this.writes.push({ put: key, data: record });
   }
--- a/src/ledger/codec.ts
+++ b/src/ledger/codec.ts
@@ -1,5 +1,13 @@
 import * as z from 'zod';
-import { JobSpec } from '../wire/index.js';
+import {
+  JobStatus,
+  SubmissionMessage,
+  TEAM_FIELD,
+  decodeJobSpec,
+  encodeJobSpec,
+  encodeJobSpecValues,
+  type JobSpec,
+} from '../wire/index.js';
 import type { JobId } from '../units/index.js';
 import {
   Attempt,
@@ -35,7 +43,7 @@
 
 const Live = z.object({
   f: z.literal(FORMAT),
-  s: JobSpec,
+  s: SubmissionMessage,
   t: z.number(),
   x: z.boolean().optional(),
   z: z.string().optional(),
@@ -51,10 +59,10 @@
 
 const Done = z.object({
   f: z.literal(FORMAT),
-  s: z.enum(['done', 'aborted']),
+  s: z.enum([JobStatus.done, JobStatus.cancelled]),
   n: count,
   d: count,
-  desk: z.string(),
+  [TEAM_FIELD]: z.string(),
   why: z.string(),
 });
 
@@ -71,7 +79,7 @@
   });
   return {
     f: FORMAT,
-    s: job.spec,
+    s: encodeJobSpec(job.spec),
     t: job.submitted,
     ...(job.aborted ? { x: true } : {}),
     ...(job.zone === undefined ? {} : { z: job.zone }),
@@ -108,7 +116,7 @@
   if (isCompact(data)) return decodeCompact(id, data);
   const r = Live.parse(data);
   return {
-    spec: r.s,
+    spec: decodeJobSpec(r.s),
     submitted: r.t,
     aborted: r.x ?? false,
     zone: r.z,
@@ -165,14 +173,14 @@
 }
 
 export function encodeFinal(f: Final): z.infer<typeof Done> {
-  return { f: FORMAT, s: f.status, n: f.entries, d: f.done, desk: f.desk, why: f.cause };
+  return { f: FORMAT, s: f.status, n: f.entries, d: f.done, [TEAM_FIELD]: f.desk, why: f.cause };
 }
 
 export function decodeFinal(data: unknown): Final {
   const parsed = Done.safeParse(data);
   if (!parsed.success) throw new RecordError('unreadable final record');
   const r = parsed.data;
-  return { status: r.s, entries: r.n, done: r.d, desk: r.desk, cause: r.why };
+  return { status: r.s, entries: r.n, done: r.d, desk: r[TEAM_FIELD], cause: r.why };
 }
 
 /** The size as the state service counts it. */
@@ -195,7 +203,7 @@
  * however they end. Placing lowest indexes first keeps everything above in a single range.
  */
 export function openTaskLimit(spec: JobSpec, valueBytes: number): number {
-  const room = valueBytes * USED_SHARE - sizeOf(spec) - ENVELOPE_BYTES;
+  const room = valueBytes * USED_SHARE - sizeOf(encodeJobSpec(spec)) - ENVELOPE_BYTES;
   return Math.max(0, Math.floor(room / (BYTES_PER_OPEN_TASK + MACHINE_BYTES / 2)));
 }
 
@@ -210,5 +218,4 @@
   return Math.max(0, Math.floor(room / perTask));
 }
 
-const compactSpecSize = (spec: JobSpec): number =>
-  sizeOf(Object.values({ ...spec, name_id: null }));
+const compactSpecSize = (spec: JobSpec): number => sizeOf([null, ...encodeJobSpecValues(spec)]);
--- a/src/ledger/compact-record.ts
+++ b/src/ledger/compact-record.ts
@@ -5,41 +5,18 @@
  */
 import { decode, encode } from 'vlq';
 import * as z from 'zod';
-import { JobSpec } from '../wire/index.js';
+import { decodeJobSpecValues, encodeJobSpecValues } from '../wire/index.js';
 import { Attempt, MachineId, type Epoch, type JobId } from '../units/index.js';
 import type { Job } from './job.js';
 import { RecordError, type JobFacts, type PlacedRun } from './record.js';
 
 export const COMPACT_FORMAT = 2;
 
-/** The order of the values in `s`. It is part of the format: fields are only ever added at its end. */
-const SPEC_FIELDS = [
-  'docket',
-  'desk',
-  'shape',
-  'urgency',
-  'entries',
-  'vcpus',
-  'gpus',
-  'ram_gb',
-  'bundle',
-  'size_gb',
-  'builds',
-  'hall',
-  'together',
-  'apart',
-  'loaners',
-  'expected_s',
-  'stamp_every_s',
-  'stamp_s',
-  'due_s',
-] as const satisfies readonly (keyof JobSpec)[];
-
 const count = z.number().int().nonnegative();
 
 const CompactRecord = z.object({
   f: z.literal(COMPACT_FORMAT),
-  /** The job's description, see `SPEC_FIELDS`. */
+  /** The job's description without its id. */
   s: z.array(z.unknown()),
   /** When it was submitted. */
   t: z.number(),
@@ -188,7 +165,7 @@
   const placed = encodeRuns(runs, machines);
   return {
     f: COMPACT_FORMAT,
-    s: SPEC_FIELDS.map((name) => job.spec[name]),
+    s: encodeJobSpecValues(job.spec),
     t: job.submitted,
     ...(job.aborted ? { x: true } : {}),
     ...(job.zone === undefined ? {} : { z: job.zone }),
@@ -204,9 +181,8 @@
 
 export function decodeCompact(id: JobId, data: unknown): JobFacts {
   const record = CompactRecord.parse(data);
-  const named = Object.fromEntries(SPEC_FIELDS.map((name, i) => [name, record.s[i]]));
   return {
-    spec: JobSpec.parse({ ...named, name_id: id }),
+    spec: decodeJobSpecValues(id, record.s),
     submitted: record.t,
     aborted: record.x ?? false,
     zone: record.z,
--- a/src/ledger/front.ts
+++ b/src/ledger/front.ts
@@ -52,7 +52,7 @@
     if (live.kind === 'failed') return { kind: 'unsure' };
     if (live.kind === 'found') {
       this.limits.noteRecord(live.data);
-      return { kind: 'live', job: decodeJob(id, live.data, live.stamp, this.clock.steady()) };
+      return { kind: 'live', job: decodeJob(id, live.data, live.revision, this.clock.steady()) };
     }
     const done = await this.store.get(doneKey(id), TIMEOUT, FOR_USER);
     if (done.kind === 'failed') return { kind: 'unsure' };
@@ -79,12 +79,12 @@
    * record, together with a notice for the leader. It can take nothing back that a leader said.
    */
   async create(spec: JobSpec): Promise<'created' | 'exists' | 'unsure'> {
-    const id = JobId(spec.name_id);
+    const id = JobId(spec.id);
     const job = new Job(id, spec, this.clock.wall(), Revision(0));
     const result = await this.store.multi(
       [
-        { key: liveKey(id), stamp: 0 },
-        { key: doneKey(id), stamp: 0 },
+        { key: liveKey(id), revision: 0 },
+        { key: doneKey(id), revision: 0 },
       ],
       [
         { put: liveKey(id), data: this.limits.encode(job, Epoch(0)).record },
@@ -108,12 +108,12 @@
     const { job } = held;
     job.abort();
     const conditions = [
-      { key: LEADER_KEY, stamp: 0 },
-      { key: liveKey(id), stamp: job.revision },
+      { key: LEADER_KEY, revision: 0 },
+      { key: liveKey(id), revision: job.revision },
     ];
     const result = job.settled
       ? await this.store.multi(
-          [...conditions, { key: doneKey(id), stamp: 0 }],
+          [...conditions, { key: doneKey(id), revision: 0 }],
           [{ put: doneKey(id), data: encodeFinal(job.final()) }, { delete: liveKey(id) }],
           TIMEOUT,
           FOR_USER,
@@ -132,7 +132,7 @@
   /** Leaves word for a leader that can't be reached that a user cancels the job. */
   async requestAbort(id: JobId): Promise<boolean> {
     const put = await this.store.multi(
-      [{ key: doneKey(id), stamp: 0 }],
+      [{ key: doneKey(id), revision: 0 }],
       [{ put: `${this.noticeKey(id)}${ABORT}`, data: {} }],
       TIMEOUT,
       FOR_USER,
--- a/src/ledger/job.ts
+++ b/src/ledger/job.ts
@@ -1,4 +1,4 @@
-import type { JobSpec, JobStatus } from '../wire/index.js';
+import { JobKind, JobStatus, type JobSpec } from '../wire/index.js';
 import {
   Attempt,
   type JobId,
@@ -40,7 +40,7 @@
 
 /** What remains of a job for good. */
 export interface Final {
-  readonly status: 'done' | 'aborted';
+  readonly status: typeof JobStatus.done | typeof JobStatus.cancelled;
   readonly entries: number;
   readonly done: number;
   readonly desk: string;
@@ -48,7 +48,7 @@
 }
 
 /** Whether the tasks of a job run all at the same time or not at all. */
-export const isGang = (spec: Pick<JobSpec, 'shape'>): boolean => spec.shape === 'ensemble';
+export const isGang = (spec: Pick<JobSpec, 'kind'>): boolean => spec.kind === JobKind.gang;
 
 /** Why a record is to be written, most urgent first. */
 export const Press = { intake: 0, place: 1, finish: 2, progress: 3, none: 4 } as const;
@@ -95,7 +95,7 @@
     waiting?: Ranges,
   ) {
     this.revision = revision;
-    this.waiting = waiting ?? Ranges.of([[0, spec.entries]]);
+    this.waiting = waiting ?? Ranges.of([[0, spec.taskCount]]);
   }
 
   /** Its tasks run all at the same time or not at all. */
@@ -104,7 +104,7 @@
   }
 
   get doneCount(): number {
-    return this.spec.entries - this.waiting.size - this.placed.size;
+    return this.spec.taskCount - this.waiting.size - this.placed.size;
   }
 
   /** Nothing waits or may run, so it can be moved to its final record. */
@@ -113,7 +113,7 @@
   }
 
   isDone(index: number): boolean {
-    return index < this.spec.entries && !this.waiting.has(index) && !this.placed.has(index);
+    return index < this.spec.taskCount && !this.waiting.has(index) && !this.placed.has(index);
   }
 
   touch(press: Press): void {
@@ -146,7 +146,7 @@
   /** Tasks that are not done below the highest placed one: what makes a record grow. */
   get open(): number {
     const tail = this.waiting.last();
-    const beyond = tail && tail[1] === this.spec.entries ? tail[1] - tail[0] : 0;
+    const beyond = tail && tail[1] === this.spec.taskCount ? tail[1] - tail[0] : 0;
     return this.placed.size + this.waiting.size - beyond;
   }
 
@@ -192,17 +192,17 @@
 
   final(): Final {
     return {
-      status: this.aborted ? 'aborted' : 'done',
-      entries: this.spec.entries,
+      status: this.aborted ? JobStatus.cancelled : JobStatus.done,
+      entries: this.spec.taskCount,
       done: this.doneCount,
-      desk: this.spec.desk,
+      desk: this.spec.team,
       cause: this.aborted ? 'cancelled by its user' : 'all tasks done',
     };
   }
 }
 
 export function statusOf(shown: Shown, entries: number): JobStatus {
-  if (shown.aborted) return 'aborted';
-  if (shown.done >= entries) return 'done';
-  return shown.running > 0 ? 'running' : 'pending';
+  if (shown.aborted) return JobStatus.cancelled;
+  if (shown.done >= entries) return JobStatus.done;
+  return shown.running > 0 ? JobStatus.running : JobStatus.pending;
 }
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -250,7 +250,7 @@
           continue;
         }
       }
-      const urgent = press === Press.place && rankOf(job.spec.urgency) <= rankOf('high');
+      const urgent = press === Press.place && rankOf(job.spec.priority) <= rankOf('high');
       const wait = urgent ? 0 : MAY_WAIT[press];
       due.push({ job, at: press === Press.intake ? -Infinity : since0 + wait });
     }
@@ -420,16 +420,16 @@
       if (this.closed) return;
       if (live.kind === 'found') {
         const mark = markOf(live.data);
-        if (live.stamp === job.revision) this.retry(s);
+        if (live.revision === job.revision) this.retry(s);
         else if (mark && mark.epoch === this.epoch && mark.version === s.version) {
-          this.applied({ ...s, final: undefined }, live.stamp);
-        } else this.adopt(job, live.data, live.stamp);
+          this.applied({ ...s, final: undefined }, live.revision);
+        } else this.adopt(job, live.data, live.revision);
         return;
       }
       if (live.kind === 'absent') {
         const done = await this.store.get(doneKey(job.id), READ_TIMEOUT);
         if (done.kind === 'found') {
-          this.applied({ ...s, final: decodeFinal(done.data) }, done.stamp);
+          this.applied({ ...s, final: decodeFinal(done.data) }, done.revision);
           return;
         }
         if (done.kind === 'absent') {
@@ -446,10 +446,10 @@
   }
 
   /** The store holds something we did not write: it counts, our view of the job goes. */
-  private adopt(job: Job, data: unknown, stamp: Revision): void {
+  private adopt(job: Job, data: unknown, revision: Revision): void {
     this.log.warn({ job: job.id }, 'record changed under us; taking what the store holds');
     this.limits.noteRecord(data);
-    const fresh = decodeJob(job.id, data, stamp, this.clock.steady());
+    const fresh = decodeJob(job.id, data, revision, this.clock.steady());
     fresh.succeed(job);
     this.unmind(job);
     this.jobs.set(job.id, fresh);
--- a/src/ledger/queue.ts
+++ b/src/ledger/queue.ts
@@ -1,13 +1,13 @@
 import type { Job } from './job.js';
 import type { Objective } from '../config/settings.js';
 import { ms, seconds, since, type DurationMs, type SteadyMs, type WallMs } from '../units/index.js';
-import type { Urgency } from '../wire/index.js';
+import type { Priority } from '../wire/index.js';
 
 /**
  * The order in which jobs are served: urgency, then those that can still be in time, earliest due
  * first. A job that has been passed over for long comes before all of them, with a few tasks.
  */
-const RANK: Record<Urgency, number> = { prod: 0, high: 1, normal: 2, low: 3 };
+const RANK: Record<Priority, number> = { prod: 0, high: 1, normal: 2, low: 3 };
 const UNHURRIED = seconds(600);
 /** The longest that a job with waiting tasks is passed over: its users see it begin within minutes. */
 const PASSED_OVER = seconds(120);
@@ -29,12 +29,12 @@
 
 /** When a job should be done, and by when it is still of use: all times that users set, earliest first. */
 function dueTimes(job: Job, objectives: readonly Objective[]): number[] {
-  const { due_s: due, docket } = job.spec;
+  const { deadlineSeconds: due, jobClass: docket } = job.spec;
   const out: number[] = due === null ? [] : [job.submitted + due * 1000];
   for (const o of objectives) {
     if (o.docket !== docket) continue;
     if (o.kind === 'wait' && o.within !== undefined && due === null && job.isGang) {
-      out.push(job.submitted + o.within + job.spec.expected_s * 1000);
+      out.push(job.submitted + o.within + job.spec.expectedRuntimeSeconds * 1000);
     } else if (o.kind === 'finished' && o.within !== undefined && due === null) {
       out.push(job.submitted + o.within);
     } else if (o.kind === 'deadline' && due !== null && o.times > 1) {
@@ -78,14 +78,14 @@
   const waited = passedOver(job, wall, now);
   const mustBegin = job.placed.size === 0 && waited > MUST_BEGIN;
   if (waited > PASSED_OVER) {
-    const tasks = Math.min(job.waiting.size, Math.ceil(job.spec.entries * FIRST_SHARE));
+    const tasks = Math.min(job.waiting.size, Math.ceil(job.spec.taskCount * FIRST_SHARE));
     return { rank: -1, late: false, due: job.submitted, job, tasks, mustBegin };
   }
-  const { due, late } = dueBy(job, objectives, wall, ms(job.spec.expected_s * 1000));
-  return { rank: RANK[job.spec.urgency], late, due, job, tasks: job.waiting.size, mustBegin };
+  const { due, late } = dueBy(job, objectives, wall, ms(job.spec.expectedRuntimeSeconds * 1000));
+  return { rank: RANK[job.spec.priority], late, due, job, tasks: job.waiting.size, mustBegin };
 }
 
 /** Whether work of this urgency may take the place of ordinary work. */
-export const isUrgent = (u: Urgency): boolean => RANK[u] <= RANK.high;
+export const isUrgent = (u: Priority): boolean => RANK[u] <= RANK.high;
 
-export const rankOf = (u: Urgency): number => RANK[u];
+export const rankOf = (u: Priority): number => RANK[u];
--- a/src/peer/messages.ts
+++ b/src/peer/messages.ts
@@ -4,7 +4,7 @@
  */
 import avro from 'avsc';
 import type { NodeId } from '../units/index.js';
-import type { Beat, Order } from '../wire/index.js';
+import type { Heartbeat, Command } from '../wire/index.js';
 
 /** What a controller says of itself in each heartbeat and in the response to one. */
 export interface PeerStatus {
@@ -26,7 +26,7 @@
  * before under the same epoch: this one shows the same tasks, and only its sequence number differs.
  */
 export type RelayedReport =
-  | { readonly kind: 'full'; readonly report: Beat }
+  | { readonly kind: 'full'; readonly report: Heartbeat }
   | {
       readonly kind: 'unchanged';
       readonly machine: string;
@@ -43,7 +43,7 @@
   readonly outcome: ReportOutcome;
   /** By which later reports can refer to this one; 0 if they can't. */
   readonly baseline: number;
-  readonly orders: readonly Order[];
+  readonly orders: readonly Command[];
 }
 
 /** How a command that a follower passed on to a worker went. */
@@ -70,7 +70,7 @@
       readonly token: number;
       readonly session: number;
       readonly timeoutMs: number;
-      readonly orders: readonly Order[];
+      readonly orders: readonly Command[];
     };
 
 export type PeerResponse =
@@ -92,7 +92,7 @@
       readonly type: 'commandResult';
       readonly outcome: CommandOutcome;
       readonly why: string;
-      readonly report: Beat | null;
+      readonly report: Heartbeat | null;
     };
 
 const field = (name: string, type: avro.Schema) => ({ name, type });
@@ -111,41 +111,41 @@
   field('storeReachable', 'boolean'),
 ]);
 
-const ordersSchema = arrayOf(
-  record('Order', [
-    field('verb', { type: 'enum', name: 'Verb', symbols: ['launch', 'kill', 'clear'] }),
-    field('entry', 'string'),
-    field('try', 'long'),
-    optionalField('wind_down_s', 'double'),
+const commandsSchema = arrayOf(
+  record('TaskCommand', [
+    field('type', { type: 'enum', name: 'CommandType', symbols: ['launch', 'kill', 'clear'] }),
+    field('task', 'string'),
+    field('attempt', 'long'),
+    optionalField('gracePeriodSeconds', 'double'),
   ]),
 );
 
-const beatSchema = record('Beat', [
-  field('box', 'string'),
-  field('addr', 'string'),
-  field('build', 'string'),
-  field('hall', 'string'),
-  field('loaners', 'boolean'),
-  field('shift', 'long'),
-  field('tally', 'long'),
-  field('baton', 'long'),
-  optionalField('recall_s', 'double'),
+const heartbeatSchema = record('WorkerHeartbeat', [
+  field('machine', 'string'),
+  field('address', 'string'),
+  field('machineType', 'string'),
+  field('zone', 'string'),
+  field('spot', 'boolean'),
+  field('session', 'long'),
+  field('sequence', 'long'),
+  field('fencingToken', 'long'),
+  optionalField('reclaimNoticeSeconds', 'double'),
   field(
-    'entries',
+    'tasks',
     arrayOf(
-      record('Entry', [
-        field('entry', 'string'),
-        field('try', 'long'),
-        field('status', 'string'),
-        optionalField('cause', 'string'),
-        optionalField('kept', 'boolean'),
+      record('TaskStatus', [
+        field('task', 'string'),
+        field('attempt', 'long'),
+        field('state', 'string'),
+        optionalField('exitReason', 'string'),
+        optionalField('checkpointSaved', 'boolean'),
       ]),
     ),
   ),
 ]);
 
 const relayedReportSchema = record('RelayedReport', [
-  optionalField('full', beatSchema),
+  optionalField('full', heartbeatSchema),
   optionalField(
     'unchanged',
     record('UnchangedReport', [
@@ -165,7 +165,7 @@
     symbols: ['accepted', 'refused', 'baselineUnknown'],
   }),
   field('baseline', 'long'),
-  field('orders', ordersSchema),
+  field('orders', commandsSchema),
 ]);
 
 const schemas = {
@@ -198,7 +198,7 @@
     field('token', 'long'),
     field('session', 'long'),
     field('timeoutMs', 'double'),
-    field('orders', ordersSchema),
+    field('orders', commandsSchema),
   ]),
   status: record('Status', [field('status', statusSchema)]),
   acknowledged: record('Acknowledged', [field('ok', 'boolean')]),
@@ -218,7 +218,7 @@
       symbols: ['answered', 'undelivered', 'unknown'],
     }),
     field('why', 'string'),
-    optionalField('report', beatSchema),
+    optionalField('report', heartbeatSchema),
   ]),
 } satisfies Record<PeerRequest['type'] | PeerResponse['type'], avro.Schema>;
 
@@ -251,23 +251,23 @@
 const relayedToRecord = (r: RelayedReport): object =>
   r.kind === 'full' ? { full: r.report } : { unchanged: r };
 
-interface OrderRecord {
-  readonly verb: Order['verb'];
-  readonly entry: string;
-  readonly try: number;
-  readonly wind_down_s: number | null;
+interface CommandRecord {
+  readonly type: Command['type'];
+  readonly task: string;
+  readonly attempt: number;
+  readonly gracePeriodSeconds: number | null;
 }
 
-type ReportResponseRecord = Omit<ReportResponse, 'orders'> & { readonly orders: OrderRecord[] };
+type ReportResponseRecord = Omit<ReportResponse, 'orders'> & { readonly orders: CommandRecord[] };
 
-/** An order as the worker gets it: with a time to wind down only where there is one. */
-function orderFromRecord(r: OrderRecord): Order {
-  if (r.verb !== 'kill') return { verb: r.verb, entry: r.entry, try: r.try };
-  return { verb: r.verb, entry: r.entry, try: r.try, wind_down_s: r.wind_down_s ?? 0 };
+/** A grace period belongs to a command to stop alone. */
+function commandFromRecord({ type, task, attempt, gracePeriodSeconds }: CommandRecord): Command {
+  if (type !== 'kill') return { type, task, attempt };
+  return { type, task, attempt, gracePeriodSeconds: gracePeriodSeconds ?? 0 };
 }
 
 interface RelayedRecord {
-  readonly full: Beat | null;
+  readonly full: Heartbeat | null;
   readonly unchanged: Omit<RelayedReport & { kind: 'unchanged' }, 'kind'> | null;
 }
 
@@ -301,16 +301,16 @@
   const value = codecOf(type).fromBuffer(payload) as object;
   if (type === 'command') {
     const command = value as Omit<PeerRequest & { type: 'command' }, 'orders'> & {
-      orders: OrderRecord[];
+      orders: CommandRecord[];
     };
-    const orders = command.orders.map(orderFromRecord);
+    const orders = command.orders.map(commandFromRecord);
     return { id, message: { ...command, type, orders } };
   }
   if (type === 'reportResponses') {
     const batch = value as { epoch: number; responses: ReportResponseRecord[] };
     const responses = batch.responses.map((r) => ({
       ...r,
-      orders: r.orders.map(orderFromRecord),
+      orders: r.orders.map(commandFromRecord),
     }));
     return { id, message: { type, epoch: batch.epoch, responses } };
   }
--- a/src/relay/report-relay.ts
+++ b/src/relay/report-relay.ts
@@ -14,7 +14,7 @@
   type SteadyMs,
 } from '../units/index.js';
 import { ExpiringMap } from '../units/expiring-map.js';
-import type { Beat, BeatReply, Entry } from '../wire/index.js';
+import type { Heartbeat, HeartbeatReply, TaskStatus } from '../wire/index.js';
 
 /** What comes within this time goes in one batch; the first after a pause goes at once. */
 const BATCH_WINDOW = ms(100);
@@ -45,18 +45,18 @@
 /** The report that the leader took last from a machine through this node. */
 interface Baseline {
   readonly id: number;
-  readonly report: Beat;
+  readonly report: Heartbeat;
 }
 
 interface PendingReport {
-  readonly report: Beat;
+  readonly report: Heartbeat;
   readonly bytes: number;
   /** Until when it waits for a leader that may answer it. */
   readonly waitsUntil: SteadyMs;
   readonly abandonedAt: SteadyMs;
   /** Sent in full, whatever the leader may know. */
   readonly full: boolean;
-  readonly settle: (reply: BeatReply | undefined) => void;
+  readonly settle: (reply: HeartbeatReply | undefined) => void;
 }
 
 export class ReportRelay {
@@ -76,7 +76,7 @@
   ) {}
 
   /** The leader's answer to a report; undefined if none came, or it may not answer. */
-  send(report: Beat, bytes: number): Promise<BeatReply | undefined> {
+  send(report: Heartbeat, bytes: number): Promise<HeartbeatReply | undefined> {
     const now = this.clock.steady();
     return new Promise((settle) => {
       const waitsUntil = later(now, MAX_LEADER_WAIT);
@@ -179,26 +179,26 @@
       return;
     }
     this.remember(report, answer.baseline);
-    p.settle({ baton: epoch, orders: answer.orders });
+    p.settle({ fencingToken: epoch, commands: answer.orders });
   }
 
-  private remember(report: Beat, baseline: number): void {
+  private remember(report: Heartbeat, baseline: number): void {
     if (baseline === 0) {
-      this.baselines.delete(report.box);
+      this.baselines.delete(report.machine);
       return;
     }
-    this.baselines.set(report.box, { id: baseline, report }, this.clock.steady());
+    this.baselines.set(report.machine, { id: baseline, report }, this.clock.steady());
   }
 
   private relayed({ report, full }: PendingReport): RelayedReport {
-    const baseline = full ? undefined : this.baselines.get(report.box);
+    const baseline = full ? undefined : this.baselines.get(report.machine);
     if (!baseline || !showsTheSame(baseline.report, report)) return { kind: 'full', report };
     return {
       kind: 'unchanged',
-      machine: report.box,
-      session: report.shift,
-      sequence: report.tally,
-      token: report.baton,
+      machine: report.machine,
+      session: report.session,
+      sequence: report.sequence,
+      token: report.fencingToken,
       unchangedSince: baseline.id,
     };
   }
@@ -212,25 +212,25 @@
 }
 
 /** Whether two reports of a machine differ in nothing but their sequence numbers and tokens. */
-export function showsTheSame(a: Beat, b: Beat): boolean {
+export function showsTheSame(a: Heartbeat, b: Heartbeat): boolean {
   return (
-    a.shift === b.shift &&
-    a.addr === b.addr &&
+    a.session === b.session &&
+    a.address === b.address &&
     // A notice counts down, so each report that shows one is news.
-    (a.recall_s ?? null) === null &&
-    (b.recall_s ?? null) === null &&
-    a.entries.length === b.entries.length &&
-    a.entries.every((entry, i) => sameEntry(entry, b.entries[i]))
+    (a.reclaimNoticeSeconds ?? null) === null &&
+    (b.reclaimNoticeSeconds ?? null) === null &&
+    a.tasks.length === b.tasks.length &&
+    a.tasks.every((entry, i) => sameEntry(entry, b.tasks[i]))
   );
 }
 
-function sameEntry(a: Entry, b: Entry | undefined): boolean {
+function sameEntry(a: TaskStatus, b: TaskStatus | undefined): boolean {
   return (
     b !== undefined &&
-    a.entry === b.entry &&
-    a.try === b.try &&
-    a.status === b.status &&
-    (a.cause ?? null) === (b.cause ?? null) &&
-    (a.kept ?? null) === (b.kept ?? null)
+    a.task === b.task &&
+    a.attempt === b.attempt &&
+    a.state === b.state &&
+    (a.exitReason ?? null) === (b.exitReason ?? null) &&
+    (a.checkpointSaved ?? null) === (b.checkpointSaved ?? null)
   );
 }
--- a/src/relay/worker-call.ts
+++ b/src/relay/worker-call.ts
@@ -6,7 +6,7 @@
 import type { Peer } from '../peer/channel.js';
 import type { CommandOutcome, PeerRequest, PeerResponse } from '../peer/messages.js';
 import { Endpoint, ms } from '../units/index.js';
-import { Beat } from '../wire/index.js';
+import { decodeHeartbeat, encodeCommandRequest } from '../wire/index.js';
 
 type CommandRequest = PeerRequest & { readonly type: 'command' };
 export type CommandResult = PeerResponse & { readonly type: 'commandResult' };
@@ -30,15 +30,14 @@
     endpoint: Endpoint(address),
     method: 'POST',
     path: '/commands',
-    body: { baton: token, shift: session, orders },
+    body: encodeCommandRequest({ fencingToken: token, session, commands: orders }),
     timeout: ms(timeoutMs),
   });
-  const report = outcome.kind === 'answer' ? Beat.safeParse(outcome.body) : undefined;
   return {
     type: 'commandResult',
     outcome: OUTCOMES[outcome.kind],
     why: outcome.kind === 'answer' ? '' : outcome.why,
-    report: report?.success ? report.data : null,
+    report: outcome.kind === 'answer' ? (decodeHeartbeat(outcome.body) ?? null) : null,
   };
 }
 
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -11,18 +11,20 @@
   type SteadyMs,
 } from '../units/index.js';
 import {
-  Committed,
-  Found,
-  Leased,
-  Log,
-  Page,
-  Refused,
+  decodeCommitted,
+  decodeConflict,
+  decodeLease,
+  decodeStoredValue,
+  decodeValuePage,
+  decodeWatch,
+  encodeLeaseRequest,
+  encodeTransaction,
   type Condition,
   type Write,
 } from '../wire/index.js';
 
 export type Read =
-  | { kind: 'found'; data: unknown; stamp: Revision; tenure: number | undefined }
+  | { kind: 'found'; data: unknown; revision: Revision; leaseId: number | undefined }
   | { kind: 'absent' }
   | { kind: 'failed'; why: string };
 
@@ -37,7 +39,7 @@
   | { kind: 'unknown'; why: string };
 
 export interface Listed {
-  readonly items: readonly { key: string; data: unknown; stamp: Revision }[];
+  readonly items: readonly { key: string; data: unknown; revision: Revision }[];
   readonly revision: Revision;
 }
 
@@ -238,14 +240,10 @@
     const o = await this.send({ method: 'GET', path: `/store/${key}`, timeout }, opts);
     if (o.kind !== 'answer') return { kind: 'failed', why: o.why };
     if (o.status === 404) return { kind: 'absent' };
-    const body = Found.safeParse(o.body);
-    if (o.status !== 200 || !body.success) return { kind: 'failed', why: `status ${o.status}` };
-    return {
-      kind: 'found',
-      data: body.data.data,
-      stamp: Revision(body.data.stamp),
-      tenure: body.data.tenure ?? undefined,
-    };
+    const value = o.status === 200 ? decodeStoredValue(o.body) : undefined;
+    if (!value) return { kind: 'failed', why: `status ${o.status}` };
+    const { data, leaseId } = value;
+    return { kind: 'found', data, revision: Revision(value.revision), leaseId };
   }
 
   /**
@@ -253,7 +251,7 @@
    * a process with little processor time gets to its other work, above all its lease, between them.
    */
   async list(prefix: string, timeout: DurationMs, urgent = false): Promise<Listed | undefined> {
-    const items: { key: string; data: unknown; stamp: Revision }[] = [];
+    const items: { key: string; data: unknown; revision: Revision }[] = [];
     let from: string | undefined;
     for (;;) {
       // Keys hold no character that a query would have to escape.
@@ -261,15 +259,13 @@
       const path = `/store?starts=${prefix}${after}&limit=${PAGE_ITEMS}`;
       const o = await this.send({ method: 'GET', path, timeout }, { urgent });
       if (o.kind !== 'answer' || o.status !== 200) return undefined;
-      const page = Page.safeParse(o.body);
-      if (!page.success) return undefined;
-      for (const i of page.data.items) {
-        items.push({ key: i.key, data: i.data, stamp: Revision(i.stamp) });
-      }
-      const last = page.data.items.at(-1);
-      if (!page.data.has_next || !last) {
-        return { items, revision: Revision(page.data.ledger_rev) };
+      const page = decodeValuePage(o.body);
+      if (!page) return undefined;
+      for (const { key, data, revision } of page.values) {
+        items.push({ key, data, revision: Revision(revision) });
       }
+      const last = page.values.at(-1);
+      if (!page.hasNext || !last) return { items, revision: Revision(page.revision) };
       from = last.key;
     }
   }
@@ -281,19 +277,18 @@
     opts: { urgent?: boolean; patience?: DurationMs } = {},
   ): Promise<Commit> {
     const o = await this.send(
-      { method: 'POST', path: '/multi', body: { if: conditions, writes }, timeout },
+      { method: 'POST', path: '/multi', body: encodeTransaction(conditions, writes), timeout },
       { ...opts, writes: writes.length },
     );
     if (o.kind === 'unknown') return { kind: 'unknown', why: o.why };
     if (o.kind === 'undelivered') return { kind: 'refused', why: o.why };
     if (o.status === 200) {
-      const body = Committed.safeParse(o.body);
-      if (body.success) return { kind: 'committed', revision: Revision(body.data.ledger_rev) };
+      const revision = decodeCommitted(o.body);
+      if (revision !== undefined) return { kind: 'committed', revision: Revision(revision) };
       return { kind: 'unknown', why: 'unreadable answer' };
     }
     if (o.status === 409) {
-      const body = Refused.safeParse(o.body);
-      return { kind: 'conflict', failed: body.success ? body.data.failed : [] };
+      return { kind: 'conflict', failed: decodeConflict(o.body) ?? [] };
     }
     const error = (o.body as { error?: unknown } | undefined)?.error;
     if (o.status === 400 && error === 'no such lease') return { kind: 'leaseless' };
@@ -309,12 +304,11 @@
 
   async createLease(ttl: DurationMs, timeout: DurationMs): Promise<number | undefined> {
     const o = await this.send(
-      { method: 'POST', path: '/leases', body: { ttl_ms: Math.round(ttl) }, timeout },
+      { method: 'POST', path: '/leases', body: encodeLeaseRequest(Math.round(ttl)), timeout },
       { urgent: true },
     );
     if (o.kind !== 'answer' || o.status !== 200) return undefined;
-    const body = Leased.safeParse(o.body);
-    return body.success ? body.data.tenure : undefined;
+    return decodeLease(o.body);
   }
 
   async touchLease(lease: number, timeout: DurationMs): Promise<'renewed' | 'gone' | 'failed'> {
@@ -343,11 +337,7 @@
     });
     if (o.kind !== 'answer') return undefined;
     if (o.status === 410) return 'stale';
-    const body = Log.safeParse(o.body);
-    if (o.status !== 200 || !body.success) return undefined;
-    return {
-      revision: Revision(body.data.ledger_rev),
-      keys: body.data.log.map((e) => e.put ?? e.delete ?? ''),
-    };
+    const changes = o.status === 200 ? decodeWatch(o.body) : undefined;
+    return changes && { revision: Revision(changes.revision), keys: changes.keys };
   }
 }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,7 +1,7 @@
+/** Messages between controllers and the cloud that rents machines. */
 import * as z from 'zod';
 
-/** Messages of the cloud that rents machines. */
-export const Flavor = z.object({
+const MachineTypeMessage = z.object({
   name: z.string(),
   vcpus: z.number(),
   gpus: z.number(),
@@ -13,19 +13,90 @@
   ready_s: z.number(),
   halls: z.array(z.string()),
 });
-export type Flavor = z.infer<typeof Flavor>;
-export const Flavors = z.object({ builds: z.array(Flavor) });
-
-export interface Hire {
-  readonly hire: string;
-  readonly build: string;
-  readonly hall: string;
-  readonly loaners: boolean;
-  readonly how_many: number;
+type MachineTypeMessage = z.infer<typeof MachineTypeMessage>;
+const MachineTypesMessage = z.object({ builds: z.array(MachineTypeMessage) });
+
+/** A type of machine that can be rented. Prices are per hour. */
+export interface MachineType {
+  readonly name: string;
+  readonly cpus: number;
+  readonly gpus: number;
+  readonly memoryGb: number;
+  /** The size of its image cache. */
+  readonly cacheGb: number;
+  readonly fetchGbPerSecond: number;
+  readonly onDemandPrice: number;
+  readonly spotPrice: number;
+  /** How long a boot usually takes. */
+  readonly bootSeconds: number;
+  readonly zones: readonly string[];
+}
+
+/** The machine types that a message lists; undefined if it is none. */
+export function decodeMachineTypes(value: unknown): MachineType[] | undefined {
+  const parsed = MachineTypesMessage.safeParse(value);
+  return parsed.success ? parsed.data.builds.map(toMachineType) : undefined;
+}
+
+const toMachineType = (message: MachineTypeMessage): MachineType => ({
+  name: message.name,
+  cpus: message.vcpus,
+  gpus: message.gpus,
+  memoryGb: message.ram_gb,
+  cacheGb: message.cache_gb,
+  fetchGbPerSecond: message.fetch_gb_per_s,
+  onDemandPrice: message.rate,
+  spotPrice: message.spot_price,
+  bootSeconds: message.ready_s,
+  zones: message.halls,
+});
+
+/** The message that lists machine types; also the form in which controllers store them. */
+export const encodeMachineTypes = (
+  types: readonly MachineType[],
+): { builds: MachineTypeMessage[] } => ({
+  builds: types.map((type) => ({
+    name: type.name,
+    vcpus: type.cpus,
+    gpus: type.gpus,
+    ram_gb: type.memoryGb,
+    cache_gb: type.cacheGb,
+    fetch_gb_per_s: type.fetchGbPerSecond,
+    rate: type.onDemandPrice,
+    spot_price: type.spotPrice,
+    ready_s: type.bootSeconds,
+    halls: [...type.zones],
+  })),
+});
+
+/** A request for more machines. Its id makes it idempotent and is never used again. */
+export interface ScaleOutRequest {
+  readonly requestId: string;
+  readonly machineType: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly count: number;
+}
+
+export const encodeScaleOutRequest = (request: ScaleOutRequest): object => ({
+  hire: request.requestId,
+  build: request.machineType,
+  hall: request.zone,
+  loaners: request.spot,
+  how_many: request.count,
+});
+
+const ScaleOutResponse = z.object({ boxes: z.array(z.string()) });
+
+/** The ids of the machines that were rented; undefined if the message is none that says so. */
+export function decodeScaleOutResponse(value: unknown): string[] | undefined {
+  const parsed = ScaleOutResponse.safeParse(value);
+  return parsed.success ? parsed.data.boxes : undefined;
 }
-export const Hired = z.object({ boxes: z.array(z.string()) });
 
-export const Box = z.object({
+export const encodeDeleteRequest = (machines: readonly string[]): object => ({ boxes: machines });
+
+const ListedMachineMessage = z.object({
   name_id: z.string(),
   addr: z.string(),
   build: z.string(),
@@ -34,5 +105,41 @@
   status: z.string(),
   age_s: z.number(),
 });
-export type Box = z.infer<typeof Box>;
-export const BoxPage = z.object({ boxes: z.array(Box), has_next: z.boolean() });
+const MachinePageMessage = z.object({
+  boxes: z.array(ListedMachineMessage),
+  has_next: z.boolean(),
+});
+
+/** A machine in the cloud's list, which lags behind. */
+export interface ListedMachine {
+  readonly id: string;
+  readonly address: string;
+  readonly machineType: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  /** `starting`, `running` or `failed` */
+  readonly status: string;
+  /** Seconds since the request that rented it. */
+  readonly ageSeconds: number;
+}
+
+export interface MachinePage {
+  readonly machines: readonly ListedMachine[];
+  readonly hasNext: boolean;
+}
+
+/** One page of the cloud's list; undefined if the message is none. */
+export function decodeMachinePage(value: unknown): MachinePage | undefined {
+  const parsed = MachinePageMessage.safeParse(value);
+  if (!parsed.success) return undefined;
+  const machines = parsed.data.boxes.map((message) => ({
+    id: message.name_id,
+    address: message.addr,
+    machineType: message.build,
+    zone: message.hall,
+    spot: message.loaners,
+    status: message.status,
+    ageSeconds: message.age_s,
+  }));
+  return { machines, hasNext: parsed.data.has_next };
+}
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -1,28 +1,43 @@
+/** Messages between users and controllers: submissions, job states and cancellations. */
 import * as z from 'zod';
 import { decode, isMap, MAX_BODY } from './codec.js';
 
-/** User-facing messages: submissions, their states and cancellations. */
 export const JOB_ID = /^run-\d{6,20}$/;
 export const MAX_TASKS = 100_000;
 
-const name = z.string().min(1).max(120);
-const amount = z.number().finite().nonnegative();
-
-export const Urgency = z.enum(['prod', 'high', 'normal', 'low']);
-export type Urgency = z.infer<typeof Urgency>;
+/** The field that names a job's team, in every message of users and in final records. */
+export const TEAM_FIELD = 'desk';
+/** The field of a submission that holds the number of its tasks. */
+export const TASK_COUNT_FIELD = 'entries';
 
 /**
- * `sweep`: independent tasks. The other two are not on the protocol's page but among the words of the
- * workers: `ensemble` runs whole or not at all, `daemon` until it is cancelled.
+ * How the tasks of a job relate to each other. Only `array` and `gang` have a meaning to controllers;
+ * `service` is a word of the workers' protocol and is treated as an array.
  */
-export const Shape = z.enum(['sweep', 'ensemble', 'daemon']);
+export const JobKind = {
+  /** Independent tasks, each of which runs to completion. */
+  array: 'sweep',
+  /** Gang scheduling: all tasks run at the same time or none does. */
+  gang: 'ensemble',
+  /** Runs until it is cancelled. */
+  service: 'daemon',
+} as const;
+export type JobKind = (typeof JobKind)[keyof typeof JobKind];
+
+/** Scheduling priorities, highest first. */
+export const PRIORITIES = ['prod', 'high', 'normal', 'low'] as const;
+export type Priority = (typeof PRIORITIES)[number];
+
+const name = z.string().min(1).max(120);
+const amount = z.number().finite().nonnegative();
 
-export const JobSpec = z.object({
+/** A submission as it is sent. Its fields keep their order: compact records depend on it. */
+export const SubmissionMessage = z.object({
   name_id: z.string().regex(JOB_ID),
   docket: name,
   desk: name,
-  shape: Shape,
-  urgency: Urgency,
+  shape: z.enum(JobKind),
+  urgency: z.enum(PRIORITIES),
   entries: z.number().int().min(1).max(MAX_TASKS),
   vcpus: amount.positive(),
   gpus: amount,
@@ -43,19 +58,144 @@
   stamp_s: amount,
   due_s: amount.nullish().transform((v) => v ?? null),
 });
-export type JobSpec = z.infer<typeof JobSpec>;
+export type SubmissionMessage = z.infer<typeof SubmissionMessage>;
 
-export type JobStatus = 'pending' | 'running' | 'done' | 'aborted';
+/** What a user submits: what runs, what each task takes, and where it may run. */
+export interface JobSpec {
+  readonly id: string;
+  /** The class of jobs for which service-level objectives are set. */
+  readonly jobClass: string;
+  readonly team: string;
+  readonly kind: JobKind;
+  readonly priority: Priority;
+  readonly taskCount: number;
+  /** Processors, GPUs and memory (in GB) that each task takes. */
+  readonly cpus: number;
+  readonly gpus: number;
+  readonly memoryGb: number;
+  /** The image that a machine must have before a task can start, and its size in GB. */
+  readonly image: string;
+  readonly imageSizeGb: number;
+  /** The allowed machine types; null: any. */
+  readonly machineTypes: readonly string[] | null;
+  /** The only allowed zone; null: any. */
+  readonly zone: string | null;
+  /** All tasks must be in the same zone. */
+  readonly singleZone: boolean;
+  /** At most half of the tasks, rounded up, may be in one zone. */
+  readonly spreadZones: boolean;
+  /** Whether spot machines may be used. */
+  readonly allowSpot: boolean;
+  /** The owner's estimate of a task's run time, in seconds. */
+  readonly expectedRuntimeSeconds: number;
+  /** Seconds of progress between checkpoints; 0: the task never saves. */
+  readonly checkpointIntervalSeconds: number;
+  /** How long a task takes to save when it is stopped, in seconds. */
+  readonly checkpointSeconds: number;
+  /** When the job should be complete, in seconds from its submission; null: no deadline. */
+  readonly deadlineSeconds: number | null;
+}
+
+/** The job that a valid submission describes. */
+export const decodeJobSpec = (message: SubmissionMessage): JobSpec => ({
+  id: message.name_id,
+  jobClass: message.docket,
+  team: message.desk,
+  kind: message.shape,
+  priority: message.urgency,
+  taskCount: message.entries,
+  cpus: message.vcpus,
+  gpus: message.gpus,
+  memoryGb: message.ram_gb,
+  image: message.bundle,
+  imageSizeGb: message.size_gb,
+  machineTypes: message.builds,
+  zone: message.hall,
+  singleZone: message.together,
+  spreadZones: message.apart,
+  allowSpot: message.loaners,
+  expectedRuntimeSeconds: message.expected_s,
+  checkpointIntervalSeconds: message.stamp_every_s,
+  checkpointSeconds: message.stamp_s,
+  deadlineSeconds: message.due_s,
+});
 
+/** The submission that describes a job. */
+export const encodeJobSpec = (spec: JobSpec): SubmissionMessage => ({
+  name_id: spec.id,
+  docket: spec.jobClass,
+  desk: spec.team,
+  shape: spec.kind,
+  urgency: spec.priority,
+  entries: spec.taskCount,
+  vcpus: spec.cpus,
+  gpus: spec.gpus,
+  ram_gb: spec.memoryGb,
+  bundle: spec.image,
+  size_gb: spec.imageSizeGb,
+  builds: spec.machineTypes === null ? null : [...spec.machineTypes],
+  hall: spec.zone,
+  together: spec.singleZone,
+  apart: spec.spreadZones,
+  loaners: spec.allowSpot,
+  expected_s: spec.expectedRuntimeSeconds,
+  stamp_every_s: spec.checkpointIntervalSeconds,
+  stamp_s: spec.checkpointSeconds,
+  due_s: spec.deadlineSeconds,
+});
+
+/** The fields of a submission beside its id, which comes first. */
+const VALUE_FIELDS = Object.keys(SubmissionMessage.shape).slice(1);
+
+/** A job's description without its id, as a list of values in the order of the message's fields. */
+export const encodeJobSpecValues = (spec: JobSpec): unknown[] =>
+  Object.values(encodeJobSpec(spec)).slice(1);
+
+/** Throws a `ZodError` on values that describe no job. */
+export function decodeJobSpecValues(id: string, values: readonly unknown[]): JobSpec {
+  const fields = Object.fromEntries(VALUE_FIELDS.map((field, i) => [field, values[i]]));
+  return decodeJobSpec(SubmissionMessage.parse({ ...fields, name_id: id }));
+}
+
+/** The states of a job that users are told of. */
+export const JobStatus = {
+  /** No task is running. */
+  pending: 'pending',
+  running: 'running',
+  done: 'done',
+  cancelled: 'aborted',
+} as const;
+export type JobStatus = (typeof JobStatus)[keyof typeof JobStatus];
+
+/** What a user is told of a job. Task counts and team are left out where only the state is known. */
 export interface JobState {
-  readonly name_id: string;
+  readonly id: string;
   readonly status: JobStatus;
-  readonly done: number;
-  readonly running: number;
+  readonly done?: number;
+  readonly running?: number;
+  readonly team?: string;
+  /** Why the job is over, as a sentence. */
+  readonly reason?: string;
 }
 
+export const encodeJobState = ({
+  id,
+  status,
+  done,
+  running,
+  team,
+  reason,
+}: JobState): Record<string, unknown> => ({
+  name_id: id,
+  status,
+  ...(done === undefined ? {} : { done }),
+  ...(running === undefined ? {} : { running }),
+  ...(team === undefined ? {} : { [TEAM_FIELD]: team }),
+  ...(reason === undefined ? {} : { cause: reason }),
+});
+
 export type Parsed<T> =
-  { readonly ok: true; readonly value: T } | { readonly ok: false; readonly why: string };
+  { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
 /** The id alone, so that a repeat of a known job is answered even when its body would be refused. */
 export function submissionId(body: Uint8Array): string | undefined {
@@ -70,17 +210,18 @@
   }
 }
 
+/** Reads a submission's body; `reason` names the field that is at fault. */
 export function parseSubmission(body: Uint8Array): Parsed<JobSpec> {
-  if (body.length > MAX_BODY) return { ok: false, why: 'body over 64 KiB' };
+  if (body.length > MAX_BODY) return { ok: false, reason: 'body over 64 KiB' };
   let value: unknown;
   try {
     value = decode(body);
   } catch {
-    return { ok: false, why: 'body is not CBOR' };
+    return { ok: false, reason: 'body is not CBOR' };
   }
-  if (!isMap(value)) return { ok: false, why: 'body is not a map' };
-  const parsed = JobSpec.safeParse(value);
-  if (parsed.success) return { ok: true, value: parsed.data };
+  if (!isMap(value)) return { ok: false, reason: 'body is not a map' };
+  const parsed = SubmissionMessage.safeParse(value);
+  if (parsed.success) return { ok: true, value: decodeJobSpec(parsed.data) };
   const issue = parsed.error.issues[0];
-  return { ok: false, why: `${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'invalid'}` };
+  return { ok: false, reason: `${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'invalid'}` };
 }
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,18 +1,50 @@
+/** Messages between workers and controllers: heartbeats with status, and commands. */
 import * as z from 'zod';
 
-/** Messages between workers and controllers. */
+/** What a worker says of a task's progress. Words beyond these are passed on as they are. */
+export const TaskState = {
+  /** Waits for its image. */
+  fetching: 'fetching',
+  /** A gang's task that waits for the other tasks of its attempt. */
+  gathering: 'gathering',
+  running: 'running',
+  /** Was told to stop and writes a checkpoint. */
+  saving: 'flushing',
+  /** Ended; its exit reason says how. */
+  exited: 'exited',
+} as const;
+
+/** Why a task ended. Words beyond these are passed on as they are. */
+export const ExitReason = {
+  /** Completed. */
+  done: 'done',
+  /** Stopped by command. */
+  stopped: 'halted',
+  /** Failed, mostly because of its machine. */
+  failed: 'error',
+  /** Start refused: not enough free resources on the machine. */
+  insufficientResources: 'full',
+  /** Start refused: the task is on the machine with another attempt. */
+  attemptConflict: 'in_use',
+  /** Start refused: the worker can't find the job or the task. */
+  unknownTask: 'no_such',
+  /** Another task of the gang is gone. */
+  gangMemberLost: 'peers',
+  /** The gang was not complete in time. */
+  gangIncomplete: 'incomplete',
+} as const;
+
 const count = z.number().int().nonnegative();
 
-export const Entry = z.object({
+const TaskStatusMessage = z.object({
   entry: z.string(),
   try: count,
   status: z.string(),
   cause: z.string().nullish(),
   kept: z.boolean().nullish(),
 });
-export type Entry = z.infer<typeof Entry>;
 
-export const Beat = z.object({
+const HeartbeatMessage = z.object({
   box: z.string().min(1),
   addr: z.string(),
   build: z.string(),
@@ -22,30 +54,161 @@
   tally: count,
   baton: count,
   recall_s: z.number().nullish(),
-  entries: z.array(Entry),
+  entries: z.array(TaskStatusMessage),
+});
+type HeartbeatMessage = z.infer<typeof HeartbeatMessage>;
+
+/** One task on a machine. */
+export interface TaskStatus {
+  /** `<job>/<index>` */
+  readonly task: string;
+  readonly attempt: number;
+  /** One of `TaskState`. */
+  readonly state: string;
+  /** One of `ExitReason`, of an exited task. */
+  readonly exitReason?: string | null | undefined;
+  /** Whether the progress of a stopped task was saved. */
+  readonly checkpointSaved?: boolean | null | undefined;
+}
+
+/** A worker's heartbeat with the status of its machine. */
+export interface Heartbeat {
+  readonly machine: string;
+  readonly address: string;
+  readonly machineType: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  /** The worker's incarnation: rises each time its lease expires. */
+  readonly session: number;
+  /** Rises with each message of a session. */
+  readonly sequence: number;
+  /** The highest fencing token that the worker has seen. */
+  readonly fencingToken: number;
+  /** Seconds until the cloud reclaims the machine, if it has said so. */
+  readonly reclaimNoticeSeconds?: number | null | undefined;
+  readonly tasks: readonly TaskStatus[];
+}
+
+/** The heartbeat that a message holds; undefined if it holds none. */
+export function decodeHeartbeat(message: unknown): Heartbeat | undefined {
+  const parsed = HeartbeatMessage.safeParse(message);
+  return parsed.success ? toHeartbeat(parsed.data) : undefined;
+}
+
+const toHeartbeat = (message: HeartbeatMessage): Heartbeat => ({
+  machine: message.box,
+  address: message.addr,
+  machineType: message.build,
+  zone: message.hall,
+  spot: message.loaners,
+  session: message.shift,
+  sequence: message.tally,
+  fencingToken: message.baton,
+  reclaimNoticeSeconds: message.recall_s ?? null,
+  tasks: message.entries.map(toTaskStatus),
 });
-export type Beat = z.infer<typeof Beat>;
 
-export type Order =
-  | { readonly verb: 'launch'; readonly entry: string; readonly try: number }
-  | {
-      readonly verb: 'kill';
-      readonly entry: string;
-      readonly try: number;
-      readonly wind_down_s: number;
-    }
-  | { readonly verb: 'clear'; readonly entry: string; readonly try: number };
+const toTaskStatus = (message: z.infer<typeof TaskStatusMessage>): TaskStatus => ({
+  task: message.entry,
+  attempt: message.try,
+  state: message.status,
+  exitReason: message.cause ?? null,
+  checkpointSaved: message.kept ?? null,
+});
 
-export interface BeatReply {
-  readonly baton: number;
-  readonly orders: readonly Order[];
+/** What a worker is told to do with one attempt of a task. */
+export interface TaskCommand {
+  readonly task: string;
+  readonly attempt: number;
 }
+/** Start a task, or forget one that has exited. */
+export interface PlainCommand extends TaskCommand {
+  readonly type: 'launch' | 'clear';
+}
+/** Stop a task. It saves first if it can within the grace period. */
+export interface KillCommand extends TaskCommand {
+  readonly type: 'kill';
+  readonly gracePeriodSeconds: number;
+}
+export type Command = PlainCommand | KillCommand;
 
-export interface Commands extends BeatReply {
-  readonly shift: number;
+/** The answer to a heartbeat. */
+export interface HeartbeatReply {
+  readonly fencingToken: number;
+  readonly commands: readonly Command[];
 }
 
-/** A 421 sends the worker to the node that leads. */
-export interface Redirect {
-  readonly clerk?: string;
+/** Commands sent straight to a worker. They are refused unless token and session match. */
+export interface CommandRequest extends HeartbeatReply {
+  readonly session: number;
 }
+
+const taskFields = z.object({ entry: z.string(), try: count });
+const CommandMessage = z.discriminatedUnion('verb', [
+  taskFields.extend({ verb: z.literal('launch') }),
+  taskFields.extend({ verb: z.literal('clear') }),
+  taskFields.extend({ verb: z.literal('kill'), wind_down_s: z.number() }),
+]);
+type CommandMessage = z.infer<typeof CommandMessage>;
+const HeartbeatReplyMessage = z.object({ baton: count, orders: z.array(CommandMessage) });
+
+/** A command as it is sent. */
+export function encodeCommand(command: Command): CommandMessage {
+  const { task, attempt } = command;
+  return command.type === 'kill'
+    ? { verb: command.type, entry: task, try: attempt, wind_down_s: command.gracePeriodSeconds }
+    : { verb: command.type, entry: task, try: attempt };
+}
+
+/** Throws a `ZodError` on what is no command. */
+export function decodeCommand(value: unknown): Command {
+  const message = CommandMessage.parse(value);
+  const command = { task: message.entry, attempt: message.try };
+  return message.verb === 'kill'
+    ? { type: message.verb, ...command, gracePeriodSeconds: message.wind_down_s }
+    : { type: message.verb, ...command };
+}
+
+export const encodeHeartbeatReply = ({ fencingToken, commands }: HeartbeatReply): object => ({
+  baton: fencingToken,
+  orders: commands.map(encodeCommand),
+});
+
+/** For clients. Throws a `ZodError` on what is no answer to a heartbeat. */
+export function decodeHeartbeatReply(value: unknown): HeartbeatReply {
+  const { baton, orders } = HeartbeatReplyMessage.parse(value);
+  return { fencingToken: baton, commands: orders.map(decodeCommand) };
+}
+
+export const encodeCommandRequest = ({
+  fencingToken,
+  session,
+  commands,
+}: CommandRequest): object => ({
+  baton: fencingToken,
+  shift: session,
+  orders: commands.map(encodeCommand),
+});
+
+/** The body of a 421, which sends the worker to another node. */
+export const encodeRedirect = (node: string): object => ({ clerk: node });
+
+/** For clients: a heartbeat as a worker sends it. */
+export const encodeHeartbeat = (heartbeat: Heartbeat): HeartbeatMessage => ({
+  box: heartbeat.machine,
+  addr: heartbeat.address,
+  build: heartbeat.machineType,
+  hall: heartbeat.zone,
+  loaners: heartbeat.spot,
+  shift: heartbeat.session,
+  tally: heartbeat.sequence,
+  baton: heartbeat.fencingToken,
+  recall_s: heartbeat.reclaimNoticeSeconds ?? null,
+  entries: heartbeat.tasks.map((status) => ({
+    entry: status.task,
+    try: status.attempt,
+    status: status.state,
+    cause: status.exitReason ?? null,
+    kept: status.checkpointSaved ?? null,
+  })),
+});
--- a/test/sim/fleet.test.ts
+++ b/test/sim/fleet.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Endpoint, ms } from '../../src/units/index.js';
+import { encodeJobSpec } from '../../src/wire/index.js';
 import { ProcessClock } from '../standin/clock.js';
 import { World } from '../standin/world.js';
 
@@ -15,7 +16,7 @@
 async function working(seed: number): Promise<{ world: World; fleet: string[] }> {
   const world = sure(seed);
   await world.run(3000);
-  world.users.submit({ entries: 8, vcpus: 3 }, 200_000);
+  world.users.submit({ taskCount: 8, cpus: 3 }, 200_000);
   await world.run(70_000);
   const fleet = [...world.workers.keys()];
   assert.ok(fleet.length >= 2);
@@ -72,12 +73,12 @@
     const world = sure(seed);
     await world.run(3000);
     // Its machine holds the image, has room, and is not given back meanwhile.
-    const other = world.users.submit({ entries: 1 }, 300_000);
+    const other = world.users.submit({ taskCount: 1 }, 300_000);
     await world.run(25_000);
     assert.equal(world.workers.size, 1);
     const before = world.starts;
     world.network.hold('/commands');
-    world.users.submit({ entries: 1 }, 200_000, abortAfter);
+    world.users.submit({ taskCount: 1 }, 200_000, abortAfter);
     await world.run(abortAfter + 60_000);
     const started = world.starts - before;
     assert.deepEqual(
@@ -95,7 +96,7 @@
 void test('a job of very many tasks keeps its record within a value of the store', async () => {
   const world = sure(31);
   await world.run(3000);
-  world.users.submit({ entries: 100_000, vcpus: 0.1, ram_gb: 0.1 }, 2000, 60_000);
+  world.users.submit({ taskCount: 100_000, cpus: 0.1, memoryGb: 0.1 }, 2000, 60_000);
   await world.run(100_000);
   assert.ok(world.starts > 500, `${world.starts} tasks started`);
   assert.ok(Math.max(...world.state.sizes) <= 8192);
@@ -106,10 +107,10 @@
 void test('a finish stays with its worker until it is in the store', async () => {
   const world = sure(41);
   await world.run(3000);
-  const other = world.users.submit({ entries: 1 }, 300_000);
+  const other = world.users.submit({ taskCount: 1 }, 300_000);
   await world.run(25_000);
   const before = world.starts;
-  world.users.submit({ entries: 1 }, 6000);
+  world.users.submit({ taskCount: 1 }, 6000);
   await world.run(5000);
   const leader = world.leaderNode() ?? 0;
   world.state.outage(true);
@@ -132,7 +133,7 @@
   for (const n of [0, 1, 2]) if (n !== leader) world.killNode(n);
   world.deafen(deaf, true);
   const began = world.time.now;
-  for (let i = 0; i < 6; i++) world.users.submit({ entries: 2, vcpus: 1 }, 4000);
+  for (let i = 0; i < 6; i++) world.users.submit({ taskCount: 2, cpus: 1 }, 4000);
   await world.run(75_000);
   assert.deepEqual(
     world.users.unfinished().filter((u) => !u.startsWith('run-000001')),
@@ -172,7 +173,7 @@
   });
   await world.run(200);
   const before = world.starts;
-  world.users.submit({ entries: 3, vcpus: 1, loaners: false }, 4000);
+  world.users.submit({ taskCount: 3, cpus: 1, allowSpot: false }, 4000);
   await world.run(18_000);
   assert.equal(world.starts - before, 3);
   assert.deepEqual(world.broken, []);
@@ -197,7 +198,7 @@
   for (const held of [false, true]) {
     const world = sure(61);
     await world.run(3000);
-    const id = world.users.submit({ entries: 1 }, 300_000);
+    const id = world.users.submit({ taskCount: 1 }, 300_000);
     await world.run(25_000);
     const endpoint = Endpoint(`10.0.0.${(world.leaderNode() ?? 0) + 1}:8080`);
     const client = world.network.client('user', '.region', new ProcessClock(world.time, 0, 0));
@@ -208,7 +209,9 @@
     void ask(`/v1/jobs/${id}/abort`);
     // Under way, the store is asked what it holds, and the write is not repeated at once.
     await world.run(held ? 2060 : 400);
-    const again = ask('/v1/jobs', world.jobs.get(id)?.spec);
+    const known = world.jobs.get(id);
+    assert.ok(known);
+    const again = ask('/v1/jobs', encodeJobSpec(known.spec));
     await world.run(4000);
     world.network.losesAnswer = undefined;
     world.network.hold(undefined);
@@ -225,7 +228,7 @@
   world.provide(1050);
   // All have been kept busy for longer than the shortest time a machine is paid for.
   for (let i = 0; i < 20; i++)
-    world.users.submit({ entries: 100, vcpus: 4, expected_s: 60 }, 60_000);
+    world.users.submit({ taskCount: 100, cpus: 4, expectedRuntimeSeconds: 60 }, 60_000);
   await world.run(24_000);
   const fleet = [...world.workers.keys()];
   assert.ok(fleet.length >= 1050);
@@ -248,7 +251,7 @@
   const world = sure(81);
   world.state.keeps = 10;
   await world.run(3000);
-  for (let i = 0; i < 10; i++) world.users.submit({ entries: 2, vcpus: 1 }, 3000);
+  for (let i = 0; i < 10; i++) world.users.submit({ taskCount: 2, cpus: 1 }, 3000);
   await world.run(30_000);
   const before = world.state.watched;
   await world.run(30_000);
--- a/test/sim/gangs.test.ts
+++ b/test/sim/gangs.test.ts
@@ -6,12 +6,12 @@
 import { World } from '../standin/world.js';
 
 const GANG: Partial<JobSpec> = {
-  shape: 'ensemble',
-  entries: 4,
-  vcpus: 3,
-  together: true,
-  stamp_every_s: 5,
-  stamp_s: 2,
+  kind: 'ensemble',
+  taskCount: 4,
+  cpus: 3,
+  singleZone: true,
+  checkpointIntervalSeconds: 5,
+  checkpointSeconds: 2,
 };
 
 function gangOf(world: World, id: string): GangRun {
@@ -39,12 +39,12 @@
   const world = new World({ seed: 11 });
   await world.run(2500);
   const ids = [
-    world.users.submit({ ...GANG, entries: 2 }, 5000),
-    world.users.submit({ ...GANG, entries: 5, vcpus: 2, loaners: false }, 8000),
-    world.users.submit({ ...GANG, together: false, entries: 3 }, 8000),
-    world.users.submit({ ...GANG, together: false, apart: true, entries: 4 }, 8000),
+    world.users.submit({ ...GANG, taskCount: 2 }, 5000),
+    world.users.submit({ ...GANG, taskCount: 5, cpus: 2, allowSpot: false }, 8000),
+    world.users.submit({ ...GANG, singleZone: false, taskCount: 3 }, 8000),
+    world.users.submit({ ...GANG, singleZone: false, spreadZones: true, taskCount: 4 }, 8000),
   ];
-  world.users.submit({ entries: 6 }, 6000);
+  world.users.submit({ taskCount: 6 }, 6000);
   await settle(world, 'quiet');
   for (const id of ids) assert.equal(gangOf(world, id).starts, 1, id);
 });
@@ -65,7 +65,7 @@
 });
 
 void test('a gang that loses a machine before it runs does not wait for its time to gather', async () => {
-  const { world, id, gang } = await worldWithGang(31, { size_gb: 6 }, 8000);
+  const { world, id, gang } = await worldWithGang(31, { imageSizeGb: 6 }, 8000);
   for (let i = 0; i < 100 && world.placedOn(id).length < 2; i++) await world.run(200);
   await world.run(3000);
   assert.equal(gang.starts, 0);
@@ -89,7 +89,7 @@
 
 void test('a gang that was cancelled is gone, whether it gathers, runs or saves', async () => {
   for (const seed of [51, 52, 53]) {
-    const { world, id, gang } = await worldWithGang(seed, { size_gb: 3 }, 200_000);
+    const { world, id, gang } = await worldWithGang(seed, { imageSizeGb: 3 }, 200_000);
     if (seed !== 51) await untilRunning(world, gang);
     else for (let i = 0; i < 200 && world.placedOn(id).length === 0; i++) await world.run(200);
     if (seed === 53) {
@@ -114,9 +114,9 @@
       world.killNode(leader);
       world.time.after(step % 3 === 0 ? 200 : 5000, () => world.startNode(leader));
     };
-    world.users.submit({ ...GANG, entries: 3 }, 6000);
+    world.users.submit({ ...GANG, taskCount: 3 }, 6000);
     world.users.submit(
-      { ...GANG, entries: 2, loaners: false },
+      { ...GANG, taskCount: 2, allowSpot: false },
       9000,
       step % 2 ? 15_000 : undefined,
     );
@@ -131,7 +131,7 @@
     await world.run(2500);
     world.provide(30);
     for (let i = 0; i < 4; i++) {
-      world.users.submit({ entries: 70, vcpus: 2 }, 20_000, i === 0 ? 32_000 : undefined);
+      world.users.submit({ taskCount: 70, cpus: 2 }, 20_000, i === 0 ? 32_000 : undefined);
       submitGang(world);
     }
     await world.run(18_000 + seed * 50);
@@ -140,7 +140,7 @@
     const leader = world.leaderNode() ?? 0;
     world.killNode(leader);
     world.time.after(3000, () => world.startNode(leader));
-    for (let i = 0; i < 3; i++) world.users.submit({ entries: 60, vcpus: 2 }, 12_000);
+    for (let i = 0; i < 3; i++) world.users.submit({ taskCount: 60, cpus: 2 }, 12_000);
     submitGang(world);
     await settle(world, `seed ${seed}`);
     assert.ok(world.state.tooLarge <= 8, `${world.state.tooLarge} refused as too large`);
--- a/test/sim/meetings.test.ts
+++ b/test/sim/meetings.test.ts
@@ -18,7 +18,7 @@
 async function longJobs(world: World, count: number, runMs = 200_000): Promise<string[]> {
   const ids: string[] = [];
   await world.run(2500);
-  for (let i = 0; i < count; i++) ids.push(world.users.submit({ entries: 3, vcpus: 2 }, runMs));
+  for (let i = 0; i < count; i++) ids.push(world.users.submit({ taskCount: 3, cpus: 2 }, runMs));
   await world.run(30_000);
   assert.ok(world.starts >= count * 3, `${world.starts} started`);
   return ids;
@@ -83,7 +83,7 @@
       await world.run(2500);
       for (let i = 0; i < 10; i++) {
         world.users.submit(
-          { entries: 2 + (i % 2) },
+          { taskCount: 2 + (i % 2) },
           4000 + 5000 * i,
           i % 3 === 0 ? 9000 * i : undefined,
         );
@@ -120,7 +120,7 @@
     play: async (world) => {
       await world.run(2500);
       world.slowStore(900);
-      for (let i = 0; i < 8; i++) world.users.submit({ entries: 2 }, 6000, 3000 * i);
+      for (let i = 0; i < 8; i++) world.users.submit({ taskCount: 2 }, 6000, 3000 * i);
       await world.run(20_000);
       endLeader(world, 400);
       await world.run(20_000);
@@ -167,7 +167,7 @@
       await world.run(2500);
       world.lateWrites(0.35);
       for (let i = 0; i < 10; i++) {
-        world.users.submit({ entries: 2 }, 5000, i % 2 === 0 ? 2500 * i : undefined);
+        world.users.submit({ taskCount: 2 }, 5000, i % 2 === 0 ? 2500 * i : undefined);
         if (i % 4 === seed % 4) endLeader(world, 300);
         await world.run(3500);
       }
@@ -181,7 +181,7 @@
       await world.run(2500);
       world.cancelAtEnd = 0.8;
       for (let i = 0; i < 12; i++) {
-        world.users.submit({ entries: 1 + (i % 2) }, 3000);
+        world.users.submit({ taskCount: 1 + (i % 2) }, 3000);
         world.users.oddRequests();
         await world.run(2500);
       }
@@ -195,7 +195,7 @@
       await world.run(2500);
       world.copies(0.4);
       for (let i = 0; i < 10; i++) {
-        world.users.submit({ entries: 2 }, 9000, i % 3 === 0 ? 2500 * i : undefined);
+        world.users.submit({ taskCount: 2 }, 9000, i % 3 === 0 ? 2500 * i : undefined);
         if (i % 5 === seed % 5) endLeader(world, 800);
         const ids = [...world.workers.keys()];
         if (i === 6) for (const id of ids.slice(0, 2)) world.restartWorker(id);
@@ -239,7 +239,7 @@
     cpusMax: 24,
     play: async (world, seed) => {
       await longJobs(world, 4, 45_000);
-      for (let i = 0; i < 4; i++) world.users.submit({ entries: 3, vcpus: 2 }, 9000);
+      for (let i = 0; i < 4; i++) world.users.submit({ taskCount: 3, cpus: 2 }, 9000);
       const some = [...world.workers.keys()].slice(0, 2);
       for (const id of some) {
         if (seed % 2 === 0) world.mute(id, true);
@@ -258,11 +258,11 @@
     seeds: [1, 2, 3],
     play: async (world, seed) => {
       await world.run(2500);
-      world.users.submit({ entries: 2 }, 90_000);
+      world.users.submit({ taskCount: 2 }, 90_000);
       await world.run(18_000);
       for (let i = 0; i < 5; i++) {
         world.network.hold('/commands');
-        world.users.submit({ entries: 2 }, 8000, i % 2 === 0 ? 500 + 700 * seed : undefined);
+        world.users.submit({ taskCount: 2 }, 8000, i % 2 === 0 ? 500 + 700 * seed : undefined);
         const ids = [...world.workers.keys()];
         const hung = ids[i % ids.length] ?? '';
         world.hangWorker(hung, true);
@@ -278,7 +278,7 @@
     seeds: [1, 2, 3],
     play: async (world, seed) => {
       await world.run(2500);
-      for (let i = 0; i < 6; i++) world.users.submit({ entries: 2 }, 5000 * (i + 1));
+      for (let i = 0; i < 6; i++) world.users.submit({ taskCount: 2 }, 5000 * (i + 1));
       for (let i = 0; i < 6; i++) {
         endLeader(world, 400);
         await world.run(5000);
@@ -295,11 +295,11 @@
     play: async (world, seed) => {
       await world.run(2500);
       for (let i = 0; i < 3; i++) {
-        world.users.submit({ entries: 3, hall: 'b' }, 15_000);
-        world.users.submit({ entries: 4, together: true }, 15_000);
-        world.users.submit({ entries: 4, apart: true }, 15_000);
-        world.users.submit({ entries: 3, apart: true, hall: 'c' }, 5000);
-        world.users.submit({ entries: 3, apart: true, together: true }, 5000);
+        world.users.submit({ taskCount: 3, zone: 'b' }, 15_000);
+        world.users.submit({ taskCount: 4, singleZone: true }, 15_000);
+        world.users.submit({ taskCount: 4, spreadZones: true }, 15_000);
+        world.users.submit({ taskCount: 3, spreadZones: true, zone: 'c' }, 5000);
+        world.users.submit({ taskCount: 3, spreadZones: true, singleZone: true }, 5000);
       }
       await world.run(25_000);
       for (const { machine } of [...world.workers.values()]) {
@@ -319,8 +319,8 @@
       world.network.slow = () => 60 * world.random();
       for (let i = 0; i < 24; i++) {
         const urgent = i % 2 === 0;
-        const size = urgent ? { vcpus: 1 } : { vcpus: [2, 6][i % 4 === 1 ? 0 : 1] ?? 2 };
-        world.users.submit({ ...size, entries: 3, urgency: urgent ? 'high' : 'normal' }, 6000);
+        const size = urgent ? { cpus: 1 } : { cpus: [2, 6][i % 4 === 1 ? 0 : 1] ?? 2 };
+        world.users.submit({ ...size, taskCount: 3, priority: urgent ? 'high' : 'normal' }, 6000);
         await world.run(1500);
       }
       await world.run(30_000);
--- a/test/sim/rules.test.ts
+++ b/test/sim/rules.test.ts
@@ -17,11 +17,11 @@
 void test('a quiet day: every job runs to its end', async () => {
   const world = new World({ seed: 1 });
   await world.run(3000);
-  for (let i = 0; i < 6; i++) world.users.submit({ entries: 1 + i, vcpus: 1 + (i % 3) }, 4000);
-  world.users.submit({ entries: 3, hall: 'b', loaners: false }, 3000);
-  world.users.submit({ entries: 5, apart: true }, 3000);
-  world.users.submit({ entries: 4, together: true }, 3000);
-  world.users.submit({ entries: 6, vcpus: 8 }, 20_000, 15_000);
+  for (let i = 0; i < 6; i++) world.users.submit({ taskCount: 1 + i, cpus: 1 + (i % 3) }, 4000);
+  world.users.submit({ taskCount: 3, zone: 'b', allowSpot: false }, 3000);
+  world.users.submit({ taskCount: 5, spreadZones: true }, 3000);
+  world.users.submit({ taskCount: 4, singleZone: true }, 3000);
+  world.users.submit({ taskCount: 6, cpus: 8 }, 20_000, 15_000);
   world.users.probeUnknown();
   await settle(world, 'quiet');
   assert.ok(world.starts >= 30);
@@ -36,8 +36,8 @@
       world.killNode(leader);
       world.time.after(step % 3 === 0 ? 200 : 5000, () => world.startNode(leader));
     });
-    world.users.submit({ entries: 3 }, 3000);
-    world.users.submit({ entries: 2, vcpus: 4 }, 6000, step % 2 === 0 ? 14_000 : undefined);
+    world.users.submit({ taskCount: 3 }, 3000);
+    world.users.submit({ taskCount: 2, cpus: 4 }, 6000, step % 2 === 0 ? 14_000 : undefined);
     await world.run(30_000);
     await settle(world, `killed at step ${step}`);
   }
@@ -47,7 +47,7 @@
   for (const seed of [1, 2, 3, 4]) {
     const world = new World({ seed: 200 + seed });
     await world.run(2000);
-    for (let i = 0; i < 4; i++) world.users.submit({ entries: 4 }, 90_000, 26_000 + i * 1500);
+    for (let i = 0; i < 4; i++) world.users.submit({ taskCount: 4 }, 90_000, 26_000 + i * 1500);
     await world.run(25_000);
     const leader = world.leaderNode() ?? 0;
     if (seed % 2 === 0) world.state.outage(true);
@@ -65,7 +65,7 @@
     const world = new World({ seed: 300 + seed });
     await world.run(2000);
     for (let i = 0; i < 5; i++)
-      world.users.submit({ entries: 4 }, 12_000, i === 0 ? 22_000 : undefined);
+      world.users.submit({ taskCount: 4 }, 12_000, i === 0 ? 22_000 : undefined);
     await world.run(16_000);
     const hung = [...world.workers.keys()][seed % Math.max(1, world.workers.size)] ?? '';
     world.hangWorker(hung, true);
@@ -86,8 +86,8 @@
       const still = [200, 3000, 5000, 13_000][step % 4] ?? 0;
       world.time.after(still, () => world.freezeNode(leader, false));
     });
-    world.users.submit({ entries: 3 }, 3000);
-    world.users.submit({ entries: 2, vcpus: 4 }, 6000, step % 2 === 0 ? 9000 : undefined);
+    world.users.submit({ taskCount: 3 }, 3000);
+    world.users.submit({ taskCount: 2, cpus: 4 }, 6000, step % 2 === 0 ? 9000 : undefined);
     await world.run(30_000);
     await settle(world, `still at step ${step}`);
   }
--- a/test/standin/cloud.ts
+++ b/test/standin/cloud.ts
@@ -1,5 +1,5 @@
 import type { Random } from '../../src/units/index.js';
-import type { Flavor } from '../../src/wire/index.js';
+import { encodeMachineTypes, type MachineType } from '../../src/wire/index.js';
 import type { Answered } from './network.js';
 import type { VirtualTime } from './clock.js';
 
@@ -31,21 +31,21 @@
   constructor(
     private readonly time: Pick<VirtualTime, 'now' | 'after'>,
     private readonly random: Random,
-    private readonly flavors: readonly Flavor[],
+    private readonly flavors: readonly MachineType[],
     private readonly lagMs: number,
     private readonly onBoot: (m: Rented) => void,
     private readonly onGone: (m: Rented) => void,
     private readonly address: (n: number) => string,
   ) {}
 
-  flavor(build: string): Flavor | undefined {
+  flavor(build: string): MachineType | undefined {
     return this.flavors.find((f) => f.name === build);
   }
 
   handle(_method: string, target: string, body: unknown): Answered {
     if (this.out) return { status: 503, body: { error: 'trouble' } };
     const url = new URL(target, 'http://cloud');
-    if (url.pathname === '/flavors') return { status: 200, body: { builds: this.flavors } };
+    if (url.pathname === '/flavors') return { status: 200, body: encodeMachineTypes(this.flavors) };
     if (url.pathname === '/machines/delete') {
       for (const id of (body as { boxes: string[] }).boxes) this.end(id);
       return { status: 200, body: {} };
@@ -79,7 +79,7 @@
       };
       this.machines.set(m.id, m);
       ids.push(m.id);
-      const ready = (this.flavor(h.build)?.ready_s ?? 10) * 1000;
+      const ready = (this.flavor(h.build)?.bootSeconds ?? 10) * 1000;
       // Now and then one never boots.
       if (this.random() < this.neverUp) continue;
       this.time.after(ready * (0.6 + 0.9 * this.random()), () => {
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -6,7 +6,7 @@
 import { NodeHttpClient } from '../../src/net/http.js';
 import { Endpoint, ms, sleep } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
-import type { Flavor, JobSpec } from '../../src/wire/index.js';
+import { encodeJobSpec, type MachineType, type JobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 import { Loopback } from './loopback.js';
 
@@ -28,17 +28,17 @@
 /** How long the controller is away, and how long its machines may take to come back. */
 const AWAY = 5000;
 const MOST_BACK = 30_000;
-const flavor = (name: string, vcpus: number, ram: number, hall: string): Flavor => ({
+const flavor = (name: string, vcpus: number, ram: number, hall: string): MachineType => ({
   name,
-  vcpus,
+  cpus: vcpus,
   gpus: 0,
-  ram_gb: ram,
-  cache_gb: 30,
-  fetch_gb_per_s: 2,
-  rate: vcpus * 0.05,
-  spot_price: vcpus * 0.015,
-  ready_s: 4,
-  halls: [hall],
+  memoryGb: ram,
+  cacheGb: 30,
+  fetchGbPerSecond: 2,
+  onDemandPrice: vcpus * 0.05,
+  spotPrice: vcpus * 0.015,
+  bootSeconds: 4,
+  zones: [hall],
 });
 
 /** Three kinds of jobs, as shares of the processors and how they look. */
@@ -48,19 +48,38 @@
       share: 0.2,
       runMs: 18_000,
       tasks: 20,
-      change: { docket: 'urgent', urgency: 'high', vcpus: 1, ram_gb: 1, expected_s: 18, due_s: 50 },
+      change: {
+        jobClass: 'urgent',
+        priority: 'high',
+        cpus: 1,
+        memoryGb: 1,
+        expectedRuntimeSeconds: 18,
+        deadlineSeconds: 50,
+      },
     },
     {
       share: 0.4,
       runMs: 28_000,
       tasks: 18,
-      change: { docket: 'batch', vcpus: 4, ram_gb: 4, expected_s: 28, due_s: null },
+      change: {
+        jobClass: 'batch',
+        cpus: 4,
+        memoryGb: 4,
+        expectedRuntimeSeconds: 28,
+        deadlineSeconds: null,
+      },
     },
     {
       share: 0.4,
       runMs: 45_000,
       tasks: 15,
-      change: { docket: 'sweep', vcpus: 16, ram_gb: 22, expected_s: 45, due_s: 110 },
+      change: {
+        jobClass: 'sweep',
+        cpus: 16,
+        memoryGb: 22,
+        expectedRuntimeSeconds: 45,
+        deadlineSeconds: 110,
+      },
     },
   ];
 
@@ -81,9 +100,9 @@
       facts: (entry) => {
         const job = specs.get(entry.split('/')[0] ?? '');
         if (!job) return undefined;
-        const { vcpus, ram_gb, bundle, size_gb } = job.spec;
-        const fetchMs = size_gb * 500;
-        return { vcpus, ramGb: ram_gb, runMs: job.runMs, fetchMs, image: bundle };
+        const { cpus, memoryGb, image, imageSizeGb } = job.spec;
+        const fetchMs = imageSizeGb * 500;
+        return { vcpus: cpus, ramGb: memoryGb, runMs: job.runMs, fetchMs, image };
       },
       started: () => started++,
       left: () => undefined,
@@ -112,10 +131,11 @@
   let n = 0;
   const submit = async (kind: (typeof KINDS)[number]): Promise<void> => {
     const id = `run-${String(++n).padStart(6, '0')}`;
-    const change = { ...kind.change, name_id: id, entries: kind.tasks };
-    const bundle = `${kind.change.docket}-${n % 4}`;
-    const body = spec({ ...change, bundle, size_gb: 1 });
-    specs.set(id, { spec: body, runMs: kind.runMs });
+    const change = { ...kind.change, id, taskCount: kind.tasks };
+    const image = `${kind.change.jobClass}-${n % 4}`;
+    const job = spec({ ...change, image, imageSizeGb: 1 });
+    const body = encodeJobSpec(job);
+    specs.set(id, { spec: job, runMs: kind.runMs });
     const path = '/v1/jobs';
     while (!over) {
       const o = await client.send({ endpoint, method: 'POST', path, body, timeout: ms(5000) });
@@ -131,7 +151,7 @@
   };
   const cpus = options.machines * 12;
   const feeding = KINDS.map(async (kind) => {
-    const perJob = (kind.tasks * (kind.change.vcpus ?? 1) * kind.runMs) / 1000;
+    const perJob = (kind.tasks * (kind.change.cpus ?? 1) * kind.runMs) / 1000;
     const every = (1000 * perJob) / (cpus * kind.share * 0.8);
     while (!over) {
       void submit(kind);
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -2,7 +2,7 @@
 import { NodeHttpClient, gather } from '../../src/net/http.js';
 import { systemClock } from '../../src/units/system.js';
 import { ms } from '../../src/units/index.js';
-import { MAX_BODY, decode, encode, type Flavor } from '../../src/wire/index.js';
+import { MAX_BODY, decode, encode, type MachineType } from '../../src/wire/index.js';
 import { settingsFile } from '../support/settings.js';
 import { Cloud, type Rented } from './cloud.js';
 import type { Handler } from './network.js';
@@ -12,7 +12,7 @@
 /** The stand-ins on loopback, in real time, for one controller. */
 export interface LoopbackOptions {
   readonly ports: { state: number; cloud: number; api: number; cluster: number; workers: number };
-  readonly flavors: readonly Flavor[];
+  readonly flavors: readonly MachineType[];
   /** Machines that may be rented of each type, zone and kind. */
   readonly capacity: number;
   readonly state: StateLimits;
@@ -76,7 +76,7 @@
   /** The settings of the controller that these stand-ins are for. */
   settings(): unknown {
     const { ports, state, flavors, cloudRps } = this.options;
-    const file = settingsFile(0, [...new Set(flavors.flatMap((f) => f.halls))]);
+    const file = settingsFile(0, [...new Set(flavors.flatMap((f) => f.zones))]);
     return {
       ...file,
       api_addr: `127.0.0.1:${ports.api}`,
@@ -102,7 +102,7 @@
     const { ports, jobs } = this.options;
     const worker = new Worker(
       m,
-      this.cloud.flavor(m.build)?.vcpus ?? 0,
+      this.cloud.flavor(m.build)?.cpus ?? 0,
       [{ name: 'node-0', addr: `127.0.0.1:${ports.api}` }],
       this.client,
       systemClock,
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -1,6 +1,11 @@
 import type { Random } from '../../src/units/index.js';
 import { Endpoint, ms } from '../../src/units/index.js';
-import type { JobSpec } from '../../src/wire/index.js';
+import {
+  JobKind,
+  encodeJobSpec,
+  type JobSpec,
+  type SubmissionMessage,
+} from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 import { settingsFile } from '../support/settings.js';
 import type { Balancer } from './balancer.js';
@@ -87,10 +92,10 @@
   /** A user's job from its submission to its end; `abortAfter`: cancels it then. */
   submit(change: Partial<JobSpec>, runMs: number, abortAfter?: number): string {
     const id = `run-${String(++this.jobCounter).padStart(6, '0')}`;
-    const submitted = spec({ ...change, name_id: id });
+    const submitted = spec({ ...change, id });
     const job: Known = {
       spec: submitted,
-      gang: submitted.shape === 'ensemble' ? this.gangOf(submitted, runMs) : undefined,
+      gang: submitted.kind === JobKind.gang ? this.gangOf(submitted, runMs) : undefined,
       runMs,
       accepted: false,
       told: 'pending',
@@ -118,10 +123,10 @@
 
   private gangOf(s: JobSpec, runMs: number): GangRun {
     const facts = {
-      entries: s.entries,
+      entries: s.taskCount,
       runMs,
-      saveEveryMs: s.stamp_every_s * 1000,
-      saveMs: s.stamp_s * 1000,
+      saveEveryMs: s.checkpointIntervalSeconds * 1000,
+      saveMs: s.checkpointSeconds * 1000,
     };
     const { gang_wait_s: wait, gang_peer_s: peer } = settingsFile(0).params.workers;
     return new GangRun(
@@ -130,15 +135,15 @@
       { waitMs: wait * 1000, peerMs: peer * 1000 },
       {
         completed: () => {
-          for (let i = 0; i < s.entries; i++) this.world.completed(`${s.name_id}/${i}`);
+          for (let i = 0; i < s.taskCount; i++) this.world.completed(`${s.id}/${i}`);
         },
-        broken: (what) => this.world.rule('gang', `${s.name_id}: ${what}`),
+        broken: (what) => this.world.rule('gang', `${s.id}: ${what}`),
       },
     );
   }
 
   private keepSubmitting(id: string, job: Known): void {
-    void this.ask('POST', '/v1/jobs', job.spec, 5000, job).then((o) => {
+    void this.ask('POST', '/v1/jobs', encodeJobSpec(job.spec), 5000, job).then((o) => {
       if (o?.status === 201 || o?.status === 200) {
         job.accepted = true;
         job.answeredAt = this.world.time.now;
@@ -177,8 +182,8 @@
       if (status !== job.told) this.world.rule('went_back', `${id} was ${job.told}, is ${status}`);
       return;
     }
-    if (status === 'done' && job.completed.size < job.spec.entries) {
-      this.world.rule('not_done', `${id}: ${job.completed.size} of ${job.spec.entries}`);
+    if (status === 'done' && job.completed.size < job.spec.taskCount) {
+      this.world.rule('not_done', `${id}: ${job.completed.size} of ${job.spec.taskCount}`);
     }
     if (status === 'aborted') {
       if (!job.abortAsked) this.world.rule('went_back', `${id} was not cancelled by its user`);
@@ -205,15 +210,17 @@
       if (job.accepted && this.world.random() < 0.2) {
         const cancels = job.told === 'done' && this.world.random() < 0.5;
         const path = cancels ? `/v1/jobs/${id}/abort` : '/v1/jobs';
-        void this.ask('POST', path, cancels ? undefined : job.spec, 5000).then((o) => {
-          if (o?.status === 200) this.tell(id, job, o.body);
-          if (o?.status === 400 || o?.status === 422 || o?.status === 404)
-            this.world.rule('forgotten', `${id} got ${o.status} for ${path}`);
-        });
+        void this.ask('POST', path, cancels ? undefined : encodeJobSpec(job.spec), 5000).then(
+          (o) => {
+            if (o?.status === 200) this.tell(id, job, o.body);
+            if (o?.status === 400 || o?.status === 422 || o?.status === 404)
+              this.world.rule('forgotten', `${id} got ${o.status} for ${path}`);
+          },
+        );
       }
     }
-    const large = { ...spec({ vcpus: 1000 }) };
-    const lacking: Partial<JobSpec> = spec({});
+    const large = encodeJobSpec(spec({ cpus: 1000 }));
+    const lacking: Partial<SubmissionMessage> = encodeJobSpec(spec({}));
     delete lacking.entries;
     for (const [body, status] of [
       [{ ...large, name_id: `run-9${String(this.jobCounter).padStart(5, '0')}` }, 422],
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -1,10 +1,17 @@
 import type { HttpClient } from '../../src/net/http.js';
 import { Endpoint, ms, type Clock, type Random } from '../../src/units/index.js';
-import type { Order } from '../../src/wire/index.js';
 import type { GangRun, Member } from './gang-run.js';
 import type { Answered } from './network.js';
 import type { Rented } from './cloud.js';
 
+/** A command as it is sent. */
+interface Order {
+  readonly verb: 'launch' | 'kill' | 'clear';
+  readonly entry: string;
+  readonly try: number;
+  readonly wind_down_s?: number;
+}
+
 interface Held {
   entry: string;
   try: number;
@@ -241,7 +248,7 @@
     if (order.verb === 'launch') {
       if (!h) this.launch(order.entry, order.try, key);
     } else if (order.verb === 'kill') {
-      if (h && h.status !== 'exited') this.stop(h, order.wind_down_s * 1000);
+      if (h && h.status !== 'exited') this.stop(h, (order.wind_down_s ?? 0) * 1000);
     } else if (h?.status === 'exited') this.held.delete(key);
   }
 
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -7,7 +7,7 @@
 import type { Peer } from '../../src/peer/channel.js';
 import type { Endpoint, NodeId } from '../../src/units/index.js';
 import { ms, type Random } from '../../src/units/index.js';
-import { decode, encode, type Flavor } from '../../src/wire/index.js';
+import { decode, encode, type MachineType } from '../../src/wire/index.js';
 import { settingsFile } from '../support/settings.js';
 import { Balancer } from './balancer.js';
 import { present, type Build } from './build.js';
@@ -21,18 +21,18 @@
 const STATE = '10.2.0.1:2379';
 const CLOUD = '10.2.0.2:8443';
 
-export const flavors: readonly Flavor[] = [
+export const flavors: readonly MachineType[] = [
   {
     name: 'small',
-    vcpus: 8,
+    cpus: 8,
     gpus: 0,
-    ram_gb: 32,
-    cache_gb: 20,
-    fetch_gb_per_s: 0.5,
-    rate: 0.4,
-    spot_price: 0.15,
-    ready_s: 10,
-    halls: ['a', 'b', 'c'],
+    memoryGb: 32,
+    cacheGb: 20,
+    fetchGbPerSecond: 0.5,
+    onDemandPrice: 0.4,
+    spotPrice: 0.15,
+    bootSeconds: 10,
+    zones: ['a', 'b', 'c'],
   },
 ];
 
@@ -303,7 +303,7 @@
     });
     const worker = new Worker(
       m,
-      this.cloud.flavor(m.build)?.vcpus ?? 0,
+      this.cloud.flavor(m.build)?.cpus ?? 0,
       nodes,
       this.network.client(m.id, m.hall, clock),
       clock,
@@ -454,12 +454,13 @@
     const t = this.parse(entry);
     if (!t) return undefined;
     return {
-      vcpus: t.job.spec.vcpus,
-      ramGb: t.job.spec.ram_gb,
+      vcpus: t.job.spec.cpus,
+      ramGb: t.job.spec.memoryGb,
       runMs: t.job.runMs,
-      fetchMs: t.job.spec.size_gb * 2000,
-      image: t.job.spec.bundle,
-      saveMs: t.job.spec.stamp_every_s > 0 ? t.job.spec.stamp_s * 1000 : undefined,
+      fetchMs: t.job.spec.imageSizeGb * 2000,
+      image: t.job.spec.image,
+      saveMs:
+        t.job.spec.checkpointIntervalSeconds > 0 ? t.job.spec.checkpointSeconds * 1000 : undefined,
       gang: t.job.gang,
     };
   }
@@ -476,14 +477,14 @@
     const m = this.cloud.machines.get(machine);
     if (!t || !m) return;
     const { spec: s } = t.job;
-    const others = this.zonesOf(s.name_id, entry);
+    const others = this.zonesOf(s.id, entry);
     const here = others.filter((z) => z === m.hall).length + 1;
     if (
-      (s.builds !== null && !s.builds.includes(m.build)) ||
-      (s.hall !== null && s.hall !== m.hall) ||
-      (!s.loaners && m.spot) ||
-      (s.together && others.some((z) => z !== m.hall)) ||
-      (s.apart && here > Math.ceil(s.entries / 2))
+      (s.machineTypes !== null && !s.machineTypes.includes(m.build)) ||
+      (s.zone !== null && s.zone !== m.hall) ||
+      (!s.allowSpot && m.spot) ||
+      (s.singleZone && others.some((z) => z !== m.hall)) ||
+      (s.spreadZones && here > Math.ceil(s.taskCount / 2))
     ) {
       this.rule('wrong_place', `${entry} on ${machine}`);
     }
@@ -495,9 +496,9 @@
     }
     let used = 0;
     for (const [e, machines] of this.where) {
-      used += machines.size * (this.parse(e)?.job.spec.vcpus ?? 0);
+      used += machines.size * (this.parse(e)?.job.spec.cpus ?? 0);
     }
-    const most = this.settings.teams.get(s.desk)?.cpusMax ?? 0;
+    const most = this.settings.teams.get(s.team)?.cpusMax ?? 0;
     if (most > 0 && used > most) this.rule('quota', `${used} of ${most}`);
   }
 
@@ -520,9 +521,9 @@
     const t = this.parse(entry);
     if (!t) return;
     t.job.completed.add(t.index);
-    const over = t.job.completed.size === t.job.spec.entries;
+    const over = t.job.completed.size === t.job.spec.taskCount;
     if (over && this.cancelAtEnd > 0 && this.random() < this.cancelAtEnd) {
-      this.users.cancel(t.job.spec.name_id, t.job);
+      this.users.cancel(t.job.spec.id, t.job);
     }
   }
 
@@ -547,27 +548,27 @@
   private waitsBesideRoom(id: string, job: Known): boolean {
     const { spec: s } = job;
     if (this.users.isOver(job) || !job.accepted || job.abortAsked) return false;
-    const most = this.settings.teams.get(s.desk)?.cpusMax ?? 0;
+    const most = this.settings.teams.get(s.team)?.cpusMax ?? 0;
     let used = 0;
     // How many of its tasks the machines have room for, by zone.
     const room = new Map<string, number>();
     for (const { worker, machine } of this.workers.values()) {
       for (const e of worker.alive()) {
         if (e.startsWith(`${id}/`)) return false;
-        used += this.parse(e)?.job.spec.vcpus ?? 0;
+        used += this.parse(e)?.job.spec.cpus ?? 0;
       }
       const fits =
         worker.recallAt === undefined &&
-        (s.builds === null || s.builds.includes(machine.build)) &&
-        (s.hall === null || s.hall === machine.hall) &&
-        (s.loaners || !machine.spot);
+        (s.machineTypes === null || s.machineTypes.includes(machine.build)) &&
+        (s.zone === null || s.zone === machine.hall) &&
+        (s.allowSpot || !machine.spot);
       if (!fits) continue;
-      const zone = job.gang && s.together ? machine.hall : '';
-      room.set(zone, (room.get(zone) ?? 0) + Math.floor(worker.free() / s.vcpus));
+      const zone = job.gang && s.singleZone ? machine.hall : '';
+      room.set(zone, (room.get(zone) ?? 0) + Math.floor(worker.free() / s.cpus));
     }
-    const least = job.gang ? s.entries : 1;
+    const least = job.gang ? s.taskCount : 1;
     const best = Math.max(0, ...room.values());
-    return best >= least && (most <= 0 || used + least * s.vcpus <= most);
+    return best >= least && (most <= 0 || used + least * s.cpus <= most);
   }
 
   private watchRoom(): void {
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -35,8 +35,8 @@
     find: answerLater,
     abort: answerLater,
     submit: answerLater,
-    takeReport: () => ({ baton: EPOCH, orders: [] }),
-    takeRelayedReport: () => ({ reply: { baton: EPOCH, orders: [] }, baseline: 1 }),
+    takeReport: () => ({ fencingToken: EPOCH, commands: [] }),
+    takeRelayedReport: () => ({ reply: { fencingToken: EPOCH, commands: [] }, baseline: 1 }),
   };
   const peers = new Map<NodeId, Peer>();
   const catalog = new Catalog();
--- a/test/unit/compatibility.test.ts
+++ b/test/unit/compatibility.test.ts
@@ -19,10 +19,18 @@
   type PeerResponse,
 } from '../../src/peer/messages.js';
 import { Epoch, JobId, Revision, SteadyMs } from '../../src/units/index.js';
+import { decodeCommand, decodeHeartbeat } from '../../src/wire/index.js';
 
 interface RecordedMessage {
   readonly id: number;
-  readonly message: { readonly type: string; readonly body?: string };
+  readonly message: {
+    readonly type: string;
+    readonly body?: string;
+    readonly reports?: readonly { readonly report?: unknown }[];
+    readonly orders?: readonly unknown[];
+    readonly responses?: readonly { readonly orders: readonly unknown[] }[];
+    readonly report?: unknown;
+  };
   readonly bytes: string;
 }
 
@@ -40,8 +48,27 @@
   readFileSync('test/data/production.json', 'utf8'),
 ) as unknown as Recorded;
 
-const withBody = ({ message }: RecordedMessage): unknown =>
-  message.body === undefined ? message : { ...message, body: Buffer.from(message.body, 'hex') };
+/**
+ * A recorded message by the names that it has in this version. The version in production holds heartbeats and
+ * commands of workers in the form of the protocol.
+ */
+function messageOf({ message }: RecordedMessage): unknown {
+  const { body, reports, orders, responses, report, ...rest } = message;
+  return {
+    ...rest,
+    ...(body === undefined ? {} : { body: Buffer.from(body, 'hex') }),
+    ...(orders === undefined ? {} : { orders: orders.map(decodeCommand) }),
+    ...(report === undefined ? {} : { report: report && decodeHeartbeat(report) }),
+    ...(reports === undefined ? {} : { reports: reports.map(relayedOf) }),
+    ...(responses === undefined
+      ? {}
+      : { responses: responses.map((r) => ({ ...r, orders: r.orders.map(decodeCommand) })) }),
+  };
+}
+
+const relayedOf = (relayed: { readonly report?: unknown }): unknown =>
+  relayed.report === undefined ? relayed : { ...relayed, report: decodeHeartbeat(relayed.report) };
+
 const asJson = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
 /** Encodes what was recorded, and reads the recorded bytes: both must be what production has. */
@@ -50,7 +77,7 @@
   encode: (id: number, message: Message) => Buffer,
   decode: (bytes: Buffer) => { readonly message: Message },
 ): void {
-  const message = withBody(recorded) as Message;
+  const message = messageOf(recorded) as Message;
   assert.equal(encode(recorded.id, message).toString('hex'), recorded.bytes, message.type);
   const back = decode(Buffer.from(recorded.bytes, 'hex'));
   assert.deepEqual(asJson(back.message), asJson(message));
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -15,7 +15,14 @@
 const epoch = Epoch(50);
 const key = 'run-000001/0';
 const report = (change: Partial<Parameters<typeof toReport>[0]>): Report =>
-  toReport({ shift: 1, tally: 10, baton: 50, recall_s: null, entries: [], ...change });
+  toReport({
+    session: 1,
+    sequence: 10,
+    fencingToken: 50,
+    reclaimNoticeSeconds: null,
+    tasks: [],
+    ...change,
+  });
 const machine = (): Machine =>
   new Machine(MachineId('vm-1'), { type: 'a', zone: 'z', spot: true }, 10, SteadyMs(0));
 
@@ -29,27 +36,27 @@
   ];
   for (const [name, [s0, t0], [s1, t1], fresh] of cases) {
     const m = machine();
-    assert.ok(m.take(report({ shift: s0, tally: t0 }), SteadyMs(1)));
-    assert.equal(m.take(report({ shift: s1, tally: t1 }), SteadyMs(2)), fresh, name);
+    assert.ok(m.take(report({ session: s0, sequence: t0 }), SteadyMs(1)));
+    assert.equal(m.take(report({ session: s1, sequence: t1 }), SteadyMs(2)), fresh, name);
   }
 });
 
 void test('what a session left behind ends with its lease', () => {
   const m = machine();
-  m.take(report({ shift: 3, tally: 5 }), SteadyMs(1));
+  m.take(report({ session: 3, sequence: 5 }), SteadyMs(1));
   m.doubts.add('run-000001/0#1');
   m.expire();
   assert.equal(m.doubts.size, 0);
   // Held back on the way: the worker has long dropped these tasks.
-  assert.equal(m.take(report({ shift: 3, tally: 6 }), SteadyMs(9)), false);
-  assert.equal(m.take(report({ shift: 4, tally: 1 }), SteadyMs(9)), true);
+  assert.equal(m.take(report({ session: 3, sequence: 6 }), SteadyMs(9)), false);
+  assert.equal(m.take(report({ session: 4, sequence: 1 }), SteadyMs(9)), true);
 });
 
 void test('a notice that newer reports do not show was a late copy of another time', () => {
   const m = machine();
-  m.take(report({ tally: 5, recall_s: 9 }), SteadyMs(1));
+  m.take(report({ sequence: 5, reclaimNoticeSeconds: 9 }), SteadyMs(1));
   assert.ok(m.draining);
-  m.take(report({ tally: 6 }), SteadyMs(2));
+  m.take(report({ sequence: 6 }), SteadyMs(2));
   assert.equal(m.draining, false);
 });
 
@@ -58,7 +65,7 @@
 });
 
 void test('proofs of absence', () => {
-  const entry = { entry: key, try: 2, status: 'running' };
+  const entry = { task: key, attempt: 2, state: 'running' };
   const none = new Set<string>();
   type Case = [
     name: string,
@@ -73,18 +80,18 @@
   const old = { inherited: true, sent: undefined };
   const cases: Case[] = [
     ['never sent', {}, true, never, none, true],
-    ['it is there', { entries: [entry] }, true, never, none, false],
-    ['another attempt is there', { entries: [{ ...entry, try: 1 }] }, true, never, none, true],
-    ['it has ended there', { entries: [{ ...entry, status: 'exited' }] }, true, never, none, true],
+    ['it is there', { tasks: [entry] }, true, never, none, false],
+    ['another attempt is there', { tasks: [{ ...entry, attempt: 1 }] }, true, never, none, true],
+    ['it has ended there', { tasks: [{ ...entry, state: 'exited' }] }, true, never, none, true],
     ['sent with the answer to an earlier report', {}, true, sent, none, true],
-    ['sent with the answer to this very report', { tally: 9 }, true, sent, none, false],
+    ['sent with the answer to this very report', { sequence: 9 }, true, sent, none, false],
     // The answer with the start is still on its way to the worker that answered our command.
     ['only an answer to a command is newer', {}, false, sent, none, false],
-    ['a new session since it was sent', { shift: 2, tally: 1 }, false, sent, none, true],
+    ['a new session since it was sent', { session: 2, sequence: 1 }, false, sent, none, true],
     ['a direct start may still arrive', {}, true, never, new Set([`${key}#2`]), false],
     ['a direct start of another attempt may', {}, true, never, new Set([`${key}#1`]), true],
     // What an earlier leader sent is refused only once our epoch was seen.
-    ['inherited, our epoch not seen', { baton: 49 }, true, old, none, false],
+    ['inherited, our epoch not seen', { fencingToken: 49 }, true, old, none, false],
     ['inherited, our epoch seen', {}, true, old, none, true],
   ];
   for (const [name, r, beat, how, doubts, proven] of cases) {
@@ -121,8 +128,8 @@
         else if (what === 'unassign') m.unassign(taskKey(job, 0));
         else if (what === 'image') m.uses(`img-${n}`, 4);
         else {
-          const shown = list.map(([k, t, s]) => ({ entry: `run-${k}/0`, try: t, status: s }));
-          m.take(report({ tally: ++tally, entries: shown }), SteadyMs(tally));
+          const shown = list.map(([k, t, s]) => ({ task: `run-${k}/0`, attempt: t, state: s }));
+          m.take(report({ sequence: ++tally, tasks: shown }), SteadyMs(tally));
         }
         assert.deepEqual(m.load(sizeOf), loadOf(m, sizeOf));
       }
--- a/test/unit/gangs.test.ts
+++ b/test/unit/gangs.test.ts
@@ -98,7 +98,7 @@
 void test('if one task of a gang is done, all are, wherever the others were seen last', () => {
   const job = new Job(
     JobId('run-000001'),
-    spec({ shape: 'ensemble', entries: 3 }),
+    spec({ kind: 'ensemble', taskCount: 3 }),
     WallMs(0),
     Revision(1),
   );
--- a/test/unit/ledger.test.ts
+++ b/test/unit/ledger.test.ts
@@ -47,7 +47,7 @@
 void test('records come back as they were', () => {
   fc.assert(
     fc.property(moves, fc.boolean(), (list, aborted) => {
-      const job = new Job(id, spec({ entries: 60 }), WallMs(5), Revision(7));
+      const job = new Job(id, spec({ taskCount: 60 }), WallMs(5), Revision(7));
       play(job, list, { limit: 60, batch: 7, machineOf });
       if (aborted) job.abort();
       const back = decodeJob(
@@ -70,7 +70,7 @@
 });
 
 void test('a record of 100,000 tasks stays within the size of a value', () => {
-  const wide = spec({ entries: 100_000, bundle: 'x'.repeat(120), docket: 'y'.repeat(120) });
+  const wide = spec({ taskCount: 100_000, image: 'x'.repeat(120), jobClass: 'y'.repeat(120) });
   const limit = openTaskLimit(wide, 8192);
   assert.ok(limit > 50, `only ${limit} tasks at once`);
   const long = fc.array(fc.tuple(fc.constantFrom(0, 0, 1, 2), fc.nat(100_000)), {
@@ -89,7 +89,7 @@
 
 void test('a record that takes the place of ours keeps what we know of the attempts that both name', () => {
   const [a, b] = [MachineId('vm-000001'), MachineId('vm-000002')];
-  const ours = new Job(id, spec({ entries: 4 }), WallMs(5), Revision(7));
+  const ours = new Job(id, spec({ taskCount: 4 }), WallMs(5), Revision(7));
   ours.place([{ index: 0, machine: a }], now);
   const late = decodeJob(id, encodeJob(ours, Epoch(3)), Revision(8), now);
   const first = ours.placed.get(0);
@@ -108,7 +108,7 @@
 });
 
 void test('damaged records are refused rather than read as finished work', () => {
-  const job = new Job(id, spec({ entries: 8 }), WallMs(5), Revision(7));
+  const job = new Job(id, spec({ taskCount: 8 }), WallMs(5), Revision(7));
   job.place([{ index: 0, machine: MachineId('vm-000001') }], now);
   const record = encodeJob(job, Epoch(3));
   const cases: [string, unknown][] = [
--- a/test/unit/orders.test.ts
+++ b/test/unit/orders.test.ts
@@ -8,7 +8,7 @@
 import { Orders } from '../../src/leader/orders.js';
 import { Job } from '../../src/ledger/job.js';
 import { Epoch, JobId, MachineId, Revision, WallMs, taskKey } from '../../src/units/index.js';
-import type { Urgency } from '../../src/wire/index.js';
+import { encodeHeartbeat, type Priority } from '../../src/wire/index.js';
 import { emptyFleet } from '../support/fleet.js';
 import { spec } from '../support/jobs.js';
 import { settingsFile } from '../support/settings.js';
@@ -17,16 +17,16 @@
 const epoch = Epoch(50);
 const id = MachineId('vm-1');
 const beat = {
-  box: id,
-  addr: '10.1.0.1:9000',
-  build: 'small',
-  hall: 'a',
-  loaners: true,
-  shift: 1,
-  tally: 9,
-  baton: 50,
-  recall_s: null,
-  entries: [],
+  machine: id,
+  address: '10.1.0.1:9000',
+  machineType: 'small',
+  zone: 'a',
+  spot: true,
+  session: 1,
+  sequence: 9,
+  fencingToken: 50,
+  reclaimNoticeSeconds: null,
+  tasks: [],
 };
 
 void test('what answers a command moves a lease only as the first word of a new session', async () => {
@@ -34,9 +34,9 @@
   type Case = [
     name: string,
     busy: boolean,
-    urgency: Urgency,
+    urgency: Priority,
     status: number,
-    shift: number,
+    session: number,
     renewed: boolean,
   ];
   const cases: Case[] = [
@@ -45,15 +45,20 @@
     ['not even urgent ones', true, 'high', 0, 1, false],
     ['refused in a new session: it lasts from its beginning', false, 'normal', 409, 2, true],
   ];
-  for (const [name, busy, urgency, status, shift, renewed] of cases) {
+  for (const [name, busy, urgency, status, session, renewed] of cases) {
     const time = new VirtualTime();
     const clock = new ProcessClock(time, 0, 0);
     const settings = parseSettings(settingsFile());
     const fleet = emptyFleet(lease);
-    const m = fleet.meet(id, { type: 'small', zone: 'a', spot: true }, beat.addr);
+    const m = fleet.meet(id, { type: 'small', zone: 'a', spot: true }, beat.address);
     m.take(toReport(beat), clock.steady());
     m.answered(leaseEnd(clock.steady(), lease));
-    const job = new Job(JobId('run-000001'), spec({ entries: 1, urgency }), WallMs(0), Revision(1));
+    const job = new Job(
+      JobId('run-000001'),
+      spec({ taskCount: 1, priority: urgency }),
+      WallMs(0),
+      Revision(1),
+    );
     job.place([{ index: 0, machine: id }], clock.steady());
     job.committed = job.version;
     const placed = job.placed.get(0);
@@ -73,7 +78,11 @@
       authority: () => epoch,
       http: {
         send: () =>
-          Promise.resolve({ kind: 'answer', status, body: { ...beat, shift, tally: 12 } }),
+          Promise.resolve({
+            kind: 'answer',
+            status,
+            body: encodeHeartbeat({ ...beat, session, sequence: 12 }),
+          }),
       },
     };
     const board = { fleet, ledger: { jobs: new Map([[job.id, job]]) } };
@@ -90,7 +99,7 @@
     orders.isBusy = busy;
     orders.push(id);
     await time.run(lease + 10);
-    assert.equal(m.report?.session, shift, name);
+    assert.equal(m.report?.session, session, name);
     assert.equal(m.report?.sequence, status === 0 ? 9 : 12, name);
     assert.equal(m.expires > before, renewed, name);
     if (renewed) assert.ok(m.expires >= lease * 2, name);
@@ -106,8 +115,8 @@
   for (const [name, evicted, inDoubt, verbs] of cases) {
     const clock = new ProcessClock(new VirtualTime(), 0, 0);
     const fleet = emptyFleet(parseSettings(settingsFile()).workers.lease);
-    const m = fleet.meet(id, { type: 'small', zone: 'a', spot: true }, beat.addr);
-    const job = new Job(JobId('run-000001'), spec({ entries: 1 }), WallMs(0), Revision(1));
+    const m = fleet.meet(id, { type: 'small', zone: 'a', spot: true }, beat.address);
+    const job = new Job(JobId('run-000001'), spec({ taskCount: 1 }), WallMs(0), Revision(1));
     job.place([{ index: 0, machine: id }], clock.steady());
     job.committed = job.version;
     const placed = job.placed.get(0);
@@ -126,7 +135,7 @@
     const board = { fleet, ledger: { jobs: new Map([[job.id, job]]) } };
     const deps = { clock } as unknown as TermDeps;
     const orders = new Orders(epoch, board as unknown as Board, deps, () => undefined);
-    const told = orders.answer(m, toReport(beat)).map((o) => o.verb);
+    const told = orders.answer(m, toReport(beat)).map((o) => o.type);
     assert.deepEqual(told, verbs, name);
   }
 });
--- a/test/unit/peer.test.ts
+++ b/test/unit/peer.test.ts
@@ -13,28 +13,34 @@
 } from '../../src/peer/messages.js';
 import { Endpoint, NodeId, ms, seconds } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
-import type { Beat, Order } from '../../src/wire/index.js';
+import type { Heartbeat, Command } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 const status = { leader: 'node-1', epoch: 2 ** 40, storeReachable: true };
-const orders: Order[] = [
-  { verb: 'launch', entry: 'run-000001/0', try: 2 },
-  { verb: 'kill', entry: 'run-000001/1', try: 1, wind_down_s: 1.5 },
-  { verb: 'clear', entry: 'run-000001/2', try: 1 },
+const orders: Command[] = [
+  { type: 'launch', task: 'run-000001/0', attempt: 2 },
+  { type: 'kill', task: 'run-000001/1', attempt: 1, gracePeriodSeconds: 1.5 },
+  { type: 'clear', task: 'run-000001/2', attempt: 1 },
 ];
-const report: Beat = {
-  box: 'vm-1',
-  addr: '10.1.0.1:9000',
-  build: 'small',
-  hall: 'a',
-  loaners: true,
-  shift: 1,
-  tally: 2 ** 33,
-  baton: 5,
-  recall_s: 12.5,
-  entries: [
-    { entry: 'run-000001/0', try: 1, status: 'exited', cause: 'halted', kept: true },
-    { entry: 'run-000001/1', try: 1, status: 'running', cause: null, kept: null },
+const report: Heartbeat = {
+  machine: 'vm-1',
+  address: '10.1.0.1:9000',
+  machineType: 'small',
+  zone: 'a',
+  spot: true,
+  session: 1,
+  sequence: 2 ** 33,
+  fencingToken: 5,
+  reclaimNoticeSeconds: 12.5,
+  tasks: [
+    {
+      task: 'run-000001/0',
+      attempt: 1,
+      state: 'exited',
+      exitReason: 'halted',
+      checkpointSaved: true,
+    },
+    { task: 'run-000001/1', attempt: 1, state: 'running', exitReason: null, checkpointSaved: null },
   ],
 };
 const unchanged = {
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -55,19 +55,19 @@
 
 void test('compact records come back as they were, and as records of the first format do', () => {
   const specs = fc.record({
-    hall: fc.constantFrom(null, 'a'),
-    builds: fc.constantFrom<JobSpec['builds'][]>(null, ['small', 'large']),
-    due_s: fc.constantFrom(null, 12.5),
-    shape: fc.constantFrom<JobSpec['shape'][]>('sweep', 'ensemble', 'daemon'),
+    zone: fc.constantFrom(null, 'a'),
+    machineTypes: fc.constantFrom<JobSpec['machineTypes'][]>(null, ['small', 'large']),
+    deadlineSeconds: fc.constantFrom(null, 12.5),
+    kind: fc.constantFrom<JobSpec['kind'][]>('sweep', 'ensemble', 'daemon'),
   });
   const names = fc.constantFrom('vm-000007', 'vm-1000001', 'other', 'x-7', 'vm-0');
   fc.assert(
     fc.property(moves(0, 60), specs, names, fc.boolean(), (list, change, odd, aborted) => {
-      const job = new Job(id, spec({ entries: 60, ...change }), WallMs(1.7e12), Revision(7));
+      const job = new Job(id, spec({ taskCount: 60, ...change }), WallMs(1.7e12), Revision(7));
       job.place([{ index: 0, machine: MachineId(odd) }], now);
       play(job, list, { limit: 60, batch: 9, machineOf });
       if (aborted) job.abort();
-      job.zone = change.hall ?? undefined;
+      job.zone = change.zone ?? undefined;
       const stored: unknown = JSON.parse(JSON.stringify(encodeJobCompactly(job, Epoch(3))));
       assert.deepEqual(contents(decodeJob(id, stored, Revision(7), now)), contents(job));
       const first = decodeJob(id, encodeJob(job, Epoch(3)), Revision(7), now);
@@ -85,7 +85,7 @@
     [100_000, 150],
   ];
   for (const [entries, least] of sizes) {
-    const wide = spec({ entries });
+    const wide = spec({ taskCount: entries });
     const open = limits.openTasks(wide, 0);
     assert.ok(open >= least, `only ${open} tasks at once`);
     fc.assert(
@@ -103,7 +103,7 @@
 
 void test('which format is written, and which jobs are refused', () => {
   const job = (entries: number): Job => {
-    const made = new Job(id, spec({ entries }), WallMs(1.7e12), Revision(1));
+    const made = new Job(id, spec({ taskCount: entries }), WallMs(1.7e12), Revision(1));
     const tasks = Array.from({ length: entries }, (_, index) => ({
       index,
       machine: MachineId(`vm-${String(index * 3).padStart(6, '0')}`),
@@ -132,12 +132,12 @@
   const { txnOps } = new RecordLimits(lowering);
   assert.equal(txnOps, 4, 'the smaller number of changes holds from the start');
   const limits = new RecordLimits(lowering);
-  const gang = spec({ shape: 'ensemble' });
+  const gang = spec({ kind: 'ensemble' });
   assert.ok(limits.canRecord(gang, 100));
   assert.ok(!limits.canRecord(gang, 100_000), 'a gang that no record holds');
   const wordy = spec({
-    builds: Array.from({ length: 16 }, () => 'y'.repeat(60)),
-    bundle: 'x'.repeat(120),
+    machineTypes: Array.from({ length: 16 }, () => 'y'.repeat(60)),
+    image: 'x'.repeat(120),
   });
   assert.ok(limits.canRecord(wordy, 1));
   assert.ok(
@@ -181,7 +181,7 @@
 
 const wideJob = (n: number, entries: number): Job => {
   const name = JobId(`run-${String(n).padStart(6, '0')}`);
-  const job = new Job(name, spec({ name_id: name, entries }), WallMs(0), Revision(0));
+  const job = new Job(name, spec({ id: name, taskCount: entries }), WallMs(0), Revision(0));
   job.touch(0);
   return job;
 };
--- a/test/unit/report-relay.test.ts
+++ b/test/unit/report-relay.test.ts
@@ -23,7 +23,7 @@
 } from '../../src/peer/messages.js';
 import { ReportRelay, nextBatchReports, showsTheSame } from '../../src/relay/report-relay.js';
 import { Epoch, MachineId, NodeId, ms } from '../../src/units/index.js';
-import type { Beat, BeatReply, Entry } from '../../src/wire/index.js';
+import type { Heartbeat, HeartbeatReply, TaskStatus } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { emptyFleet } from '../support/fleet.js';
 import { settingsFile } from '../support/settings.js';
@@ -31,20 +31,20 @@
 const seed = 20261202;
 const settings = parseSettings(settingsFile());
 
-const report = (box: string, change: Partial<Beat> = {}): Beat => ({
-  box,
-  addr: '10.1.0.1:9000',
-  build: 'small',
-  hall: 'a',
-  loaners: true,
-  shift: 1,
-  tally: 1,
-  baton: 0,
-  recall_s: null,
-  entries: [],
+const report = (box: string, change: Partial<Heartbeat> = {}): Heartbeat => ({
+  machine: box,
+  address: '10.1.0.1:9000',
+  machineType: 'small',
+  zone: 'a',
+  spot: true,
+  session: 1,
+  sequence: 1,
+  fencingToken: 0,
+  reclaimNoticeSeconds: null,
+  tasks: [],
   ...change,
 });
-const running = (entry: string): Entry => ({ entry, try: 1, status: 'running' });
+const running = (entry: string): TaskStatus => ({ task: entry, attempt: 1, state: 'running' });
 
 /** A leader's books of machines, without jobs. */
 class Books {
@@ -70,10 +70,10 @@
   contents(): unknown {
     return [...this.fleet.machines.values()].map((m) => ({
       id: m.id,
-      shift: m.report?.session,
-      tally: m.report?.sequence,
-      baton: m.report?.token,
-      entries: m.report?.tasks.map((e) => [e.entry, e.try, e.status, e.cause ?? null]),
+      session: m.report?.session,
+      sequence: m.report?.sequence,
+      fencingToken: m.report?.token,
+      tasks: m.report?.tasks.map((e) => [e.task, e.attempt, e.state, e.exitReason ?? null]),
       expires: m.expires,
       up: m.up,
       deaf: m.deafSince,
@@ -89,7 +89,7 @@
   full: Books;
   fault: Fault = 'none';
   unchanged = 0;
-  private readonly delivered: { request: PeerRequest; meant: Beat[] }[] = [];
+  private readonly delivered: { request: PeerRequest; meant: Heartbeat[] }[] = [];
 
   constructor(private readonly clock: ProcessClock) {
     this.relayed = new Books(Epoch(1), clock);
@@ -103,7 +103,7 @@
   }
 
   /** `meant`: what the reports of a request stand for, whatever is left of them on the way. */
-  peer(meant: () => Beat): Peer {
+  peer(meant: () => Heartbeat): Peer {
     return {
       responsive: true,
       ask: async (request) => {
@@ -128,7 +128,7 @@
     if (message) this.deliver(message);
   }
 
-  private deliver({ request, meant }: { request: PeerRequest; meant: Beat[] }): PeerResponse {
+  private deliver({ request, meant }: { request: PeerRequest; meant: Heartbeat[] }): PeerResponse {
     assert.ok(request.type === 'reports');
     const responses = request.reports.map((r, i): ReportResponse => {
       const taken = this.take(request.epoch, r);
@@ -145,13 +145,13 @@
     const node = NodeId('node-1');
     if (r.kind === 'full') {
       const { reply, baseline } = this.relayed.reports.takeRelayed(r.report, node);
-      return { outcome: 'accepted', baseline, orders: reply.orders };
+      return { outcome: 'accepted', baseline, orders: reply.commands };
     }
     const known = epoch === this.relayed.epoch;
     const reply = known ? this.relayed.reports.takeUnchanged(r, node) : undefined;
     if (!reply) return { outcome: 'baselineUnknown', baseline: 0, orders: [] };
     this.unchanged++;
-    return { outcome: 'accepted', baseline: r.unchangedSince, orders: reply.orders };
+    return { outcome: 'accepted', baseline: r.unchangedSince, orders: reply.commands };
   }
 }
 
@@ -202,31 +202,32 @@
       const time = new VirtualTime();
       const clock = new ProcessClock(time, 0, 0);
       const leader = new Leader(clock);
-      let sent: Beat = report('vm-0');
+      let sent: Heartbeat = report('vm-0');
       const peer = leader.peer(() => sent);
       const relays = [0, 1].map((n) => new ReportRelay(NodeId(`node-${n}`), clock, () => peer));
       const machines = [0, 1, 2].map((n) => report(`vm-${n}`));
-      const change = (n: number, by: Partial<Beat>): Beat => {
+      const change = (n: number, by: Partial<Heartbeat>): Heartbeat => {
         const before = machines[n] ?? report(`vm-${n}`);
-        return (machines[n] = { ...before, tally: before.tally + 1, ...by });
+        return (machines[n] = { ...before, sequence: before.sequence + 1, ...by });
       };
       for (const step of list) {
         if (step.kind === 'report') {
           const entries = [running(`run-000001/${step.change}`)];
-          sent = change(step.machine, step.change > 2 ? {} : { entries });
+          sent = change(step.machine, step.change > 2 ? {} : { tasks: entries });
           leader.fault = step.fault;
           void relays[step.through]?.send(sent, 200);
         } else if (step.kind === 'newLeader') leader.succeed();
         else if (step.kind === 'lateCopy') leader.deliverAgain(step.which);
         else if (step.kind === 'command') {
-          const answer = change(step.machine, { entries: [running('run-000002/0')] });
+          const answer = change(step.machine, { tasks: [running('run-000002/0')] });
           for (const { fleet } of [leader.relayed, leader.full]) {
-            fleet.machines.get(MachineId(answer.box))?.take(toReport(answer), clock.steady());
+            fleet.machines.get(MachineId(answer.machine))?.take(toReport(answer), clock.steady());
           }
         } else {
-          const shift = machines[step.machine]?.shift ?? 1;
-          const anew = step.kind === 'startedAnew' ? { shift: 1, tally: 0 } : { shift: shift + 1 };
-          change(step.machine, { ...anew, entries: [] });
+          const session = machines[step.machine]?.session ?? 1;
+          const anew =
+            step.kind === 'startedAnew' ? { session: 1, sequence: 0 } : { session: session + 1 };
+          change(step.machine, { ...anew, tasks: [] });
         }
         await time.run(time.now + 400);
         assert.deepEqual(leader.relayed.contents(), leader.full.contents());
@@ -253,19 +254,19 @@
 
 void test('what counts as unchanged', () => {
   const entries = [running('run-000001/0')];
-  const cases: [name: string, change: Partial<Beat>, same: boolean][] = [
-    ['a later report', { tally: 9, baton: 4 }, true],
-    ['no notice, said otherwise', { recall_s: undefined }, true],
-    ['a notice', { recall_s: 20 }, false],
-    ['another session', { shift: 2 }, false],
-    ['another address', { addr: '10.1.0.2:9000' }, false],
-    ['one task less', { entries: [] }, false],
-    ['another attempt', { entries: [{ ...running('run-000001/0'), try: 2 }] }, false],
-    ['another state', { entries: [{ ...running('run-000001/0'), status: 'exited' }] }, false],
-    ['a cause', { entries: [{ ...running('run-000001/0'), cause: 'done' }] }, false],
+  const cases: [name: string, change: Partial<Heartbeat>, same: boolean][] = [
+    ['a later report', { sequence: 9, fencingToken: 4 }, true],
+    ['no notice, said otherwise', { reclaimNoticeSeconds: undefined }, true],
+    ['a notice', { reclaimNoticeSeconds: 20 }, false],
+    ['another session', { session: 2 }, false],
+    ['another address', { address: '10.1.0.2:9000' }, false],
+    ['one task less', { tasks: [] }, false],
+    ['another attempt', { tasks: [{ ...running('run-000001/0'), attempt: 2 }] }, false],
+    ['another state', { tasks: [{ ...running('run-000001/0'), state: 'exited' }] }, false],
+    ['a cause', { tasks: [{ ...running('run-000001/0'), exitReason: 'done' }] }, false],
   ];
   for (const [name, change, same] of cases) {
-    const first = report('vm-1', { entries });
+    const first = report('vm-1', { tasks: entries });
     assert.equal(showsTheSame(first, { ...first, ...change }), same, name);
   }
 });
@@ -292,7 +293,7 @@
     const peer: Peer = { responsive: true, ask: () => Promise.resolve(answers.shift()) };
     const leader = (): Peer | undefined => (time.now >= leaderAfter ? peer : undefined);
     const relay = new ReportRelay(NodeId('node-1'), clock, leader);
-    let reply: BeatReply | 'none' | undefined;
+    let reply: HeartbeatReply | 'none' | undefined;
     void relay.send(report('vm-1'), 200).then((r) => (reply = r ?? 'none'));
     await time.run(ms(3500));
     assert.equal(reply !== 'none', expected, name);
--- a/test/unit/reports.test.ts
+++ b/test/unit/reports.test.ts
@@ -17,7 +17,7 @@
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const fleet = emptyFleet(seconds(24));
-  const job = new Job(JobId('run-000001'), spec({ entries: 1 }), WallMs(0), Revision(1));
+  const job = new Job(JobId('run-000001'), spec({ taskCount: 1 }), WallMs(0), Revision(1));
   const board = {
     fleet,
     ledger: { jobs: new Map([[job.id, job]]) },
@@ -37,8 +37,14 @@
     const m = fleet.meet(id, { type: 'small', zone: 'a', spot: true }, '');
     job.place([{ index: 0, machine: id }], clock.steady());
     const attempt = job.placed.get(0)?.attempt ?? 0;
-    const entry = { entry: `${job.id}/0`, try: attempt, status: 'exited', cause: 'error' };
-    const beat = { shift: 1, tally: i, baton: 5, recall_s: null, entries: [entry] };
+    const entry = { task: `${job.id}/0`, attempt, state: 'exited', exitReason: 'error' };
+    const beat = {
+      session: 1,
+      sequence: i,
+      fencingToken: 5,
+      reclaimNoticeSeconds: null,
+      tasks: [entry],
+    };
     reports.observe(m, toReport(beat), true);
     assert.equal(job.placed.size, 0);
     const most = clock.steady() + seconds(60);
--- a/test/unit/standby.test.ts
+++ b/test/unit/standby.test.ts
@@ -10,16 +10,16 @@
 
 void test('for which jobs room stands by, and for how long', () => {
   const cases: [name: string, change: Partial<JobSpec>, asked: number, stands: boolean][] = [
-    ['urgent', { urgency: 'high' }, 10, true],
-    ['a gang whose users wait for its start', { docket: 'merge', shape: 'ensemble' }, 10, true],
-    ['an array whose users wait for its start', { docket: 'merge' }, 10, false],
-    ['another gang', { shape: 'ensemble' }, 10, false],
+    ['urgent', { priority: 'high' }, 10, true],
+    ['a gang whose users wait for its start', { jobClass: 'merge', kind: 'ensemble' }, 10, true],
+    ['an array whose users wait for its start', { jobClass: 'merge' }, 10, false],
+    ['another gang', { kind: 'ensemble' }, 10, false],
     ['neither', {}, 10, false],
-    ['long ago', { urgency: 'high' }, 200, false],
+    ['long ago', { priority: 'high' }, 200, false],
   ];
   for (const [name, change, asked, stands] of cases) {
     const standby = new StandbyWork(objectives);
-    standby.note(spec({ entries: 4, vcpus: 2, ...change }), at(0));
+    standby.note(spec({ taskCount: 4, cpus: 2, ...change }), at(0));
     // Asked for what to rent first, as while nothing waits: nothing else makes it forget.
     const expected = standby.expected(1000, at(asked));
     assert.deepEqual(
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -6,7 +6,7 @@
 import { Job, type Final } from '../../src/ledger/job.js';
 import type { Answer } from '../../src/leader/term.js';
 import { Revision, WallMs, ms, sleep } from '../../src/units/index.js';
-import { encode, parseSubmission } from '../../src/wire/index.js';
+import { encode, encodeJobSpec, parseSubmission, type JobSpec } from '../../src/wire/index.js';
 import { flavors } from '../standin/world.js';
 import { JOB, leadingNode } from '../support/api.js';
 import { spec } from '../support/jobs.js';
@@ -14,7 +14,7 @@
 
 void test('an answer that rests on authority is given under it to the end', async () => {
   const running = new Job(JOB, spec({}), WallMs(0), Revision(5));
-  const body = encode(spec({}));
+  const body = encode(encodeJobSpec(spec({})));
   type Case = [name: string, method: string, path: string, found: Answer, kept: number];
   const cases: Case[] = [
     ['a question', 'GET', `/v1/jobs/${JOB}`, { kind: 'job', job: running }, 200],
@@ -41,8 +41,9 @@
   const catalog = new Catalog();
   catalog.update(flavors);
   const one = new Catalog();
-  one.update(flavors.map((f) => ({ ...f, halls: ['a'] })));
-  const ok = spec({});
+  one.update(flavors.map((f) => ({ ...f, zones: ['a'] })));
+  const submission = (change: Partial<JobSpec>) => encodeJobSpec(spec(change));
+  const ok = submission({});
   const cases: [string, unknown, number][] = [
     ['as it should be', ok, 0],
     [
@@ -50,28 +51,44 @@
       { ...ok, builds: undefined, hall: undefined, due_s: undefined },
       0,
     ],
-    ['apart in one zone: in turns', spec({ apart: true, hall: 'a', entries: 5 }), 0],
-    ['apart and together: in turns', spec({ apart: true, together: true, entries: 5 }), 0],
-    ['a gang apart and together', spec({ shape: 'ensemble', apart: true, together: true }), 422],
-    ['a gang of one', spec({ shape: 'ensemble', apart: true, together: true, entries: 1 }), 0],
-    ['a gang apart in one zone', spec({ shape: 'ensemble', apart: true, hall: 'a' }), 422],
-    ['a gang above its limit', spec({ shape: 'ensemble', entries: 5, vcpus: 8 }), 422],
-    ['an array above its limit', spec({ entries: 5, vcpus: 8 }), 0],
-    ['a task above its limit', spec({ vcpus: 25 }), 422],
-    ['a task too large', spec({ ram_gb: 33 }), 422],
-    ['gpus that nobody has', spec({ gpus: 1 }), 422],
-    ['an unknown team', spec({ desk: 'nobody' }), 422],
-    ['no such type', spec({ builds: ['huge'] }), 422],
-    ['no type at all', spec({ builds: [] }), 422],
-    ['no such zone', spec({ hall: 'z' }), 422],
-    ['no tasks', spec({ entries: 0 }), 400],
-    ['half a task', spec({ entries: 1.5 }), 400],
-    ['too many tasks', spec({ entries: 100_001 }), 400],
-    ['no processor', spec({ vcpus: 0 }), 400],
-    ['less than none', spec({ ram_gb: -1 }), 400],
-    ['no number', spec({ vcpus: NaN }), 400],
-    ['without end', spec({ expected_s: Infinity }), 400],
-    ['an id of another form', spec({ name_id: 'job-1' }), 400],
+    ['apart in one zone: in turns', submission({ spreadZones: true, zone: 'a', taskCount: 5 }), 0],
+    [
+      'apart and together: in turns',
+      submission({ spreadZones: true, singleZone: true, taskCount: 5 }),
+      0,
+    ],
+    [
+      'a gang apart and together',
+      submission({ kind: 'ensemble', spreadZones: true, singleZone: true }),
+      422,
+    ],
+    [
+      'a gang of one',
+      submission({ kind: 'ensemble', spreadZones: true, singleZone: true, taskCount: 1 }),
+      0,
+    ],
+    [
+      'a gang apart in one zone',
+      submission({ kind: 'ensemble', spreadZones: true, zone: 'a' }),
+      422,
+    ],
+    ['a gang above its limit', submission({ kind: 'ensemble', taskCount: 5, cpus: 8 }), 422],
+    ['an array above its limit', submission({ taskCount: 5, cpus: 8 }), 0],
+    ['a task above its limit', submission({ cpus: 25 }), 422],
+    ['a task too large', submission({ memoryGb: 33 }), 422],
+    ['gpus that nobody has', submission({ gpus: 1 }), 422],
+    ['an unknown team', submission({ team: 'nobody' }), 422],
+    ['no such type', submission({ machineTypes: ['huge'] }), 422],
+    ['no type at all', submission({ machineTypes: [] }), 422],
+    ['no such zone', submission({ zone: 'z' }), 422],
+    ['no tasks', submission({ taskCount: 0 }), 400],
+    ['half a task', submission({ taskCount: 1.5 }), 400],
+    ['too many tasks', submission({ taskCount: 100_001 }), 400],
+    ['no processor', submission({ cpus: 0 }), 400],
+    ['less than none', submission({ memoryGb: -1 }), 400],
+    ['no number', submission({ cpus: NaN }), 400],
+    ['without end', submission({ expectedRuntimeSeconds: Infinity }), 400],
+    ['an id of another form', submission({ id: 'job-1' }), 400],
     ['a number as a text', { ...ok, vcpus: '2' }, 400],
     ['null where none may be', { ...ok, loaners: null }, 400],
     ...Object.keys(ok)
@@ -85,7 +102,7 @@
     const got = !parsed.ok ? 400 : typeof verdict === 'object' ? 422 : 0;
     assert.equal(got, status, name);
   }
-  const gang = parseSubmission(encode(spec({ shape: 'ensemble', apart: true })));
+  const gang = parseSubmission(encode(submission({ kind: 'ensemble', spreadZones: true })));
   assert.ok(gang.ok && typeof one.judge(gang.value, settings.teams) === 'object');
 });
 
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -1,16 +1,29 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  Beat,
   MAX_BODY,
   decode,
+  decodeCommand,
+  decodeHeartbeat,
+  decodeHeartbeatReply,
+  decodeJobSpecValues,
+  decodeMachinePage,
+  decodeMachineTypes,
   encode,
+  encodeCommandRequest,
+  encodeHeartbeat,
+  encodeHeartbeatReply,
+  encodeJobSpec,
+  encodeJobSpecValues,
+  encodeMachineTypes,
+  encodeScaleOutRequest,
+  encodeTransaction,
   parseSubmission,
   submissionId,
 } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 
-const good = spec({});
+const good = encodeJobSpec(spec({}));
 
 void test('submissions: each field is checked', () => {
   const cases: [string, Record<string, unknown>, boolean][] = [
@@ -86,8 +99,194 @@
 void test('reports: null and missing fields are alike, unknown ones are ignored', () => {
   const base = { box: 'vm-000001', addr: '10.1.0.1:9000', build: 'a', hall: 'z', loaners: true };
   const beat = { ...base, shift: 1, tally: 2, baton: 3, entries: [] };
-  assert.ok(Beat.safeParse(beat).success);
-  assert.ok(Beat.safeParse({ ...beat, recall_s: null, extra: 1 }).success);
-  assert.ok(!Beat.safeParse({ ...beat, tally: -1 }).success);
-  assert.ok(!Beat.safeParse(base).success);
+  assert.ok(decodeHeartbeat(beat));
+  assert.ok(decodeHeartbeat({ ...beat, recall_s: null, extra: 1 }));
+  assert.ok(!decodeHeartbeat({ ...beat, tally: -1 }));
+  assert.ok(!decodeHeartbeat(base));
+});
+
+/** Each field's name on the wire and here, by the examples of the protocol. */
+void test('submissions: every field of the protocol is mapped, there and back', () => {
+  const message = {
+    name_id: 'run-000412',
+    docket: 'train',
+    desk: 'vision',
+    shape: 'sweep' as const,
+    urgency: 'high' as const,
+    entries: 16,
+    vcpus: 8,
+    gpus: 1,
+    ram_gb: 64,
+    bundle: 'img-07',
+    size_gb: 6.2,
+    builds: ['g8'],
+    hall: null,
+    together: true,
+    apart: false,
+    loaners: true,
+    expected_s: 240,
+    stamp_every_s: 30,
+    stamp_s: 4,
+    due_s: 900,
+  };
+  const parsed = parseSubmission(encode(message));
+  assert.ok(parsed.ok);
+  assert.deepEqual(parsed.value, {
+    id: 'run-000412',
+    jobClass: 'train',
+    team: 'vision',
+    kind: 'sweep',
+    priority: 'high',
+    taskCount: 16,
+    cpus: 8,
+    gpus: 1,
+    memoryGb: 64,
+    image: 'img-07',
+    imageSizeGb: 6.2,
+    machineTypes: ['g8'],
+    zone: null,
+    singleZone: true,
+    spreadZones: false,
+    allowSpot: true,
+    expectedRuntimeSeconds: 240,
+    checkpointIntervalSeconds: 30,
+    checkpointSeconds: 4,
+    deadlineSeconds: 900,
+  });
+  assert.equal(JSON.stringify(encodeJobSpec(parsed.value)), JSON.stringify(message));
+  const { name_id: id, ...rest } = message;
+  const values = encodeJobSpecValues(parsed.value);
+  assert.deepEqual(values, Object.values(rest), 'compact records hold the values in this order');
+  assert.deepEqual(decodeJobSpecValues(id, values), parsed.value);
+});
+
+void test('workers: every field of the protocol is mapped, there and back', () => {
+  const message = {
+    box: 'vm-000231',
+    addr: '10.1.0.232:9000',
+    build: 'g8',
+    hall: 'a',
+    loaners: true,
+    shift: 1,
+    tally: 88,
+    baton: 41,
+    recall_s: 12.5,
+    entries: [{ entry: 'run-000398/0', try: 1, status: 'exited', cause: 'done', kept: null }],
+  };
+  const heartbeat = decodeHeartbeat(message);
+  assert.deepEqual(heartbeat, {
+    machine: 'vm-000231',
+    address: '10.1.0.232:9000',
+    machineType: 'g8',
+    zone: 'a',
+    spot: true,
+    session: 1,
+    sequence: 88,
+    fencingToken: 41,
+    reclaimNoticeSeconds: 12.5,
+    tasks: [
+      {
+        task: 'run-000398/0',
+        attempt: 1,
+        state: 'exited',
+        exitReason: 'done',
+        checkpointSaved: null,
+      },
+    ],
+  });
+  assert.deepEqual(encodeHeartbeat(heartbeat), message);
+  const orders = [
+    { verb: 'launch', entry: 'run-000412/4', try: 2 },
+    { verb: 'kill', entry: 'run-000377/1', try: 1, wind_down_s: 10 },
+    { verb: 'clear', entry: 'run-000398/0', try: 1 },
+  ];
+  const commands = orders.map(decodeCommand);
+  assert.deepEqual(commands[1], {
+    type: 'kill',
+    task: 'run-000377/1',
+    attempt: 1,
+    gracePeriodSeconds: 10,
+  });
+  const reply = { fencingToken: 41, commands };
+  assert.deepEqual(encodeHeartbeatReply(reply), { baton: 41, orders });
+  assert.deepEqual(decodeHeartbeatReply({ baton: 41, orders }), reply);
+  const request = encodeCommandRequest({ ...reply, session: 3 });
+  assert.deepEqual(request, { baton: 41, shift: 3, orders });
+});
+
+void test('cloud and state service: every field of the protocol is mapped', () => {
+  const types = {
+    builds: [
+      {
+        name: 'g8',
+        vcpus: 96,
+        gpus: 8,
+        ram_gb: 768,
+        cache_gb: 200,
+        fetch_gb_per_s: 1,
+        rate: 12,
+        spot_price: 4.5,
+        ready_s: 45,
+        halls: ['a', 'b'],
+      },
+    ],
+  };
+  const decoded = decodeMachineTypes(types);
+  assert.deepEqual(decoded, [
+    {
+      name: 'g8',
+      cpus: 96,
+      gpus: 8,
+      memoryGb: 768,
+      cacheGb: 200,
+      fetchGbPerSecond: 1,
+      onDemandPrice: 12,
+      spotPrice: 4.5,
+      bootSeconds: 45,
+      zones: ['a', 'b'],
+    },
+  ]);
+  assert.deepEqual(encodeMachineTypes(decoded), types);
+  assert.deepEqual(
+    encodeScaleOutRequest({
+      requestId: 'r-17',
+      machineType: 'g8',
+      zone: 'a',
+      spot: true,
+      count: 12,
+    }),
+    { hire: 'r-17', build: 'g8', hall: 'a', loaners: true, how_many: 12 },
+  );
+  const listed = {
+    name_id: 'vm-000231',
+    addr: '10.1.0.232:9000',
+    build: 'g8',
+    hall: 'a',
+    loaners: true,
+    status: 'running',
+    age_s: 61.5,
+  };
+  assert.deepEqual(decodeMachinePage({ boxes: [listed], has_next: false }), {
+    machines: [
+      {
+        id: 'vm-000231',
+        address: '10.1.0.232:9000',
+        machineType: 'g8',
+        zone: 'a',
+        spot: true,
+        status: 'running',
+        ageSeconds: 61.5,
+      },
+    ],
+    hasNext: false,
+  });
+  const writes = [
+    { put: 'a/b', data: {}, leaseId: 7 },
+    { put: 'a/c', data: {} },
+    { delete: 'c/d' },
+  ];
+  assert.deepEqual(encodeTransaction([{ key: 'a/b', revision: 0 }], writes), {
+    if: [{ key: 'a/b', stamp: 0 }],
+    writes: [{ put: 'a/b', data: {}, tenure: 7 }, { put: 'a/c', data: {} }, { delete: 'c/d' }],
+  });
 });
--- a/test/unit/worker-reports.test.ts
+++ b/test/unit/worker-reports.test.ts
@@ -4,20 +4,20 @@
 import { MAX_FRAME_BYTES } from '../../src/peer/framing.js';
 import { encodeResponse } from '../../src/peer/messages.js';
 import { NodeId, seconds } from '../../src/units/index.js';
-import { encode, type Beat, type Order } from '../../src/wire/index.js';
+import { encode, encodeHeartbeat, type Heartbeat, type Command } from '../../src/wire/index.js';
 import { EPOCH, leadingNode } from '../support/api.js';
 
-const report = (box: string, baton = 0): Beat => ({
-  box,
-  addr: '',
-  build: 'small',
-  hall: 'a',
-  loaners: true,
-  shift: 1,
-  tally: 1,
-  baton,
-  recall_s: null,
-  entries: [],
+const report = (box: string, baton = 0): Heartbeat => ({
+  machine: box,
+  address: '',
+  machineType: 'small',
+  zone: 'a',
+  spot: true,
+  session: 1,
+  sequence: 1,
+  fencingToken: baton,
+  reclaimNoticeSeconds: null,
+  tasks: [],
 });
 
 void test('a report gets no 200 before the leader knows which jobs are cancelled', async () => {
@@ -31,7 +31,7 @@
         ? workers
             .handleRelayed(NodeId('node-1'), EPOCH, [full])
             .then((r) => r.type === 'reportResponses' && r.responses[0]?.outcome === 'accepted')
-        : workers.handle(encode(report('vm-1'))).then((r) => r.status === 200);
+        : workers.handle(encode(encodeHeartbeat(report('vm-1')))).then((r) => r.status === 200);
       await Promise.resolve();
       term.isReady = ready;
       became();
@@ -79,10 +79,11 @@
 void test('a leader that is too small sends workers to others, and serves those that are back', async () => {
   const { workers, term, peers } = leadingNode({ kind: 'absent' });
   Object.assign(term, { redirectsWorkers: true });
-  const status = async (box: string) => (await workers.handle(encode(report(box)))).status;
+  const status = async (box: string) =>
+    (await workers.handle(encode(encodeHeartbeat(report(box))))).status;
   assert.equal(await status('vm-0'), 200, 'no other node answers');
   peers.set(NodeId('node-1'), { responsive: true, ask: () => Promise.resolve(undefined) });
-  assert.deepEqual(await workers.handle(encode(report('vm-1'))), {
+  assert.deepEqual(await workers.handle(encode(encodeHeartbeat(report('vm-1')))), {
     status: 421,
     body: { clerk: 'node-1' },
   });
@@ -96,14 +97,14 @@
 void test('the orders that answer a batch fit a frame; the reports beyond are left to another', async () => {
   const { workers, term, time } = leadingNode({ kind: 'absent' });
   const entry = `run-${'9'.repeat(20)}/99999`;
-  const orders = Array.from({ length: 300 }, (_, i): Order => {
-    return { verb: 'kill', entry, try: 2 ** 40 + i, wind_down_s: 10 };
+  const commands = Array.from({ length: 300 }, (_, i): Command => {
+    return { type: 'kill', task: entry, attempt: 2 ** 40 + i, gracePeriodSeconds: 10 };
   });
   let taken = 0;
   Object.assign(term, {
     takeRelayedReport: () => {
       taken++;
-      return { reply: { baton: EPOCH, orders }, baseline: 1 };
+      return { reply: { fencingToken: EPOCH, commands }, baseline: 1 };
     },
   });
   const batch = Array.from({ length: 60 }, (_, i) => {
