--- a/src/api/app.ts
+++ b/src/api/app.ts
@@ -1,20 +1,20 @@
 /** The HTTP side of users, workers and health checks. */
 import Koa from 'koa';
 import type { Logger } from 'pino';
-import { gather } from '../net/http.js';
+import { readBody } from '../net/http.js';
 import { CONTENT_TYPE, MAX_BODY, encode } from '../wire/index.js';
 import { METHOD_NOT_ALLOWED, TRY_AGAIN, type Reply } from './reply.js';
 import type { UserRequests } from './user-requests.js';
-import type { WorkerReports } from './worker-reports.js';
+import type { WorkerHeartbeats } from './worker-heartbeats.js';
 
 /** What answers the requests of each kind. */
-export interface Endpoints {
-  readonly users: Pick<UserRequests, 'handle'>;
-  readonly workers: Pick<WorkerReports, 'handle'>;
+export interface RequestHandlers {
+  readonly userRequests: Pick<UserRequests, 'handle'>;
+  readonly workerHeartbeats: Pick<WorkerHeartbeats, 'handle'>;
   health(): Reply;
 }
 
-export function createApp(endpoints: Endpoints, log: Logger): Koa {
+export function createApp(endpoints: RequestHandlers, log: Logger): Koa {
   const app = new Koa();
   app.on('error', (e: Error) => log.debug({ err: e.message }, 'connection error'));
   app.use(async (ctx) => {
@@ -28,15 +28,17 @@
   return app;
 }
 
-async function answer(endpoints: Endpoints, ctx: Koa.Context, log: Logger): Promise<Reply> {
+async function answer(endpoints: RequestHandlers, ctx: Koa.Context, log: Logger): Promise<Reply> {
   try {
     if (ctx.path === '/up') return ctx.method === 'GET' ? endpoints.health() : METHOD_NOT_ALLOWED;
-    const body = await gather(ctx.req, MAX_BODY);
+    const body = await readBody(ctx.req, MAX_BODY);
     if (!body) return { status: 400, body: { error: 'body over 64 KiB' } };
     if (ctx.path === '/agent/beat') {
-      return ctx.method === 'POST' ? await endpoints.workers.handle(body) : METHOD_NOT_ALLOWED;
+      return ctx.method === 'POST'
+        ? await endpoints.workerHeartbeats.handle(body)
+        : METHOD_NOT_ALLOWED;
     }
-    return await endpoints.users.handle(ctx.method, ctx.path, body);
+    return await endpoints.userRequests.handle(ctx.method, ctx.path, body);
   } catch (e) {
     log.error({ err: e }, 'request failed');
     return TRY_AGAIN;
--- a/src/api/peer-requests.ts
+++ b/src/api/peer-requests.ts
@@ -7,35 +7,35 @@
 import type { Leadership } from './leadership.js';
 import type { Reply } from './reply.js';
 import type { UserRequests } from './user-requests.js';
-import type { WorkerReports } from './worker-reports.js';
+import type { WorkerHeartbeats } from './worker-heartbeats.js';
 
 /** What the rest of the node does with what peers say. */
 export interface PeerEvents {
-  imageHints(machines: readonly MachineImages[]): void;
-  heartbeat(status: PeerStatus): PeerStatus;
+  onImageHints(machines: readonly MachineImages[]): void;
+  onHeartbeat(status: PeerStatus): PeerStatus;
 }
 
 export class PeerRequests {
   constructor(
     private readonly leadership: Leadership,
     private readonly users: UserRequests,
-    private readonly reports: WorkerReports,
+    private readonly workerHeartbeats: WorkerHeartbeats,
     private readonly http: HttpClient,
     private readonly events: PeerEvents,
   ) {}
 
   async handle(request: PeerRequest): Promise<PeerResponse> {
     switch (request.type) {
-      case 'heartbeat':
-        return { type: 'status', status: this.events.heartbeat(request.status) };
+      case 'peerHeartbeat':
+        return { type: 'peerStatus', status: this.events.onHeartbeat(request.status) };
       case 'imageHints':
-        this.events.imageHints(request.machines);
+        this.events.onImageHints(request.machines);
         return { type: 'acknowledged', ok: true };
       case 'jobNotice':
         return { type: 'acknowledged', ok: await this.findJob(request.job) };
-      case 'reports':
-        return this.reports.handleRelayed(request.node, request.epoch, request.reports);
-      case 'command':
+      case 'workerHeartbeats':
+        return this.workerHeartbeats.handleRelayed(request.node, request.epoch, request.heartbeats);
+      case 'sendCommands':
         return callWorker(this.http, request);
       case 'submitJob':
       case 'readJob':
@@ -47,7 +47,7 @@
   private async findJob(id: string): Promise<boolean> {
     const term = this.leadership.authorisedTerm();
     if (!term?.isReady) return false;
-    await term.find(JobId(id));
+    await term.findJob(JobId(id));
     return true;
   }
 }
--- a/src/api/user-requests.ts
+++ b/src/api/user-requests.ts
@@ -3,10 +3,10 @@
  * otherwise through the leader, otherwise from the store as far as that goes without a leader.
  */
 import type { Logger } from 'pino';
-import type { Admission } from '../ledger/admission.js';
-import type { Held, StoreFront } from '../ledger/front.js';
-import { statusOf, type Final, type Job } from '../ledger/job.js';
-import type { Answer, Submitted, Term } from '../leader/term.js';
+import type { AdmissionControl } from '../ledger/admission.js';
+import type { StoredJob, JobRecords } from '../ledger/job-records.js';
+import { statusOf, type FinalState, type Job } from '../ledger/job.js';
+import type { JobAnswer, SubmitResult, Term } from '../leader/term.js';
 import type { PeerRequest } from '../peer/messages.js';
 import { JobId, later, ms, since, sleep, type Clock, type DurationMs } from '../units/index.js';
 import {
@@ -28,14 +28,14 @@
 const RELAY_READ_TIMEOUT = ms(1200);
 const RELAY_CANCEL_TIMEOUT = ms(1500);
 /** A node that could not write a submission for this long says so at once. */
-const MAX_OWN_WRITE_WAIT = ms(1000);
+const MAX_WRITE_WAIT = ms(1000);
 /** What the store said longer ago than this may not be the latest any more. */
-const STORE_ANSWER_FRESH = ms(250);
+const STORE_ANSWER_TTL = ms(250);
 /** How long, and how often, a cancellation asked for through the store is looked for there. */
-const CANCEL_WATCH = ms(1500);
-const CANCEL_POLL = ms(300);
+const CANCEL_WATCH_TIME = ms(1500);
+const CANCEL_POLL_INTERVAL = ms(300);
 /** The longest a user's request is worked on before it gets its final answer. */
-const MAX_WORK = ms(2500);
+const MAX_REQUEST_TIME = ms(2500);
 
 const JOBS_PATH = '/v1/jobs';
 const JOB_PATH = /^\/v1\/jobs\/([^/]+)$/;
@@ -46,9 +46,9 @@
 
 export class UserRequests {
   constructor(
-    private readonly admission: Admission,
+    private readonly admission: AdmissionControl,
     private readonly leadership: Leadership,
-    private readonly front: StoreFront,
+    private readonly jobRecords: JobRecords,
     private readonly clock: Clock,
     private readonly log: Logger,
     private readonly isIsolated: () => boolean,
@@ -91,7 +91,7 @@
   /** Whatever is still being worked on after a while gets its final answer: try again. */
   private bounded(work: Promise<Reply>): Promise<Reply> {
     return new Promise((resolve) => {
-      const timer = this.clock.after(MAX_WORK, () => resolve(TRY_AGAIN));
+      const timer = this.clock.after(MAX_REQUEST_TIME, () => resolve(TRY_AGAIN));
       work.then(
         (reply) => {
           timer.cancel();
@@ -108,7 +108,7 @@
 
   /** The leader's answer; undefined if it gave none that settles the request. */
   private async askLeader(request: PeerRequest, timeout: DurationMs): Promise<Reply | undefined> {
-    const response = await this.leadership.leaderPeer()?.ask(request, timeout);
+    const response = await this.leadership.leaderPeer()?.request(request, timeout);
     if (response?.type !== 'userResponse') return undefined;
     // A 503 of the node we took for the leader says no more than that it is not ready.
     if (response.status === 503) return undefined;
@@ -132,14 +132,14 @@
     const spec = parsed.value;
     const term = this.leadership.authorisedTerm();
     if (term?.isReady) {
-      if (verdict !== 'unsure') return this.submitToTerm(spec, term);
-      return this.answer(spec.id, await term.find(JobId(spec.id)), TRY_AGAIN, term);
+      if (verdict !== 'undecided') return this.submitToTerm(spec, term);
+      return this.answer(spec.id, await term.findJob(JobId(spec.id)), TRY_AGAIN, term);
     }
     if (relaying === 'relay' && !term) {
       const reply = await this.askLeader({ type: 'submitJob', body }, RELAY_SUBMIT_TIMEOUT);
       if (reply) return reply;
     }
-    return verdict === 'unsure' ? TRY_AGAIN : this.createRecord(spec, relaying);
+    return verdict === 'undecided' ? TRY_AGAIN : this.createRecord(spec, relaying);
   }
 
   /** A repeat of a job that was accepted is answered with its state, whatever it says now. */
@@ -151,7 +151,7 @@
   }
 
   private async submitToTerm(spec: JobSpec, term: Term): Promise<Reply> {
-    const outcome: Submitted = await term.submit(spec);
+    const outcome: SubmitResult = await term.submitJob(spec);
     if (outcome.kind === 'created') return created(spec);
     if (outcome.kind === 'busy') {
       return { status: 429, retryAfter: Math.max(1, Math.ceil(outcome.after / 1000)) };
@@ -161,14 +161,14 @@
 
   /** No leader can be reached: the record is made by this node, if there is none. */
   private async createRecord(spec: JobSpec, relaying: Relaying): Promise<Reply> {
-    const wait = this.front.createWait();
-    if (wait > MAX_OWN_WRITE_WAIT) return { status: 429, retryAfter: Math.ceil(wait / 1000) };
+    const wait = this.jobRecords.createWait();
+    if (wait > MAX_WRITE_WAIT) return { status: 429, retryAfter: Math.ceil(wait / 1000) };
     const asked = this.clock.steady();
-    const made = await this.front.create(spec);
+    const made = await this.jobRecords.create(spec);
     if (made === 'created') {
-      this.tellLeader(spec.id);
+      this.notifyLeader(spec.id);
       // The store's word came late: the user may have been told since that the job is cancelled.
-      if (since(asked, this.clock.steady()) > STORE_ANSWER_FRESH) {
+      if (since(asked, this.clock.steady()) > STORE_ANSWER_TTL) {
         return this.read(spec.id, relaying);
       }
       return created(spec);
@@ -179,15 +179,15 @@
   }
 
   /** Tells the leader of a job that we took in, to save time: it also watches the notices. */
-  private tellLeader(id: string): void {
+  private notifyLeader(id: string): void {
     const term = this.leadership.authorisedTerm();
     if (term) {
-      if (term.isReady) void term.find(JobId(id)).catch(() => undefined);
+      if (term.isReady) void term.findJob(JobId(id)).catch(() => undefined);
       return;
     }
     void this.leadership
       .leaderPeer()
-      ?.ask({ type: 'jobNotice', job: id }, RELAY_READ_TIMEOUT)
+      ?.request({ type: 'jobNotice', job: id }, RELAY_READ_TIMEOUT)
       .catch(() => undefined);
   }
 
@@ -196,46 +196,47 @@
   private async read(id: string, relaying: Relaying): Promise<Reply> {
     if (!JOB_ID.test(id)) return NO_SUCH_JOB;
     const term = this.leadership.authorisedTerm();
-    if (term?.isReady) return this.answer(id, await term.find(JobId(id)), NO_SUCH_JOB, term);
+    if (term?.isReady) return this.answer(id, await term.findJob(JobId(id)), NO_SUCH_JOB, term);
     if (relaying === 'relay' && !term) {
       const reply = await this.askLeader({ type: 'readJob', job: id }, RELAY_READ_TIMEOUT);
       if (reply) return reply;
     }
     const asked = this.clock.steady();
-    const held = await this.front.lookup(JobId(id));
+    const held = await this.jobRecords.lookup(JobId(id));
     // The store's word came late: what is not final may have changed, and its user been told so, since.
-    const late = since(asked, this.clock.steady()) > STORE_ANSWER_FRESH;
+    const late = since(asked, this.clock.steady()) > STORE_ANSWER_TTL;
     return late && held.kind !== 'final' ? TRY_AGAIN : this.stored(id, held);
   }
 
   private async cancel(id: string, relaying: Relaying): Promise<Reply> {
     if (!JOB_ID.test(id)) return NO_SUCH_JOB;
     const term = this.leadership.authorisedTerm();
-    if (term?.isReady) return this.answer(id, await term.abort(JobId(id)), NO_SUCH_JOB, term);
+    if (term?.isReady) return this.answer(id, await term.cancelJob(JobId(id)), NO_SUCH_JOB, term);
     if (relaying === 'relay' && !term) {
       const reply = await this.askLeader({ type: 'cancelJob', job: id }, RELAY_CANCEL_TIMEOUT);
       if (reply) return reply;
     }
-    const held = await this.front.abort(JobId(id));
-    if (held.kind !== 'unsure') return this.stored(id, held);
+    const held = await this.jobRecords.cancel(JobId(id));
+    if (held.kind !== 'unknown') return this.stored(id, held);
     // There is a leader that we can't reach: it is asked through the store, where it will be answered.
-    if (relaying === 'answerHere' || !(await this.front.requestAbort(JobId(id)))) return TRY_AGAIN;
+    if (relaying === 'answerHere' || !(await this.jobRecords.requestCancellation(JobId(id))))
+      return TRY_AGAIN;
     return this.awaitCancellation(id);
   }
 
   private async awaitCancellation(id: string): Promise<Reply> {
-    const until = later(this.clock.steady(), CANCEL_WATCH);
+    const until = later(this.clock.steady(), CANCEL_WATCH_TIME);
     while (this.clock.steady() < until) {
-      await sleep(this.clock, CANCEL_POLL);
-      const held = await this.front.lookup(JobId(id));
-      if (held.kind === 'final' || (held.kind === 'live' && held.job.aborted)) {
+      await sleep(this.clock, CANCEL_POLL_INTERVAL);
+      const held = await this.jobRecords.lookup(JobId(id));
+      if (held.kind === 'final' || (held.kind === 'live' && held.job.cancelled)) {
         return this.stored(id, held);
       }
     }
     return TRY_AGAIN;
   }
 
-  private stored(id: string, held: Held): Reply {
+  private stored(id: string, held: StoredJob): Reply {
     switch (held.kind) {
       case 'live':
         return { status: 200, body: jobBody(held.job) };
@@ -243,12 +244,12 @@
         return { status: 200, body: finalBody(id, held.final) };
       case 'absent':
         return NO_SUCH_JOB;
-      case 'unsure':
+      case 'unknown':
         return TRY_AGAIN;
     }
   }
 
-  private answer(id: string, answer: Answer, absent: Reply, term: Term): Reply {
+  private answer(id: string, answer: JobAnswer, absent: Reply, term: Term): Reply {
     // While we waited, or stood still, another may have come to lead and told users more than we know.
     if (answer.kind !== 'final' && this.leadership.authorisedTerm() !== term) return TRY_AGAIN;
     switch (answer.kind) {
@@ -259,7 +260,7 @@
         return { status: 200, body: finalBody(id, answer.final) };
       case 'absent':
         return absent;
-      case 'unsure':
+      case 'unknown':
         return TRY_AGAIN;
     }
   }
@@ -272,23 +273,24 @@
 
 function jobBody(job: Job): object {
   // Only what is committed is shown; a cancellation that a follower wrote is.
-  const aborted = job.shown.aborted || (job.aborted && job.committed >= job.version);
-  const status = statusOf({ ...job.shown, aborted }, job.spec.taskCount);
+  const aborted =
+    job.committedProgress.cancelled || (job.cancelled && job.committedVersion >= job.version);
+  const status = statusOf({ ...job.committedProgress, cancelled: aborted }, job.spec.taskCount);
   return encodeJobState({
     id: job.id,
     status,
-    done: job.shown.done,
-    running: status === JobStatus.cancelled ? 0 : job.shown.running,
+    done: job.committedProgress.done,
+    running: status === JobStatus.cancelled ? 0 : job.committedProgress.running,
     team: job.spec.team,
   });
 }
 
-const finalBody = (id: string, final: Final): object =>
+const finalBody = (id: string, final: FinalState): object =>
   encodeJobState({
     id,
     status: final.status,
     done: final.done,
     running: 0,
-    team: final.desk,
-    reason: final.cause,
+    team: final.team,
+    reason: final.reason,
   });
--- a/src/api/worker-reports.ts
+++ b/src/api/worker-heartbeats.ts
@@ -4,8 +4,8 @@
  */
 import type { Settings } from '../config/settings.js';
 import type { Term } from '../leader/term.js';
-import type { PeerResponse, RelayedReport, ReportResponse } from '../peer/messages.js';
-import type { ReportRelay } from '../relay/report-relay.js';
+import type { PeerResponse, RelayedHeartbeat, HeartbeatResponse } from '../peer/messages.js';
+import type { HeartbeatRelay } from '../relay/heartbeat-relay.js';
 import {
   MachineId,
   later,
@@ -34,39 +34,43 @@
  * So many relayed reports are taken in one go. A leader that has just taken over has hundreds of them to
  * take, by code that is not compiled yet, and must get to the renewal of its lease meanwhile.
  */
-const REPORTS_PER_TURN = 20;
+const HEARTBEATS_PER_TURN = 20;
 /** What goes beyond these orders waits for another batch, so that the response fits a frame. */
-const MAX_ORDERS_PER_BATCH = 2000;
+const MAX_COMMANDS_PER_BATCH = 2000;
 /** A worker that was redirected and is back this soon can't reach the node that it was sent to. */
-const REDIRECT_BOUNCE = seconds(9);
+const BOUNCE_WINDOW = seconds(9);
 /** For so long such a worker is served here. */
-const SERVED_AFTER_BOUNCE = seconds(20);
-const REDIRECT_FORGOTTEN = seconds(60);
+const BOUNCED_SERVICE_TIME = seconds(20);
+const REDIRECT_TTL = seconds(60);
 
 interface Redirect {
   readonly at: SteadyMs;
   servedUntil: SteadyMs | undefined;
 }
 
-const REFUSED: ReportResponse = { outcome: 'refused', baseline: 0, orders: [] };
-const BASELINE_UNKNOWN: ReportResponse = { outcome: 'baselineUnknown', baseline: 0, orders: [] };
+const REFUSED: HeartbeatResponse = { outcome: 'refused', baseline: 0, commands: [] };
+const BASELINE_UNKNOWN: HeartbeatResponse = {
+  outcome: 'baselineUnknown',
+  baseline: 0,
+  commands: [],
+};
 
-export class WorkerReports {
-  private readonly redirects = new ExpiringMap<MachineId, Redirect>(REDIRECT_FORGOTTEN);
+export class WorkerHeartbeats {
+  private readonly redirects = new ExpiringMap<MachineId, Redirect>(REDIRECT_TTL);
   /** Since when the leader that we know of has not answered us. */
   private leaderSilentSince: SteadyMs | undefined;
 
   constructor(
     private readonly settings: Settings,
     private readonly leadership: Leadership,
-    private readonly relay: ReportRelay,
+    private readonly relay: HeartbeatRelay,
     private readonly clock: Clock,
     private readonly isIsolated: () => boolean,
   ) {}
 
   /** A report that came straight from its worker. */
   async handle(body: Buffer): Promise<Reply> {
-    const report = parseReport(body);
+    const report = parseHeartbeat(body);
     if (!report) return { status: 400, body: { error: 'not a report' } };
     const term = this.leadership.authorisedTerm();
     if (term) return this.answerHere(report, term);
@@ -74,7 +78,7 @@
     if (this.isIsolated()) return NOT_AUTHORISED;
     const leader = this.leaderCutOff();
     // The worker may reach the leader where we don't.
-    if (leader !== undefined && !this.isBack(report.machine)) return redirectTo(leader);
+    if (leader !== undefined && !this.isBounced(report.machine)) return redirectTo(leader);
     const reply = await this.relay.send(report, body.length);
     if (reply) return { status: 200, body: encodeHeartbeatReply(reply) };
     const own = this.leadership.authorisedTerm();
@@ -97,9 +101,9 @@
     // It has seen a newer token than ours: we have no right to act any more.
     if (report.fencingToken > term.epoch) return NOT_AUTHORISED;
     const follower = term.redirectsWorkers ? this.followerFor(report.machine) : undefined;
-    if (follower !== undefined && !this.isBack(report.machine)) return redirectTo(follower);
+    if (follower !== undefined && !this.isBounced(report.machine)) return redirectTo(follower);
     if (!(await this.isRebuilt(term))) return NOT_AUTHORISED;
-    const reply = term.takeReport(report);
+    const reply = term.handleHeartbeat(report);
     return this.leadership.authorisedTerm() === term
       ? { status: 200, body: encodeHeartbeatReply(reply) }
       : NOT_AUTHORISED;
@@ -118,43 +122,43 @@
   async handleRelayed(
     sender: NodeId,
     epoch: number,
-    reports: readonly RelayedReport[],
+    heartbeats: readonly RelayedHeartbeat[],
   ): Promise<PeerResponse> {
     const term = this.leadership.authorisedTerm();
-    if (!term || !(await this.isRebuilt(term))) return allRefused(reports.length);
-    const responses: ReportResponse[] = [];
-    let orders = 0;
-    for (const relayed of reports) {
-      if (responses.length > 0 && responses.length % REPORTS_PER_TURN === 0) {
+    if (!term || !(await this.isRebuilt(term))) return allRefused(heartbeats.length);
+    const responses: HeartbeatResponse[] = [];
+    let commandCount = 0;
+    for (const relayed of heartbeats) {
+      if (responses.length > 0 && responses.length % HEARTBEATS_PER_TURN === 0) {
         await sleep(this.clock, ms(0));
-        if (this.leadership.authorisedTerm() !== term) return allRefused(reports.length);
+        if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
       }
-      const full = orders >= MAX_ORDERS_PER_BATCH;
+      const full = commandCount >= MAX_COMMANDS_PER_BATCH;
       const response = full ? REFUSED : this.takeRelayed(term, sender, epoch, relayed);
-      orders += response.orders.length;
+      commandCount += response.commands.length;
       responses.push(response);
     }
     // A 200 may follow from this response only if authority stands now that all of them are taken.
-    if (this.leadership.authorisedTerm() !== term) return allRefused(reports.length);
-    return { type: 'reportResponses', epoch: term.epoch, responses };
+    if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
+    return { type: 'heartbeatResponses', epoch: term.epoch, responses };
   }
 
   private takeRelayed(
     term: Term,
     sender: NodeId,
     epoch: number,
-    relayed: RelayedReport,
-  ): ReportResponse {
+    relayed: RelayedHeartbeat,
+  ): HeartbeatResponse {
     if (relayed.kind === 'full') {
-      if (relayed.report.fencingToken > term.epoch) return REFUSED;
-      const { reply, baseline } = term.takeRelayedReport(relayed.report, sender);
-      return { outcome: 'accepted', baseline, orders: reply.commands };
+      if (relayed.heartbeat.fencingToken > term.epoch) return REFUSED;
+      const { reply, baseline } = term.handleRelayedHeartbeat(relayed.heartbeat, sender);
+      return { outcome: 'accepted', baseline, commands: reply.commands };
     }
-    if (relayed.token > term.epoch) return REFUSED;
+    if (relayed.fencingToken > term.epoch) return REFUSED;
     if (epoch !== term.epoch) return BASELINE_UNKNOWN;
-    const reply = term.takeUnchangedReport(relayed, sender);
+    const reply = term.handleUnchangedHeartbeat(relayed, sender);
     if (!reply) return BASELINE_UNKNOWN;
-    return { outcome: 'accepted', baseline: relayed.unchangedSince, orders: reply.commands };
+    return { outcome: 'accepted', baseline: relayed.unchangedSince, commands: reply.commands };
   }
 
   /** The node through which a worker is to report; none if no other answers. */
@@ -169,12 +173,12 @@
    * Whether a worker that was redirected is back so soon that it can't reach where it was sent: then it
    * is served here for a while. Otherwise it counts as redirected now.
    */
-  private isBack(machine: string): boolean {
+  private isBounced(machine: string): boolean {
     const id = MachineId(machine);
     const now = this.clock.steady();
     const redirect = this.redirects.get(id);
     if (redirect && isServedHere(redirect, now)) {
-      redirect.servedUntil ??= later(now, SERVED_AFTER_BOUNCE);
+      redirect.servedUntil ??= later(now, BOUNCED_SERVICE_TIME);
       return true;
     }
     this.redirects.set(id, { at: now, servedUntil: undefined }, now);
@@ -183,17 +187,17 @@
 }
 
 const isServedHere = ({ at, servedUntil }: Redirect, now: SteadyMs): boolean =>
-  servedUntil === undefined ? since(at, now) < REDIRECT_BOUNCE : now < servedUntil;
+  servedUntil === undefined ? since(at, now) < BOUNCE_WINDOW : now < servedUntil;
 
 const redirectTo = (node: NodeId): Reply => ({ status: 421, body: encodeRedirect(node) });
 
 const allRefused = (count: number): PeerResponse => ({
-  type: 'reportResponses',
+  type: 'heartbeatResponses',
   epoch: 0,
   responses: Array.from({ length: count }, () => REFUSED),
 });
 
-function parseReport(body: Buffer): Heartbeat | undefined {
+function parseHeartbeat(body: Buffer): Heartbeat | undefined {
   try {
     return decodeHeartbeat(decode(body));
   } catch {
--- a/src/capacity/lost-machines.ts
+++ b/src/capacity/lost-machines.ts
@@ -3,25 +3,25 @@
 import { SteadyMs, ms, since, type DurationMs, type NodeId } from '../units/index.js';
 
 /** A boot is given up after this many times the usual. */
-const BOOT_LOST = 4;
+const LOST_BOOT_FACTOR = 4;
 /** Periods of silence, in reports: of a machine that the cloud's list lacks; of any other. */
-const VANISHED_REPORTS = 1.5;
-const SILENT_REPORTS = 2.75;
+const UNLISTED_HEARTBEATS = 1.5;
+const SILENT_HEARTBEATS = 2.75;
 /** The same where something else than the machine's end may explain its silence. */
-const EXPLAINED_REPORTS = 7;
+const EXPLAINED_HEARTBEATS = 7;
 /**
  * While most of a zone has not found its way back to us, none of it is given up for this many worker
  * leases: its tasks are over after one, and a machine that is well is worth more than a new one.
  */
-const RETURN_LEASES = 2;
+const ZONE_RETURN_LEASES = 2;
 /** A machine that hears nothing is given back after so many worker leases. */
-const DEAF_LEASES = 1.2;
+const NOT_RECEIVING_LEASES = 1.2;
 
-export interface SilenceView {
+export interface LivenessView {
   readonly now: SteadyMs;
   /** Since when this process has answered reports without a break. */
   readonly listeningSince: SteadyMs;
-  readonly report: DurationMs;
+  readonly heartbeatInterval: DurationMs;
   readonly lease: DurationMs;
   /** How long a machine of that type usually takes to boot. */
   readonly bootTime: (machineType: string) => DurationMs;
@@ -30,7 +30,7 @@
 }
 
 /** Never booted, vanished from the list, silent, or deaf for too long; and what was told to go before. */
-export function lostMachines(machines: Iterable<Machine>, view: SilenceView): Machine[] {
+export function lostMachines(machines: Iterable<Machine>, view: LivenessView): Machine[] {
   const lost: Machine[] = [];
   const silent: Machine[] = [];
   const deaf: Machine[] = [];
@@ -38,19 +38,23 @@
   let total = 0;
   for (const m of machines) {
     total++;
-    if (m.deleteSent || isBootLost(m, view)) {
+    if (m.deleteSent || isBootOverdue(m, view)) {
       lost.push(m);
       continue;
     }
     const quiet = silenceOf(m, view);
     if (quiet === undefined) continue;
-    if (m.deafSince !== undefined && since(m.deafSince, view.now) > view.lease * DEAF_LEASES) {
+    if (
+      m.notReceivingSince !== undefined &&
+      since(m.notReceivingSince, view.now) > view.lease * NOT_RECEIVING_LEASES
+    ) {
       deaf.push(m);
     }
     zones.count(m);
-    if (m.missedLists >= 1 && quiet > view.report * VANISHED_REPORTS) lost.push(m);
-    else if (isOnItsWay(m, view) && quiet <= view.report * EXPLAINED_REPORTS) continue;
-    else if (quiet > view.report * SILENT_REPORTS) silent.push(m);
+    if (m.missedLists >= 1 && quiet > view.heartbeatInterval * UNLISTED_HEARTBEATS) lost.push(m);
+    else if (isReconnecting(m, view) && quiet <= view.heartbeatInterval * EXPLAINED_HEARTBEATS)
+      continue;
+    else if (quiet > view.heartbeatInterval * SILENT_HEARTBEATS) silent.push(m);
     else zones.countHeard(m);
   }
   // Where most of a zone is heard, a silent machine is dead. Where it is not, we may be cut off
@@ -61,14 +65,14 @@
   return lost;
 }
 
-function isBootLost(m: Machine, { now, bootTime }: SilenceView): boolean {
+function isBootOverdue(m: Machine, { now, bootTime }: LivenessView): boolean {
   if (m.bootingSince === undefined) return false;
-  return since(m.bootingSince, now) > bootTime(m.place.type) * BOOT_LOST;
+  return since(m.bootingSince, now) > bootTime(m.kind.machineType) * LOST_BOOT_FACTOR;
 }
 
 /** How long it has been silent; undefined if it was never to be heard yet. */
-function silenceOf(m: Machine, { now, listeningSince }: SilenceView): DurationMs | undefined {
-  const last = m.lastHeard ?? m.runsSince;
+function silenceOf(m: Machine, { now, listeningSince }: LivenessView): DurationMs | undefined {
+  const last = m.lastHeardAt ?? m.listedRunningSince;
   if (last === undefined) return undefined;
   // Silence counts only while we listened: not before we led, nor while we answered 503.
   return since(SteadyMs(Math.max(last, listeningSince)), now);
@@ -79,17 +83,17 @@
  * or after the end of the node that they reported through; those that get through first say nothing of
  * the others. In the end the worker's lease tells.
  */
-function isOnItsWay(m: Machine, { unreachableAt }: SilenceView): boolean {
-  if (m.lastHeard === undefined) return true;
-  const lost = m.reportsThrough === undefined ? undefined : unreachableAt.get(m.reportsThrough);
-  return lost !== undefined && lost >= m.lastHeard;
+function isReconnecting(m: Machine, { unreachableAt }: LivenessView): boolean {
+  if (m.lastHeardAt === undefined) return true;
+  const lost = m.relayNode === undefined ? undefined : unreachableAt.get(m.relayNode);
+  return lost !== undefined && lost >= m.lastHeardAt;
 }
 
 /** Whether it is silent for too long even if its whole zone is. */
-function isGivenUp(m: Machine, view: SilenceView): boolean {
+function isGivenUp(m: Machine, view: LivenessView): boolean {
   const quiet = silenceOf(m, view) ?? 0;
-  if (isOnItsWay(m, view)) return quiet > view.lease * RETURN_LEASES;
-  return !m.up || quiet > view.report * EXPLAINED_REPORTS;
+  if (isReconnecting(m, view)) return quiet > view.lease * ZONE_RETURN_LEASES;
+  return !m.isUp || quiet > view.heartbeatInterval * EXPLAINED_HEARTBEATS;
 }
 
 /** How much of each zone is heard. */
@@ -97,18 +101,18 @@
   private readonly total = new Map<string, number>();
   private readonly heard = new Map<string, number>();
 
-  count({ place }: Machine): void {
+  count({ kind: place }: Machine): void {
     this.total.set(place.zone, (this.total.get(place.zone) ?? 0) + 1);
   }
 
-  countHeard({ place }: Machine): void {
+  countHeard({ kind: place }: Machine): void {
     this.heard.set(place.zone, (this.heard.get(place.zone) ?? 0) + 1);
   }
 
-  isMostlyHeard({ place }: Machine): boolean {
+  isMostlyHeard({ kind: place }: Machine): boolean {
     return 2 * (this.heard.get(place.zone) ?? 0) > (this.total.get(place.zone) ?? 0);
   }
 }
 
 /** How long a machine that answers nothing counts as silent rather than dead. */
-export const silentAfter = (report: DurationMs): DurationMs => ms(report * SILENT_REPORTS);
+export const silenceThreshold = (report: DurationMs): DurationMs => ms(report * SILENT_HEARTBEATS);
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,5 +1,5 @@
 import type { HttpClient, Outcome, Request } from '../net/http.js';
-import { Bucket } from '../store/budget.js';
+import { TokenBucket } from '../store/budget.js';
 import { MachineId, ms, type Clock, type DurationMs, type Endpoint } from '../units/index.js';
 import {
   decodeMachinePage,
@@ -12,21 +12,21 @@
   type ScaleOutRequest,
 } from '../wire/index.js';
 
-export const MAX_HIRE = 50;
-export const MAX_DELETE = 100;
-const PAGE = 500;
-const TIMEOUT: DurationMs = ms(5000);
+export const MAX_MACHINES_PER_REQUEST = 50;
+export const MAX_MACHINES_PER_DELETE = 100;
+const PAGE_SIZE = 500;
+const CALL_TIMEOUT: DurationMs = ms(5000);
 
-export type HireResult =
-  | { kind: 'hired'; machines: readonly MachineId[] }
-  | { kind: 'none' }
+export type ScaleOutResult =
+  | { kind: 'rented'; machines: readonly MachineId[] }
+  | { kind: 'noCapacity' }
   | { kind: 'malformed' }
   /** Not carried out, or not known: to be repeated under the same name. */
-  | { kind: 'again'; why: string };
+  | { kind: 'retry'; why: string };
 
 /** The cloud that rents machines. Calls leave under its rate; whoever finds no turn asks later. */
 export class CloudClient {
-  private readonly bucket: Bucket;
+  private readonly bucket: TokenBucket;
 
   constructor(
     private readonly http: HttpClient,
@@ -34,51 +34,51 @@
     clock: Clock,
     rps: number,
   ) {
-    this.bucket = new Bucket(clock, rps * 0.95, Math.max(1, rps * 1.8));
+    this.bucket = new TokenBucket(clock, rps * 0.95, Math.max(1, rps * 1.8));
   }
 
   /** Whether a call may leave now. */
-  ready(): boolean {
-    return this.bucket.wait(1) <= 0;
+  isReady(): boolean {
+    return this.bucket.waitFor(1) <= 0;
   }
 
   private async send(request: Omit<Request, 'endpoint' | 'timeout' | 'lane'>): Promise<Outcome> {
-    this.bucket.spend(1);
+    this.bucket.forceTake(1);
     const o = await this.http.send({
       ...request,
       lane: 'cloud',
       endpoint: this.endpoint,
-      timeout: TIMEOUT,
+      timeout: CALL_TIMEOUT,
     });
     if (o.kind === 'answer' && o.status === 429) this.bucket.drain();
     return o;
   }
 
-  async flavors(): Promise<readonly MachineType[] | undefined> {
+  async machineTypes(): Promise<readonly MachineType[] | undefined> {
     const o = await this.send({ method: 'GET', path: '/flavors' });
     if (o.kind !== 'answer' || o.status !== 200) return undefined;
     return decodeMachineTypes(o.body);
   }
 
-  async hire(request: ScaleOutRequest): Promise<HireResult> {
+  async scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
     const o = await this.send({
       method: 'POST',
       path: '/machines',
       body: encodeScaleOutRequest(request),
     });
-    if (o.kind !== 'answer') return { kind: 'again', why: o.why };
+    if (o.kind !== 'answer') return { kind: 'retry', why: o.why };
     if (o.status === 200) {
       const machines = decodeScaleOutResponse(o.body);
-      if (machines) return { kind: 'hired', machines: machines.map(MachineId) };
+      if (machines) return { kind: 'rented', machines: machines.map(MachineId) };
     }
     const error = (o.body as { error?: unknown } | undefined)?.error;
-    if (o.status === 503 && error === 'no capacity') return { kind: 'none' };
+    if (o.status === 503 && error === 'no capacity') return { kind: 'noCapacity' };
     if (o.status === 400) return { kind: 'malformed' };
-    return { kind: 'again', why: `status ${o.status}` };
+    return { kind: 'retry', why: `status ${o.status}` };
   }
 
   /** True once the cloud has said that the machines are gone. */
-  async remove(machines: readonly MachineId[]): Promise<boolean> {
+  async deleteMachines(machines: readonly MachineId[]): Promise<boolean> {
     const o = await this.send({
       method: 'POST',
       path: '/machines/delete',
@@ -87,12 +87,12 @@
     return o.kind === 'answer' && o.status === 200;
   }
 
-  async list(): Promise<readonly ListedMachine[] | undefined> {
+  async listMachines(): Promise<readonly ListedMachine[] | undefined> {
     const machines: ListedMachine[] = [];
     let from: string | undefined;
     for (;;) {
       const query = from === undefined ? '' : `from=${from}&`;
-      const o = await this.send({ method: 'GET', path: `/machines?${query}limit=${PAGE}` });
+      const o = await this.send({ method: 'GET', path: `/machines?${query}limit=${PAGE_SIZE}` });
       if (o.kind !== 'answer' || o.status !== 200) return undefined;
       const page = decodeMachinePage(o.body);
       if (!page) return undefined;
--- a/src/cloud/catalog.ts
+++ b/src/cloud/machine-catalog.ts
@@ -8,20 +8,20 @@
 } from '../wire/index.js';
 import type { Team } from '../config/settings.js';
 
-export type Verdict = 'ok' | 'unsure' | { readonly never: string };
+export type Verdict = 'ok' | 'undecided' | { readonly never: string };
 
 /**
  * The machine types, their prices and zones, as last read. What rarely changes is also kept in the
  * state service, so that a node that starts while the cloud is out can still judge submissions.
  */
-export class Catalog {
+export class MachineCatalog {
   private types = new Map<string, MachineType>();
 
-  get known(): boolean {
+  get isKnown(): boolean {
     return this.types.size > 0;
   }
 
-  flavor(name: string): MachineType | undefined {
+  machineType(name: string): MachineType | undefined {
     return this.types.get(name);
   }
 
@@ -31,20 +31,20 @@
 
   /** Takes what was read; true if anything but prices changed, so that it is worth keeping. */
   update(flavors: readonly MachineType[]): boolean {
-    const before = JSON.stringify(this.all().map(shape));
+    const before = JSON.stringify(this.all().map(withoutPrices));
     this.types = new Map(flavors.map((f) => [f.name, f]));
-    return JSON.stringify(this.all().map(shape)) !== before;
+    return JSON.stringify(this.all().map(withoutPrices)) !== before;
   }
 
   /** From the state service, if nothing newer is known. */
   restore(data: unknown): void {
-    if (this.known) return;
+    if (this.isKnown) return;
     const types = decodeMachineTypes(data);
     if (types) this.update(types);
   }
 
   /** In the form in which it is stored. */
-  keep(): object {
+  encode(): object {
     return encodeMachineTypes(this.all());
   }
 
@@ -56,12 +56,12 @@
     const whole = s.kind === JobKind.gang;
     const least = whole ? s.taskCount : 1;
     if (
-      (team.cpusMax > 0 && least * s.cpus > team.cpusMax) ||
-      (team.gpusMax > 0 && least * s.gpus > team.gpusMax)
+      (team.maxCpus > 0 && least * s.cpus > team.maxCpus) ||
+      (team.maxGpus > 0 && least * s.gpus > team.maxGpus)
     ) {
       return { never: `${TEAM_FIELD}: it needs more at once than the limit of ${s.team}` };
     }
-    if (!this.known) return 'unsure';
+    if (!this.isKnown) return 'undecided';
     const zones = new Set<string>();
     for (const f of this.types.values()) {
       if (s.machineTypes !== null && !s.machineTypes.includes(f.name)) continue;
@@ -77,4 +77,9 @@
   }
 }
 
-const shape = (f: MachineType): unknown => ({ ...f, rate: 0, spot_price: 0 });
+/** A machine type without its prices, which change all the time. */
+const withoutPrices = (type: MachineType): MachineType => ({
+  ...type,
+  onDemandPrice: 0,
+  spotPrice: 0,
+});
--- a/src/config/operator-file.ts
+++ b/src/config/operator-file.ts
@@ -2,7 +2,7 @@
 import { XMLParser } from 'fast-xml-parser';
 import * as z from 'zod';
 import { seconds } from '../units/index.js';
-import { DEFAULTS, longestLease, type OperatorSettings } from './operator.js';
+import { DEFAULTS, maxLeaderLease, type OperatorSettings } from './operator.js';
 import { SettingsError, type Settings } from './settings.js';
 
 const span = (least: number, most: number) =>
@@ -51,8 +51,8 @@
   }
   return {
     lease: seconds(lease),
-    renew: seconds(renew),
-    idleBoots: f.capacity?.['idle-boots'] ?? DEFAULTS.idleBoots,
+    renewInterval: seconds(renew),
+    idleBootTimes: f.capacity?.['idle-boots'] ?? DEFAULTS.idleBoots,
   };
 }
 
@@ -68,7 +68,7 @@
 
 /** A cancelled task must be gone in time even if its machine only stops when its lease ends. */
 export function checkTogether(s: Settings, o: OperatorSettings): void {
-  if (o.lease > longestLease(s.workers)) {
+  if (o.lease > maxLeaderLease(s.workers)) {
     throw new SettingsError(
       'operator settings: leadership.lease-s: with params.workers.lease_s it must stay below cancel_s',
     );
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -6,23 +6,23 @@
  */
 export interface OperatorSettings {
   readonly lease: DurationMs;
-  readonly renew: DurationMs;
+  readonly renewInterval: DurationMs;
   /** How long a cheap machine without work is kept, in its type's boot times. */
-  readonly idleBoots: number;
+  readonly idleBootTimes: number;
 }
 
 export const DEFAULTS = { leaseS: 4, renewS: 1.2, idleBoots: 1.5 };
 
 export const defaultOperator: OperatorSettings = {
   lease: seconds(DEFAULTS.leaseS),
-  renew: seconds(DEFAULTS.renewS),
-  idleBoots: DEFAULTS.idleBoots,
+  renewInterval: seconds(DEFAULTS.renewS),
+  idleBootTimes: DEFAULTS.idleBoots,
 };
 
 /** Room for what is neither lease: reports under way, timers that fire late. */
-export const SLACK = seconds(2);
+export const LEASE_MARGIN = seconds(2);
 /** No lease of the leader is shorter: the store's own answers may take most of a second. */
-const LEAST_LEASE = seconds(1);
+const MIN_LEASE = seconds(1);
 
 /**
  * How long a leader's lease may be at most. A worker that hears from nobody any more stops its tasks a
@@ -31,18 +31,22 @@
  * both together a cancelled task is gone even if nothing can be told to its machine: they must stay
  * below the time for a cancellation.
  */
-export function longestLease(times: {
+export function maxLeaderLease(times: {
   readonly lease: DurationMs;
-  readonly cancel: DurationMs;
+  readonly cancellationTime: DurationMs;
 }): DurationMs {
-  return ms(times.cancel - stretched(times.lease) - SLACK);
+  return ms(times.cancellationTime - stretched(times.lease) - LEASE_MARGIN);
 }
 
 /** The defaults as far as the platform's times allow. */
 export function defaultsFor(times: {
   readonly lease: DurationMs;
-  readonly cancel: DurationMs;
+  readonly cancellationTime: DurationMs;
 }): OperatorSettings {
-  const lease = ms(Math.max(LEAST_LEASE, Math.min(defaultOperator.lease, longestLease(times))));
-  return { ...defaultOperator, lease, renew: ms(Math.min(defaultOperator.renew, lease / 3)) };
+  const lease = ms(Math.max(MIN_LEASE, Math.min(defaultOperator.lease, maxLeaderLease(times))));
+  return {
+    ...defaultOperator,
+    lease,
+    renewInterval: ms(Math.min(defaultOperator.renewInterval, lease / 3)),
+  };
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -78,50 +78,50 @@
 
 export interface Team {
   readonly name: string;
-  readonly cpus: number;
-  readonly cpusMax: number;
-  readonly gpus: number;
-  readonly gpusMax: number;
+  readonly guaranteedCpus: number;
+  readonly maxCpus: number;
+  readonly guaranteedGpus: number;
+  readonly maxGpus: number;
 }
 
 export interface Objective {
   readonly kind: string;
-  readonly docket: string | undefined;
+  readonly jobClass: string | undefined;
   readonly within: DurationMs | undefined;
   /** Of a deadline: by how many times the stated one. */
   readonly times: number;
 }
 
 /** What the state service takes. */
-export interface StateLimits {
-  readonly rps: number;
-  readonly writeRps: number;
+export interface StoreLimits {
+  readonly requestRate: number;
+  readonly writeRate: number;
   readonly valueBytes: number;
-  readonly txnOps: number;
+  readonly transactionOps: number;
 }
 
 export interface Settings {
   readonly node: NodeId;
-  readonly area: string;
-  readonly api: Endpoint;
-  readonly cluster: Endpoint;
+  readonly zone: string;
+  readonly apiEndpoint: Endpoint;
+  readonly clusterEndpoint: Endpoint;
   readonly others: readonly { node: NodeId; area: string; endpoint: Endpoint }[];
-  readonly cloudAt: Endpoint;
-  readonly stateAt: Endpoint;
+  readonly cloudEndpoint: Endpoint;
+  readonly storeEndpoint: Endpoint;
   readonly nodes: number;
   readonly zones: readonly string[];
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly Objective[];
   readonly workers: {
-    readonly report: DurationMs;
+    readonly heartbeatInterval: DurationMs;
     readonly lease: DurationMs;
     /** Within this time the tasks of a gang notice that one of them is gone. */
     readonly gangPeer: DurationMs;
-    readonly cancel: DurationMs;
+    readonly cancellationTime: DurationMs;
   };
-  readonly state: StateLimits & {
+  readonly state: StoreLimits & {
     /** Its limits from a moment on that nobody announces; undefined if they stay. */
-    readonly next: StateLimits | undefined;
+    readonly next: StoreLimits | undefined;
   };
   readonly cloud: { readonly rps: number; readonly listLag: DurationMs };
   readonly limits: {
@@ -134,24 +134,24 @@
 
 type StateFile = z.infer<typeof File>['params']['state'];
 
-const stateLimits = (file: Omit<StateFile, 'next'>): StateLimits => ({
-  rps: file.rps,
-  writeRps: file.write_rps,
+const stateLimits = (file: Omit<StateFile, 'next'>): StoreLimits => ({
+  requestRate: file.rps,
+  writeRate: file.write_rps,
   valueBytes: Math.floor(file.value_kb * 1024),
-  txnOps: file.txn_ops,
+  transactionOps: file.txn_ops,
 });
 
 /** The limits to come; what they leave out stays as it is. */
-function nextLimits({ next }: StateFile, now: StateLimits): StateLimits | undefined {
+function nextLimits({ next }: StateFile, now: StoreLimits): StoreLimits | undefined {
   if (!next) return undefined;
   return {
-    rps: next.rps ?? now.rps,
-    writeRps: next.write_rps ?? now.writeRps,
+    requestRate: next.rps ?? now.requestRate,
+    writeRate: next.write_rps ?? now.writeRate,
     valueBytes:
       next.value_kb === null || next.value_kb === undefined
         ? now.valueBytes
         : Math.floor(next.value_kb * 1024),
-    txnOps: next.txn_ops ?? now.txnOps,
+    transactionOps: next.txn_ops ?? now.transactionOps,
   };
 }
 
@@ -193,35 +193,41 @@
   }
   return {
     node: NodeId(f.node),
-    area: f.area,
-    api: Endpoint(f.api_addr),
-    cluster: Endpoint(f.cluster_listen),
+    zone: f.area,
+    apiEndpoint: Endpoint(f.api_addr),
+    clusterEndpoint: Endpoint(f.cluster_listen),
     others: f.others.map((o) => ({
       node: NodeId(o.node),
       area: o.area,
       endpoint: Endpoint(o.endpoint),
     })),
-    cloudAt: Endpoint(f.endpoints.cloud),
-    stateAt: Endpoint(f.endpoints.state),
+    cloudEndpoint: Endpoint(f.endpoints.cloud),
+    storeEndpoint: Endpoint(f.endpoints.state),
     nodes: f.params.nodes,
     zones: f.params.zones,
     teams: new Map(
       f.params.teams.map((t) => [
         t.name,
-        { name: t.name, cpus: t.cpus, cpusMax: t.cpus_max, gpus: t.gpus, gpusMax: t.gpus_max },
+        {
+          name: t.name,
+          guaranteedCpus: t.cpus,
+          maxCpus: t.cpus_max,
+          guaranteedGpus: t.gpus,
+          maxGpus: t.gpus_max,
+        },
       ]),
     ),
     objectives: f.params.objectives.map((o) => ({
       kind: o.kind,
-      docket: o.class ?? undefined,
+      jobClass: o.class ?? undefined,
       times: o.times ?? 1,
       within: o.within_s === null || o.within_s === undefined ? undefined : seconds(o.within_s),
     })),
     workers: {
-      report: seconds(w.report_s),
+      heartbeatInterval: seconds(w.report_s),
       lease: seconds(w.lease_s),
       gangPeer: seconds(w.gang_peer_s ?? DEFAULT_GANG_PEER_S),
-      cancel: seconds(w.cancel_s),
+      cancellationTime: seconds(w.cancel_s),
     },
     state: { ...state, next: nextLimits(f.params.state, state) },
     cloud: { rps: f.params.cloud.rps, listLag: seconds(f.params.cloud.list_lag_s) },
--- a/src/fleet/images.ts
+++ b/src/fleet/images.ts
@@ -1,6 +1,6 @@
 /** What a machine probably has in its cache: the images used last, up to its size. */
 export class ImageCache {
-  private readonly held = new Map<string, number>();
+  private readonly sizes = new Map<string, number>();
   private used = 0;
 
   constructor(private sizeGb: number) {}
@@ -10,30 +10,30 @@
   }
 
   use(image: string, gb: number): void {
-    const known = this.held.get(image);
+    const known = this.sizes.get(image);
     if (known !== undefined) {
-      this.held.delete(image);
+      this.sizes.delete(image);
       this.used -= known;
     }
-    this.held.set(image, gb);
+    this.sizes.set(image, gb);
     this.used += gb;
-    for (const [oldest, size] of this.held) {
+    for (const [oldest, size] of this.sizes) {
       if (this.used <= this.sizeGb || oldest === image) break;
-      this.held.delete(oldest);
+      this.sizes.delete(oldest);
       this.used -= size;
     }
   }
 
   list(): { name: string; gb: number }[] {
-    return Array.from(this.held, ([name, gb]) => ({ name, gb }));
+    return Array.from(this.sizes, ([name, gb]) => ({ name, gb }));
   }
 
   has(image: string): boolean {
-    return this.held.has(image);
+    return this.sizes.has(image);
   }
 
   clear(): void {
-    this.held.clear();
+    this.sizes.clear();
     this.used = 0;
   }
 }
--- a/src/leader/deps.ts
+++ b/src/leader/dependencies.ts
@@ -2,34 +2,34 @@
 import type { OperatorSettings } from '../config/operator.js';
 import type { Settings } from '../config/settings.js';
 import type { CloudClient } from '../cloud/client.js';
-import type { Catalog } from '../cloud/catalog.js';
+import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { HttpClient } from '../net/http.js';
 import type { StoreClient } from '../store/client.js';
-import type { StoreFront } from '../ledger/front.js';
+import type { JobRecords } from '../ledger/job-records.js';
 import type { RecordLimits } from '../ledger/record-limits.js';
 import type { Peer } from '../peer/channel.js';
 import type { MachineImages } from '../peer/messages.js';
 import type { Clock, Epoch, NodeId, Random } from '../units/index.js';
 import type { ImageHints } from './image-hints.js';
 
-export interface TermDeps {
+export interface TermDependencies {
   readonly settings: Settings;
   readonly operator: OperatorSettings;
   readonly store: StoreClient;
-  readonly front: StoreFront;
+  readonly jobRecords: JobRecords;
   readonly recordLimits: RecordLimits;
   readonly cloud: CloudClient;
   readonly http: HttpClient;
-  readonly catalog: Catalog;
+  readonly catalog: MachineCatalog;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
   /** The epoch if we may act under it at this moment. */
   readonly authority: () => Epoch | undefined;
-  readonly deposed: (epoch: Epoch) => void;
+  readonly onDeposed: (epoch: Epoch) => void;
   /** The images on machines as the leader before told them; and how to tell the other nodes. */
   readonly imageHints: ImageHints;
-  readonly tellImages: (machines: readonly MachineImages[]) => void;
+  readonly broadcastImageHints: (machines: readonly MachineImages[]) => void;
   /** The ways to the other nodes, through which workers report and get commands. */
   readonly peers: ReadonlyMap<NodeId, Peer>;
 }
--- a/src/leader/gang-lifecycle.ts
+++ b/src/leader/gang-lifecycle.ts
@@ -32,13 +32,13 @@
 }
 
 export interface GangView {
-  readonly entries: number;
-  readonly waiting: number;
-  readonly done: number;
+  readonly taskCount: number;
+  readonly waitingCount: number;
+  readonly doneCount: number;
   /** What its tasks on machines do. */
   readonly tasks: readonly GangTask[];
   /** How long a task takes to save; undefined if it can't. */
-  readonly saveTime: DurationMs | undefined;
+  readonly checkpointTime: DurationMs | undefined;
 }
 
 export type GangAction =
@@ -53,7 +53,7 @@
 /** Beyond the time that saving takes: for the commands to arrive, and for one that has to be sent again. */
 const SAVE_MARGIN = ms(3000);
 
-export function phaseOf({ entries, done, tasks }: GangView): GangPhase {
+export function phaseOf({ taskCount: entries, doneCount: done, tasks }: GangView): GangPhase {
   if (done > 0) return 'done';
   if (tasks.length === 0) return 'waiting';
   if (tasks.length < entries || tasks.some((t) => t.isStopping)) return 'stopping';
@@ -63,9 +63,9 @@
 
 export function nextAction(gang: GangView): GangAction {
   const phase = phaseOf(gang);
-  if (phase === 'done') return gang.waiting + gang.tasks.length > 0 ? 'complete' : 'none';
+  if (phase === 'done') return gang.waitingCount + gang.tasks.length > 0 ? 'complete' : 'none';
   // A task that is gone takes the others with it: they would only hold room until they notice.
-  if (phase === 'stopping' && gang.tasks.length < gang.entries) return 'endAttempt';
+  if (phase === 'stopping' && gang.tasks.length < gang.taskCount) return 'endAttempt';
   if (phase === 'running' && mustSave(gang)) return 'saveAndStop';
   return 'none';
 }
@@ -74,7 +74,7 @@
  * Whether a machine is about to be taken, and the gang can still save. As late as possible: until then it
  * works, and may complete. A save fails unless all tasks are told, so it isn't tried where one can't be.
  */
-function mustSave({ tasks, saveTime }: GangView): boolean {
+function mustSave({ tasks, checkpointTime: saveTime }: GangView): boolean {
   if (saveTime === undefined) return false;
   const leavesIn = Math.min(...tasks.map((t) => t.machineLeavesIn ?? Infinity));
   if (leavesIn < saveTime || leavesIn > saveTime + SAVE_MARGIN) return false;
--- a/src/leader/image-hints.ts
+++ b/src/leader/image-hints.ts
@@ -21,21 +21,24 @@
 
 /** Chooses what the leader tells: what changed, and everything now and then. */
 export class ImageHintSender {
-  private readonly told = new Map<string, string>();
-  private fullAt: SteadyMs | undefined;
+  private readonly sentFingerprints = new Map<string, string>();
+  private fullySentAt: SteadyMs | undefined;
 
   /** What there is to tell now, in parts that each fit a message. */
-  parts(machines: Iterable<MachineImages>, now: SteadyMs): readonly (readonly MachineImages[])[] {
-    if (this.fullAt === undefined || since(this.fullAt, now) >= FULL_INTERVAL) {
-      this.fullAt = now;
-      this.told.clear();
+  nextMessages(
+    machines: Iterable<MachineImages>,
+    now: SteadyMs,
+  ): readonly (readonly MachineImages[])[] {
+    if (this.fullySentAt === undefined || since(this.fullySentAt, now) >= FULL_INTERVAL) {
+      this.fullySentAt = now;
+      this.sentFingerprints.clear();
     }
     const parts: MachineImages[][] = [];
     let room = 0;
     for (const machine of machines) {
       const print = fingerprint(machine);
-      if (this.told.get(machine.machine) === print) continue;
-      this.told.set(machine.machine, print);
+      if (this.sentFingerprints.get(machine.machine) === print) continue;
+      this.sentFingerprints.set(machine.machine, print);
       const bytes = sizeOf(machine);
       if (room < bytes || parts.length === 0) {
         parts.push([]);
@@ -52,12 +55,12 @@
 export class ImageHints {
   private readonly known = new Map<string, { machine: MachineImages; at: SteadyMs }>();
 
-  take(machines: readonly MachineImages[], now: SteadyMs): void {
+  record(machines: readonly MachineImages[], now: SteadyMs): void {
     for (const machine of machines) this.known.set(machine.machine, { machine, at: now });
     for (const [id, { at }] of this.known) if (since(at, now) > FORGET_AFTER) this.known.delete(id);
   }
 
-  of(machine: string): MachineImages['images'] {
+  imagesOf(machine: string): MachineImages['images'] {
     return this.known.get(machine)?.machine.images ?? [];
   }
 }
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -1,9 +1,9 @@
-import { CapacityKeeper } from '../capacity/keeper.js';
+import { Autoscaler } from '../capacity/autoscaler.js';
 import { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
-import { sizeOfSpec } from '../fleet/size.js';
+import { taskResources } from '../fleet/resources.js';
 import { LIVE_PREFIX, decodeJob } from '../ledger/codec.js';
-import { Job, Press, type Final } from '../ledger/job.js';
+import { Job, WritePriority, type FinalState } from '../ledger/job.js';
 import { Ledger } from '../ledger/ledger.js';
 import type { SteadyMs } from '../units/index.js';
 import {
@@ -18,56 +18,56 @@
   type NodeId,
   type Timer,
 } from '../units/index.js';
-import type { RelayedReport } from '../peer/messages.js';
+import type { UnchangedHeartbeat } from '../peer/messages.js';
 import type { Heartbeat, HeartbeatReply, JobSpec } from '../wire/index.js';
-import { Board } from './board.js';
-import type { TermDeps } from './deps.js';
-import { Dispatch } from './dispatch.js';
-import { Gangs, isUntold } from './gangs.js';
+import { PlacementIndex } from './placement-index.js';
+import type { TermDependencies } from './dependencies.js';
+import { Scheduler } from './scheduler.js';
+import { GangController, isStartUnsent } from './gang-controller.js';
 import { ImageHintSender } from './image-hints.js';
-import { Orders } from './orders.js';
-import { Reports } from './reports.js';
-import { redirectsWorkers } from './worker-redirects.js';
+import { CommandSender } from './command-sender.js';
+import { HeartbeatHandler } from './heartbeat-handler.js';
+import { shouldRedirectWorkers } from './worker-redirects.js';
 
-const TICK = ms(500);
+const TICK_INTERVAL = ms(500);
 /** So much later than it was due, a tick shows that this process does not keep up. */
-const BEHIND = seconds(1);
+const STALL_THRESHOLD = seconds(1);
 /** So much later, that it has no time for what can be left to the answers to reports. */
-const BUSY = ms(150);
-const HINTS_EVERY = seconds(4);
-const FLEET_EVERY = seconds(10);
+const BUSY_THRESHOLD = ms(150);
+const HINT_INTERVAL = seconds(4);
+const FLEET_LOG_INTERVAL = seconds(10);
 const STORE_TIMEOUT = ms(2000);
 /** Reports that come while the records are being read wait so long for it, counted from the beginning. */
-const MOST_REBUILD_WAIT = ms(1500);
+const MAX_REBUILD_WAIT = ms(1500);
 /** A submission that would wait longer for its turn to be written is refused at once. */
-const MOST_INTAKE_WAIT = ms(1000);
+const MAX_ADMISSION_WAIT = ms(1000);
 
-export type Answer =
+export type JobAnswer =
   | { kind: 'job'; job: Job }
-  | { kind: 'final'; final: Final }
+  | { kind: 'final'; final: FinalState }
   | { kind: 'absent' }
-  | { kind: 'unsure' };
+  | { kind: 'unknown' };
 
-export type Submitted = Answer | { kind: 'created' } | { kind: 'busy'; after: DurationMs };
+export type SubmitResult = JobAnswer | { kind: 'created' } | { kind: 'busy'; after: DurationMs };
 
 /** What the leader does under one epoch: rebuild, take reports, place, order, settle. */
 export class Term {
   readonly ledger: Ledger;
   readonly fleet: Fleet;
-  readonly capacity: CapacityKeeper;
-  private readonly board: Board;
-  private readonly orders: Orders;
-  private readonly gangs: Gangs;
-  private readonly reports: Reports;
-  private readonly dispatch: Dispatch;
+  readonly autoscaler: Autoscaler;
+  private readonly placements: PlacementIndex;
+  private readonly commands: CommandSender;
+  private readonly gangs: GangController;
+  private readonly heartbeats: HeartbeatHandler;
+  private readonly scheduler: Scheduler;
   private readonly hintSender = new ImageHintSender();
-  private hintsSent: SteadyMs;
-  private fleetTold: SteadyMs;
-  private ruled = true;
-  private redirecting = false;
-  private listening: SteadyMs;
+  private hintsSentAt: SteadyMs;
+  private fleetLoggedAt: SteadyMs;
+  private hadAuthority = true;
+  private redirectingWorkers = false;
+  private listeningSince: SteadyMs;
   private readonly unreachableAt = new Map<NodeId, SteadyMs>();
-  private ticked: SteadyMs;
+  private lastTickAt: SteadyMs;
   private closed = false;
   /** Resolves once the term is ready or closed, or has taken too long to become ready. */
   readonly rebuilt: Promise<void>;
@@ -76,54 +76,63 @@
 
   constructor(
     readonly epoch: Epoch,
-    private readonly deps: TermDeps,
+    private readonly deps: TermDependencies,
   ) {
     const { settings, operator, catalog, clock, random, log } = deps;
     const began = clock.steady();
-    this.listening = began;
-    this.ticked = began;
-    this.hintsSent = began;
-    this.fleetTold = began;
+    this.listeningSince = began;
+    this.lastTickAt = began;
+    this.hintsSentAt = began;
+    this.fleetLoggedAt = began;
     this.rebuilt = new Promise((resolve) => (this.stopWaiting = resolve));
-    clock.after(MOST_REBUILD_WAIT, () => this.stopWaiting());
+    clock.after(MAX_REBUILD_WAIT, () => this.stopWaiting());
     this.ledger = new Ledger(deps.store, epoch, deps.recordLimits, clock, random, log, {
-      committed: (job) => this.onCommitted(job),
-      adopted: (job) => this.board.readopt(job),
-      dropped: (job) => this.onDropped(job),
-      finished: (job, final) => {
-        log.info({ job: job.id, desk: final.desk, status: final.status }, 'job over');
+      onCommitted: (job) => this.onCommitted(job),
+      onReplaced: (job) => this.placements.replaceJob(job),
+      onDropped: (job) => this.onDropped(job),
+      onFinished: (job, final) => {
+        log.info({ job: job.id, desk: final.team, status: final.status }, 'job over');
       },
-      deposed: () => deps.deposed(epoch),
+      onDeposed: () => deps.onDeposed(epoch),
     });
     this.fleet = new Fleet({
-      began,
+      startedAt: began,
       lease: settings.workers.lease,
-      cacheOf: (build) => catalog.flavor(build)?.cacheGb,
-      hinted: (id) => deps.imageHints.of(id),
-      sizeOf: (id) => {
+      cacheSizeOf: (build) => catalog.machineType(build)?.cacheGb,
+      imageHintsFor: (id) => deps.imageHints.imagesOf(id),
+      resourcesOf: (id) => {
         const job = this.ledger.jobs.get(id);
-        return job && sizeOfSpec(job.spec);
+        return job && taskResources(job.spec);
       },
     });
-    this.board = new Board(this.ledger, this.fleet, clock, log, {
-      wake: () => this.dispatch.wake(),
-      gangBroken: (job) => this.gangs.noteBroken(job),
+    this.placements = new PlacementIndex(this.ledger, this.fleet, clock, log, {
+      onRoomChanged: () => this.scheduler.schedulePlacing(),
+      onGangBroken: (job) => this.gangs.noteBroken(job),
     });
-    this.orders = new Orders(epoch, this.board, deps, (m, r) => this.reports.observe(m, r, false));
-    this.gangs = new Gangs(this.board, this.orders, clock);
-    const wake = (): void => this.dispatch.wake();
-    this.reports = new Reports(epoch, this.board, this.orders, this.gangs, deps, wake);
-    this.dispatch = new Dispatch(epoch, this.board, this.orders, deps);
-    this.capacity = new CapacityKeeper(
+    this.commands = new CommandSender(epoch, this.placements, deps, (m, r) =>
+      this.heartbeats.observe(m, r, false),
+    );
+    this.gangs = new GangController(this.placements, this.commands, clock);
+    const wake = (): void => this.scheduler.schedulePlacing();
+    this.heartbeats = new HeartbeatHandler(
+      epoch,
+      this.placements,
+      this.commands,
+      this.gangs,
+      deps,
+      wake,
+    );
+    this.scheduler = new Scheduler(epoch, this.placements, this.commands, deps);
+    this.autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        silentAfter: this.dispatch.silentAfter,
-        listeningSince: () => this.listening,
+        silenceThreshold: this.scheduler.silenceThreshold,
+        listeningSince: () => this.listeningSince,
         unreachableAt: this.unreachableAt,
-        queue: () => this.dispatch.queue(),
-        spec: (id) => this.ledger.jobs.get(id)?.spec,
-        expected: () => this.dispatch.expected(),
-        removed: (m, why) => this.removed(m, why),
+        queue: () => this.scheduler.queue(),
+        specOf: (id) => this.ledger.jobs.get(id)?.spec,
+        anticipatedWork: () => this.scheduler.anticipatedWork(),
+        noteRemoved: (m, why) => this.onMachineRemoved(m, why),
       },
       deps.cloud,
       catalog,
@@ -133,7 +142,7 @@
   }
 
   get isReady(): boolean {
-    return this.dispatch.ready;
+    return this.scheduler.isReady;
   }
 
   get isClosed(): boolean {
@@ -145,8 +154,8 @@
     this.stopWaiting();
     this.ticker?.cancel();
     this.ledger.close();
-    this.orders.close();
-    this.dispatch.close();
+    this.commands.close();
+    this.scheduler.close();
   }
 
   async start(): Promise<void> {
@@ -163,14 +172,14 @@
         const id = JobId(item.key.slice(LIVE_PREFIX.length));
         try {
           this.deps.recordLimits.noteRecord(item.data);
-          this.admit(decodeJob(id, item.data, item.revision, now));
+          this.addJob(decodeJob(id, item.data, item.revision, now));
         } catch (e) {
           this.deps.log.error({ job: id, err: e }, 'unreadable record; the job waits for repair');
         }
       }
       break;
     }
-    this.dispatch.ready = true;
+    this.scheduler.isReady = true;
     this.stopWaiting();
     this.deps.log.info(
       { jobs: this.ledger.jobs.size, machines: this.fleet.machines.size },
@@ -182,7 +191,7 @@
 
   /** Whether workers that report straight to this node are sent to the others. */
   get redirectsWorkers(): boolean {
-    return this.redirecting;
+    return this.redirectingWorkers;
   }
 
   private tick(): void {
@@ -192,59 +201,59 @@
       // While authority has lapsed nobody is heard, and nothing follows from that. Nor does it while
       // this process stands still or is far behind: what was reported may still wait to be read.
       const ruling = this.deps.authority() === this.epoch;
-      const behind = since(this.ticked, now) > TICK + BEHIND;
-      if (ruling && (!this.ruled || behind)) this.listening = now;
-      this.ruled = ruling;
-      this.notePeers(now);
-      this.orders.isBusy = since(this.ticked, now) > TICK + BUSY;
-      this.expire();
+      const behind = since(this.lastTickAt, now) > TICK_INTERVAL + STALL_THRESHOLD;
+      if (ruling && (!this.hadAuthority || behind)) this.listeningSince = now;
+      this.hadAuthority = ruling;
+      this.noteUnreachablePeers(now);
+      this.commands.isBusy = since(this.lastTickAt, now) > TICK_INTERVAL + BUSY_THRESHOLD;
+      this.expireLeases();
       if (ruling) {
         const { workers, limits } = this.deps.settings;
         const load = {
           machines: this.fleet.machines.size,
-          report: workers.report,
+          heartbeatInterval: workers.heartbeatInterval,
           cpu: limits.cpu,
         };
-        this.redirecting = redirectsWorkers(this.redirecting, load);
+        this.redirectingWorkers = shouldRedirectWorkers(this.redirectingWorkers, load);
         this.gangs.reviewLeaving();
-        this.sendHints();
-        this.tellFleet();
-        this.dispatch.wake();
+        this.sendImageHints();
+        this.logFleet();
+        this.scheduler.schedulePlacing();
         // In a turn of its own: right after a takeover it takes long, and so does the rest.
-        this.deps.clock.after(ms(1), () => this.rent());
-        this.orders.askSilent(this.fleet.machines.values(), this.dispatch.silentAfter);
+        this.deps.clock.after(ms(1), () => this.scaleCapacity());
+        this.commands.probeSilent(this.fleet.machines.values(), this.scheduler.silenceThreshold);
       }
-      this.ledger.kick();
+      this.ledger.scheduleCommit();
     } catch (e) {
       this.deps.log.error({ err: e }, 'tick failed');
     }
-    this.ticked = this.deps.clock.steady();
-    this.ticker = this.deps.clock.after(TICK, () => this.tick());
+    this.lastTickAt = this.deps.clock.steady();
+    this.ticker = this.deps.clock.after(TICK_INTERVAL, () => this.tick());
   }
 
-  private rent(): void {
-    if (!this.closed && this.deps.authority() === this.epoch) this.capacity.tick();
+  private scaleCapacity(): void {
+    if (!this.closed && this.deps.authority() === this.epoch) this.autoscaler.tick();
   }
 
-  private notePeers(now: SteadyMs): void {
+  private noteUnreachablePeers(now: SteadyMs): void {
     for (const [node, peer] of this.deps.peers) {
       if (!peer.responsive) this.unreachableAt.set(node, now);
     }
   }
 
   /** Now and then, for those on call: what there is, what is in use, and what waits. */
-  private tellFleet(): void {
+  private logFleet(): void {
     const now = this.deps.clock.steady();
-    if (since(this.fleetTold, now) < FLEET_EVERY) return;
-    this.fleetTold = now;
+    if (since(this.fleetLoggedAt, now) < FLEET_LOG_INTERVAL) return;
+    this.fleetLoggedAt = now;
     const machines: Record<string, { up: number; booting: number; cpus: number; used: number }> =
       {};
     for (const m of this.fleet.machines.values()) {
-      const flavor = this.deps.catalog.flavor(m.place.type);
+      const flavor = this.deps.catalog.machineType(m.kind.machineType);
       if (!flavor) continue;
-      const key = `${m.place.type} ${m.place.spot ? 'spot' : 'plain'}`;
+      const key = `${m.kind.machineType} ${m.kind.spot ? 'spot' : 'plain'}`;
       const sum = (machines[key] ??= { up: 0, booting: 0, cpus: 0, used: 0 });
-      if (m.up) {
+      if (m.isUp) {
         sum.up++;
         sum.cpus += flavor.cpus;
         sum.used += Math.round(this.fleet.load(m).used.cpus);
@@ -252,76 +261,78 @@
     }
     const waiting: Record<string, number> = {};
     for (const job of this.ledger.jobs.values()) {
-      if (job.aborted || job.waiting.size === 0) continue;
+      if (job.cancelled || job.waiting.size === 0) continue;
       waiting[job.spec.jobClass] = (waiting[job.spec.jobClass] ?? 0) + job.waiting.size;
     }
     this.deps.log.info({ machines, jobs: this.ledger.jobs.size, waiting }, 'fleet');
   }
 
   /** The other nodes get to know what only this leader remembers, in case one takes over. */
-  private sendHints(): void {
+  private sendImageHints(): void {
     const now = this.deps.clock.steady();
-    if (since(this.hintsSent, now) < HINTS_EVERY) return;
-    this.hintsSent = now;
-    const up = [...this.fleet.machines.values()].filter((m) => m.up);
+    if (since(this.hintsSentAt, now) < HINT_INTERVAL) return;
+    this.hintsSentAt = now;
+    const up = [...this.fleet.machines.values()].filter((m) => m.isUp);
     const known = up.map((m) => ({ machine: m.id, images: m.images.list() }));
-    for (const part of this.hintSender.parts(known, now)) this.deps.tellImages(part);
+    for (const part of this.hintSender.nextMessages(known, now))
+      this.deps.broadcastImageHints(part);
   }
 
   // --- jobs -------------------------------------------------------------------------------------
 
   /** Takes a job that the store holds into the ledger, and its placements onto their machines. */
-  private admit(job: Job): void {
+  private addJob(job: Job): void {
     this.ledger.insert(job);
-    this.dispatch.standby.note(job.spec, this.deps.clock.steady());
-    this.board.admit(job);
-    if (job.settled) job.touch(Press.finish);
-    this.dispatch.wake();
+    this.scheduler.standby.noteSubmission(job.spec, this.deps.clock.steady());
+    this.placements.addJob(job);
+    if (job.isSettled) job.markChanged(WritePriority.completion);
+    this.scheduler.schedulePlacing();
   }
 
   private onCommitted(job: Job): void {
-    for (const p of job.placed.values()) {
-      if (!p.seen && !p.pushed && p.version <= job.committed) this.orders.push(p.machine);
+    for (const p of job.placements.values()) {
+      if (!p.isReported && !p.startPushed && p.version <= job.committedVersion)
+        this.commands.schedulePush(p.machine);
     }
   }
 
   /** A submission came to nothing: what was placed of it along the way was never sent. */
   private onDropped(job: Job): void {
-    for (const index of job.placed.keys()) this.board.release(job, index);
+    for (const index of job.placements.keys()) this.placements.releaseTask(job, index);
   }
 
-  async submit(spec: JobSpec): Promise<Submitted> {
+  async submitJob(spec: JobSpec): Promise<SubmitResult> {
     const id = JobId(spec.id);
-    const known = this.known(id);
+    const known = this.knownJob(id);
     if (known) {
       if (known.kind === 'job' && known.job.revision === 0) {
-        await this.ledger.written(known.job);
+        await this.ledger.whenCommitted(known.job);
       }
-      return (await this.latest(id)) ?? { kind: 'unsure' };
+      return (await this.latestKnown(id)) ?? { kind: 'unknown' };
     }
     // What can't be written soon is refused at once: whoever asks is told when to come back.
-    const wait = this.ledger.intakeWait();
-    if (wait > MOST_INTAKE_WAIT) return { kind: 'busy', after: wait };
+    const wait = this.ledger.admissionWait();
+    if (wait > MAX_ADMISSION_WAIT) return { kind: 'busy', after: wait };
     const job = new Job(id, spec, this.deps.clock.wall(), Revision(0));
-    job.touch(Press.intake);
+    job.markChanged(WritePriority.admission);
     this.ledger.insert(job);
-    this.dispatch.standby.note(spec, this.deps.clock.steady());
+    this.scheduler.standby.noteSubmission(spec, this.deps.clock.steady());
     // What finds room now is placed in the same transaction that takes the job in.
-    this.dispatch.place();
-    const ok = await this.ledger.written(job);
-    const now = await this.latest(id);
+    this.scheduler.placeWaiting();
+    const ok = await this.ledger.whenCommitted(job);
+    const now = await this.latestKnown(id);
     if (now?.kind === 'final') return now;
     if (now?.kind === 'job' && now.job.revision > 0) {
       // It may have been cancelled, too, while it was being written.
-      return ok && now.job === job && !job.aborted ? { kind: 'created' } : now;
+      return ok && now.job === job && !job.cancelled ? { kind: 'created' } : now;
     }
-    return { kind: 'unsure' };
+    return { kind: 'unknown' };
   }
 
-  private known(id: JobId): Answer | undefined {
+  private knownJob(id: JobId): JobAnswer | undefined {
     const job = this.ledger.jobs.get(id);
     if (job) return { kind: 'job', job };
-    const final = this.ledger.final(id);
+    const final = this.ledger.finalState(id);
     return final ? { kind: 'final', final } : undefined;
   }
 
@@ -329,62 +340,62 @@
    * What we know of the job, unless another node may have read its end in the store before we are
    * told of it: never answer older, to whatever question.
    */
-  private async latest(id: JobId): Promise<Answer | undefined> {
-    const known = this.known(id);
-    if (known?.kind !== 'job' || !known.job.turning) return known;
-    await this.ledger.written(known.job);
-    const now = this.known(id);
-    return now?.kind === 'job' && now.job.turning ? { kind: 'unsure' } : now;
+  private async latestKnown(id: JobId): Promise<JobAnswer | undefined> {
+    const known = this.knownJob(id);
+    if (known?.kind !== 'job' || !known.job.terminalWriteInFlight) return known;
+    await this.ledger.whenCommitted(known.job);
+    const now = this.knownJob(id);
+    return now?.kind === 'job' && now.job.terminalWriteInFlight ? { kind: 'unknown' } : now;
   }
 
   /** The job as it is, by memory or, if it is not there, by the store. */
-  async find(id: JobId): Promise<Answer> {
-    const known = await this.latest(id);
+  async findJob(id: JobId): Promise<JobAnswer> {
+    const known = await this.latestKnown(id);
     if (known) {
-      return known.kind === 'job' && known.job.revision === 0 ? { kind: 'unsure' } : known;
+      return known.kind === 'job' && known.job.revision === 0 ? { kind: 'unknown' } : known;
     }
-    const held = await this.deps.front.lookup(id);
-    if (this.closed) return { kind: 'unsure' };
+    const held = await this.deps.jobRecords.lookup(id);
+    if (this.closed) return { kind: 'unknown' };
     if (held.kind === 'live') {
       // Another node took it in while it could not reach us.
-      if (!this.known(id)) this.admit(held.job);
-      return this.known(id) ?? { kind: 'unsure' };
+      if (!this.knownJob(id)) this.addJob(held.job);
+      return this.knownJob(id) ?? { kind: 'unknown' };
     }
     if (held.kind === 'final') {
-      this.ledger.remember(id, held.final);
+      this.ledger.rememberFinal(id, held.final);
       return { kind: 'final', final: held.final };
     }
-    return held.kind === 'absent' ? { kind: 'absent' } : { kind: 'unsure' };
+    return held.kind === 'absent' ? { kind: 'absent' } : { kind: 'unknown' };
   }
 
-  async abort(id: JobId): Promise<Answer> {
-    const found = await this.find(id);
+  async cancelJob(id: JobId): Promise<JobAnswer> {
+    const found = await this.findJob(id);
     if (found.kind !== 'job') return found;
     const { job } = found;
-    job.abort();
+    job.cancel();
     // What was never started need not be stopped.
-    for (const [index, p] of [...job.placed]) {
-      if (isUntold(p)) this.board.unplace(job, index, 'cancelled');
+    for (const [index, p] of [...job.placements]) {
+      if (isStartUnsent(p)) this.placements.requeueTask(job, index, 'cancelled');
     }
-    const ok = await this.ledger.written(job);
-    if (!ok) return { kind: 'unsure' };
-    for (const p of job.placed.values()) this.orders.push(p.machine);
-    return this.known(id) ?? { kind: 'unsure' };
+    const ok = await this.ledger.whenCommitted(job);
+    if (!ok) return { kind: 'unknown' };
+    for (const p of job.placements.values()) this.commands.schedulePush(p.machine);
+    return this.knownJob(id) ?? { kind: 'unknown' };
   }
 
   /** What other nodes did and ask for while they could not reach a leader. */
   private async watchNotices(): Promise<void> {
     while (!this.closed) {
-      const notices = await this.deps.front.notices();
+      const notices = await this.deps.jobRecords.notices();
       if (this.closed) return;
       if (notices) {
-        for (const { key, id, abort } of notices.notices) {
-          const answer = abort ? await this.abort(id) : await this.find(id);
+        for (const { key, id, cancels: abort } of notices.notices) {
+          const answer = abort ? await this.cancelJob(id) : await this.findJob(id);
           if (this.closed) return;
           // One that comes again while it is forgotten asks for nothing that has not been done.
-          if (answer.kind !== 'unsure') this.ledger.forgetNotice(key);
+          if (answer.kind !== 'unknown') this.ledger.deleteNotice(key);
         }
-        const change = await this.deps.front.followNotices(notices.revision);
+        const change = await this.deps.jobRecords.watchNotices(notices.revision);
         if (change) continue;
       }
       await sleep(this.deps.clock, seconds(1));
@@ -393,40 +404,40 @@
 
   // --- machines ---------------------------------------------------------------------------------
 
-  takeReport(report: Heartbeat): HeartbeatReply {
-    return this.reports.take(report);
+  handleHeartbeat(report: Heartbeat): HeartbeatReply {
+    return this.heartbeats.handleDirect(report);
   }
 
-  takeRelayedReport(
+  handleRelayedHeartbeat(
     report: Heartbeat,
     through: NodeId,
   ): { reply: HeartbeatReply; baseline: number } {
-    return this.reports.takeRelayed(report, through);
+    return this.heartbeats.handleRelayed(report, through);
   }
 
   /** Undefined if the report must come in full. */
-  takeUnchangedReport(
-    report: RelayedReport & { readonly kind: 'unchanged' },
+  handleUnchangedHeartbeat(
+    report: UnchangedHeartbeat,
     through: NodeId,
   ): HeartbeatReply | undefined {
-    return this.reports.takeUnchanged(report, through);
+    return this.heartbeats.handleUnchanged(report, through);
   }
 
-  private expire(): void {
+  private expireLeases(): void {
     const now = this.deps.clock.steady();
     for (const m of this.fleet.machines.values()) {
-      if (now <= m.expires || (!m.up && m.assigned.size === 0)) continue;
-      this.deps.log.warn({ machine: m.id, tasks: m.assigned.size }, 'worker lease expired');
-      m.expire();
-      this.board.freeAll(m, 'worker lease expired');
+      if (now <= m.leaseExpiresAt || (!m.isUp && m.assignments.size === 0)) continue;
+      this.deps.log.warn({ machine: m.id, tasks: m.assignments.size }, 'worker lease expired');
+      m.expireLease();
+      this.placements.releaseMachine(m, 'worker lease expired');
     }
     this.fleet.forgetGone(now);
   }
 
   /** The cloud answered that it is gone, or that it stopped on its own. */
-  private removed(m: Machine, why: string): void {
-    this.deps.log.info({ machine: m.id, tasks: m.assigned.size, why }, 'machine is gone');
+  private onMachineRemoved(m: Machine, why: string): void {
+    this.deps.log.info({ machine: m.id, tasks: m.assignments.size, why }, 'machine is gone');
     this.fleet.remove(m, this.deps.clock.steady());
-    this.board.freeAll(m, why);
+    this.placements.releaseMachine(m, why);
   }
 }
--- a/src/leader/worker-redirects.ts
+++ b/src/leader/worker-redirects.ts
@@ -5,14 +5,14 @@
  * About what a report that comes straight from its worker costs a leader, in processor time, all in
  * all: the request, the orders that answer it, and the work that it brings.
  */
-const REPORT_COST_MS = 1;
+const HEARTBEAT_COST_MS = 1;
 /** Of its share of a processor, what reports may take before the other nodes carry them, and until. */
-const FROM = 0.5;
-const UNTIL = 0.35;
+const START_SHARE = 0.5;
+const STOP_SHARE = 0.35;
 
-export interface Load {
+export interface HeartbeatLoad {
   readonly machines: number;
-  readonly report: DurationMs;
+  readonly heartbeatInterval: DurationMs;
   /** The share of a processor that a node has. */
   readonly cpu: number;
 }
@@ -22,7 +22,10 @@
  * they say: then the other nodes take them, and pass them on in batches over the one connection that
  * each has to the leader.
  */
-export function redirectsWorkers(now: boolean, { machines, report, cpu }: Load): boolean {
-  const share = (machines * REPORT_COST_MS) / report / cpu;
-  return share > (now ? UNTIL : FROM);
+export function shouldRedirectWorkers(
+  now: boolean,
+  { machines, heartbeatInterval: report, cpu }: HeartbeatLoad,
+): boolean {
+  const share = (machines * HEARTBEAT_COST_MS) / report / cpu;
+  return share > (now ? STOP_SHARE : START_SHARE);
 }
--- a/src/ledger/admission.ts
+++ b/src/ledger/admission.ts
@@ -1,13 +1,13 @@
 /** Whether a submitted job can ever run here, alike on every node. */
 import type { Team } from '../config/settings.js';
-import type { Catalog, Verdict } from '../cloud/catalog.js';
+import type { MachineCatalog, Verdict } from '../cloud/machine-catalog.js';
 import { TASK_COUNT_FIELD, type JobSpec } from '../wire/index.js';
 import { isGang } from './job.js';
 import type { RecordLimits } from './record-limits.js';
 
-export class Admission {
+export class AdmissionControl {
   constructor(
-    private readonly catalog: Catalog,
+    private readonly catalog: MachineCatalog,
     private readonly teams: ReadonlyMap<string, Team>,
     private readonly recordLimits: RecordLimits,
   ) {}
--- a/src/ledger/codec.ts
+++ b/src/ledger/codec.ts
@@ -23,9 +23,9 @@
   encodeCompact,
   type CompactRecord,
 } from './compact-record.js';
-import { Job, type Final } from './job.js';
-import { Ranges } from './ranges.js';
-import { RecordError, placedRuns, type JobFacts } from './record.js';
+import { Job, type FinalState } from './job.js';
+import { IndexRanges } from './index-ranges.js';
+import { RecordError, placedRuns, type JobRecord } from './record.js';
 
 /**
  * Records in the state service. `live/<id>` holds the job and what its tasks do, as ranges:
@@ -34,14 +34,14 @@
  */
 export const FORMAT = 1;
 export const liveKey = (id: JobId): string => `live/${id}`;
-export const doneKey = (id: JobId): string => `done/${id}`;
+export const finalKey = (id: JobId): string => `done/${id}`;
 export const LIVE_PREFIX = 'live/';
 /** Its revision is the epoch of the leader that it names. */
 export const LEADER_KEY = 'leader';
 
 const count = z.number().int().nonnegative();
 
-const Live = z.object({
+const LiveRecordV1 = z.object({
   f: z.literal(FORMAT),
   s: SubmissionMessage,
   t: z.number(),
@@ -55,9 +55,9 @@
   e: count,
   v: count,
 });
-type Live = z.infer<typeof Live>;
+type LiveRecordV1 = z.infer<typeof LiveRecordV1>;
 
-const Done = z.object({
+const FinalRecord = z.object({
   f: z.literal(FORMAT),
   s: z.enum([JobStatus.done, JobStatus.cancelled]),
   n: count,
@@ -66,7 +66,7 @@
   why: z.string(),
 });
 
-export function encodeJob(job: Job, epoch: Epoch): Live {
+export function encodeJob(job: Job, epoch: Epoch): LiveRecordV1 {
   const machines: string[] = [];
   const position = new Map<MachineId, number>();
   const placed = placedRuns(job).map((run): [number, number, number, number] => {
@@ -80,9 +80,9 @@
   return {
     f: FORMAT,
     s: encodeJobSpec(job.spec),
-    t: job.submitted,
-    ...(job.aborted ? { x: true } : {}),
-    ...(job.zone === undefined ? {} : { z: job.zone }),
+    t: job.submittedAt,
+    ...(job.cancelled ? { x: true } : {}),
+    ...(job.boundZone === undefined ? {} : { z: job.boundZone }),
     n: job.nextAttempt,
     d: job.doneCount,
     w: job.waiting.list(),
@@ -98,12 +98,12 @@
   encodeCompact(job, placedRuns(job), epoch);
 
 /** Which leader's which version a record is: tells our own late write from another's. */
-export interface Mark {
+export interface WriterMark {
   readonly epoch: number;
   readonly version: number;
 }
 
-export function markOf(data: unknown): Mark | undefined {
+export function writerMarkOf(data: unknown): WriterMark | undefined {
   const parsed = z.object({ e: count, v: count }).safeParse(data);
   return parsed.success ? { epoch: parsed.data.e, version: parsed.data.v } : undefined;
 }
@@ -112,18 +112,18 @@
 export const isCompact = (data: unknown): boolean =>
   z.object({ f: z.literal(COMPACT_FORMAT) }).safeParse(data).success;
 
-function factsOf(id: JobId, data: unknown): JobFacts {
+function decodeFacts(id: JobId, data: unknown): JobRecord {
   if (isCompact(data)) return decodeCompact(id, data);
-  const r = Live.parse(data);
+  const r = LiveRecordV1.parse(data);
   return {
     spec: decodeJobSpec(r.s),
-    submitted: r.t,
-    aborted: r.x ?? false,
-    zone: r.z,
+    submittedAt: r.t,
+    cancelled: r.x ?? false,
+    boundZone: r.z,
     nextAttempt: r.n,
-    done: r.d,
+    doneCount: r.d,
     waiting: r.w,
-    placed: r.p.map(([from, to, attempt, m]) => {
+    placements: r.p.map(([from, to, attempt, m]) => {
       const machine = r.m[m];
       if (machine === undefined) throw new RecordError('p names no machine');
       return { from, to, attempt: Attempt(attempt), machine: MachineId(machine) };
@@ -133,7 +133,7 @@
 
 export function decodeJob(id: JobId, data: unknown, revision: Revision, now: SteadyMs): Job {
   try {
-    return jobFrom(id, factsOf(id, data), revision, now);
+    return toJob(id, decodeFacts(id, data), revision, now);
   } catch (e) {
     const issue = e instanceof z.ZodError ? e.issues[0] : undefined;
     const why = issue ? `${issue.path.join('.')}: ${issue.message}` : (e as Error).message;
@@ -141,53 +141,63 @@
   }
 }
 
-function jobFrom(id: JobId, facts: JobFacts, revision: Revision, now: SteadyMs): Job {
-  const job = new Job(id, facts.spec, WallMs(facts.submitted), revision, Ranges.of(facts.waiting));
-  job.aborted = facts.aborted;
-  job.zone = facts.zone;
+function toJob(id: JobId, facts: JobRecord, revision: Revision, now: SteadyMs): Job {
+  const job = new Job(
+    id,
+    facts.spec,
+    WallMs(facts.submittedAt),
+    revision,
+    IndexRanges.of(facts.waiting),
+  );
+  job.cancelled = facts.cancelled;
+  job.boundZone = facts.boundZone;
   job.nextAttempt = Attempt(facts.nextAttempt);
-  for (const { from, to, attempt, machine } of facts.placed) {
+  for (const { from, to, attempt, machine } of facts.placements) {
     for (let i = from; i < to; i++) {
-      if (job.waiting.has(i) || job.placed.has(i)) {
+      if (job.waiting.has(i) || job.placements.has(i)) {
         throw new RecordError(`task ${i} is in two states`);
       }
-      job.placed.set(i, {
+      job.placements.set(i, {
         machine,
         attempt,
         version: 0,
         inherited: true,
-        at: now,
-        seen: false,
-        pushed: false,
-        stopped: false,
+        placedAt: now,
+        isReported: false,
+        startPushed: false,
+        stopPushed: false,
       });
     }
   }
-  if (job.placed.size > 0) job.lastPlaced = now;
+  if (job.placements.size > 0) job.lastPlacedAt = now;
   // A range that went missing would read as finished work.
-  if (job.doneCount !== facts.done) throw new RecordError(`d says ${facts.done} done`);
+  if (job.doneCount !== facts.doneCount) throw new RecordError(`d says ${facts.doneCount} done`);
   job.version = 1;
-  job.committed = 1;
-  job.shown = { aborted: job.aborted, done: job.doneCount, running: job.placed.size };
+  job.committedVersion = 1;
+  job.committedProgress = {
+    cancelled: job.cancelled,
+    done: job.doneCount,
+    running: job.placements.size,
+  };
   return job;
 }
 
-export function encodeFinal(f: Final): z.infer<typeof Done> {
-  return { f: FORMAT, s: f.status, n: f.entries, d: f.done, [TEAM_FIELD]: f.desk, why: f.cause };
+export function encodeFinal(f: FinalState): z.infer<typeof FinalRecord> {
+  return { f: FORMAT, s: f.status, n: f.taskCount, d: f.done, [TEAM_FIELD]: f.team, why: f.reason };
 }
 
-export function decodeFinal(data: unknown): Final {
-  const parsed = Done.safeParse(data);
+export function decodeFinal(data: unknown): FinalState {
+  const parsed = FinalRecord.safeParse(data);
   if (!parsed.success) throw new RecordError('unreadable final record');
   const r = parsed.data;
-  return { status: r.s, entries: r.n, done: r.d, desk: r[TEAM_FIELD], cause: r.why };
+  return { status: r.s, taskCount: r.n, done: r.d, team: r[TEAM_FIELD], reason: r.why };
 }
 
 /** The size as the state service counts it. */
-export const sizeOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
+export const encodedSize = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 /** A live record as the state service holds it. */
-export type LiveRecord = Live | CompactRecord;
+export type LiveRecord = LiveRecordV1 | CompactRecord;
 
 /** What one more open task can add to a record at worst: its own range, and a waiting one beside. */
 export const BYTES_PER_OPEN_TASK = 40;
@@ -195,7 +205,7 @@
 /** In a compact record: a run of its own, with a distance, a difference of attempts and of machines. */
 const COMPACT_BYTES_PER_OPEN_TASK = 9;
 /** The share of a value that is planned with, and what a record takes beside description and tasks. */
-const USED_SHARE = 0.95;
+const PLANNED_SHARE = 0.95;
 const ENVELOPE_BYTES = 160;
 
 /**
@@ -203,7 +213,7 @@
  * however they end. Placing lowest indexes first keeps everything above in a single range.
  */
 export function openTaskLimit(spec: JobSpec, valueBytes: number): number {
-  const room = valueBytes * USED_SHARE - sizeOf(encodeJobSpec(spec)) - ENVELOPE_BYTES;
+  const room = valueBytes * PLANNED_SHARE - encodedSize(encodeJobSpec(spec)) - ENVELOPE_BYTES;
   return Math.max(0, Math.floor(room / (BYTES_PER_OPEN_TASK + MACHINE_BYTES / 2)));
 }
 
@@ -214,8 +224,9 @@
   longestOtherName: number,
 ): number {
   const perTask = COMPACT_BYTES_PER_OPEN_TASK + longestOtherName;
-  const room = valueBytes * USED_SHARE - compactSpecSize(spec) - ENVELOPE_BYTES;
+  const room = valueBytes * PLANNED_SHARE - compactSpecSize(spec) - ENVELOPE_BYTES;
   return Math.max(0, Math.floor(room / perTask));
 }
 
-const compactSpecSize = (spec: JobSpec): number => sizeOf([null, ...encodeJobSpecValues(spec)]);
+const compactSpecSize = (spec: JobSpec): number =>
+  encodedSize([null, ...encodeJobSpecValues(spec)]);
--- a/src/ledger/compact-record.ts
+++ b/src/ledger/compact-record.ts
@@ -8,7 +8,7 @@
 import { decodeJobSpecValues, encodeJobSpecValues } from '../wire/index.js';
 import { Attempt, MachineId, type Epoch, type JobId } from '../units/index.js';
 import type { Job } from './job.js';
-import { RecordError, type JobFacts, type PlacedRun } from './record.js';
+import { RecordError, type JobRecord, type PlacedRun } from './record.js';
 
 export const COMPACT_FORMAT = 2;
 
@@ -166,9 +166,9 @@
   return {
     f: COMPACT_FORMAT,
     s: encodeJobSpecValues(job.spec),
-    t: job.submitted,
-    ...(job.aborted ? { x: true } : {}),
-    ...(job.zone === undefined ? {} : { z: job.zone }),
+    t: job.submittedAt,
+    ...(job.cancelled ? { x: true } : {}),
+    ...(job.boundZone === undefined ? {} : { z: job.boundZone }),
     n: job.nextAttempt,
     d: job.doneCount,
     ...machines.fields(),
@@ -179,16 +179,16 @@
   };
 }
 
-export function decodeCompact(id: JobId, data: unknown): JobFacts {
+export function decodeCompact(id: JobId, data: unknown): JobRecord {
   const record = CompactRecord.parse(data);
   return {
     spec: decodeJobSpecValues(id, record.s),
-    submitted: record.t,
-    aborted: record.x ?? false,
-    zone: record.z,
+    submittedAt: record.t,
+    cancelled: record.x ?? false,
+    boundZone: record.z,
     nextAttempt: record.n,
-    done: record.d,
+    doneCount: record.d,
     waiting: decodeRanges(record.w),
-    placed: decodeRuns(record.p, new MachineNumbers(record.k, record.g, record.m)),
+    placements: decodeRuns(record.p, new MachineNumbers(record.k, record.g, record.m)),
   };
 }
--- a/src/ledger/ranges.ts
+++ b/src/ledger/index-ranges.ts
@@ -1,10 +1,10 @@
 /** A set of task indexes as sorted, disjoint half-open ranges: 100,000 waiting tasks are one. */
-export class Ranges {
+export class IndexRanges {
   private readonly parts: [number, number][] = [];
   private total = 0;
 
-  static of(parts: Iterable<readonly [number, number]>): Ranges {
-    const r = new Ranges();
+  static of(parts: Iterable<readonly [number, number]>): IndexRanges {
+    const r = new IndexRanges();
     for (const [from, to] of parts) r.addRange(from, to);
     return r;
   }
@@ -13,7 +13,7 @@
     return this.total;
   }
 
-  get fragments(): number {
+  get rangeCount(): number {
     return this.parts.length;
   }
 
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -1,6 +1,6 @@
 import { Mutex } from 'async-mutex';
 import type { Logger } from 'pino';
-import type { Commit, StoreClient } from '../store/client.js';
+import type { CommitResult, StoreClient } from '../store/client.js';
 import { Backoff } from '../store/budget.js';
 import {
   later,
@@ -16,29 +16,29 @@
   type SteadyMs,
   type Timer,
 } from '../units/index.js';
-import { BatchBuilder, changesOf, type Batch, type Sent } from './batch.js';
-import { LEADER_KEY, decodeFinal, decodeJob, doneKey, liveKey, markOf } from './codec.js';
+import { BatchBuilder, changeCountOf, type Batch, type PendingRecord } from './batch.js';
+import { LEADER_KEY, decodeFinal, decodeJob, finalKey, liveKey, writerMarkOf } from './codec.js';
 import { rankOf } from './queue.js';
 import type { RecordLimits } from './record-limits.js';
-import { Press, type Final, type Job } from './job.js';
+import { WritePriority, type FinalState, type Job } from './job.js';
 
-const TXN_TIMEOUT = ms(2000);
+const TRANSACTION_TIMEOUT = ms(2000);
 const READ_TIMEOUT = ms(2000);
 /** Transactions under way at once: a slow one must not hold up the others. */
 const MAX_IN_FLIGHT = 3;
 /** Progress that only saves rework after a takeover is written at most this often per job. */
-const PROGRESS_EVERY = ms(2000);
+const PROGRESS_INTERVAL = ms(2000);
 /** Progress leaves this share of a full burst of writes to what may come next. */
-const PROGRESS_LEAVES = 0.6;
+const PROGRESS_MIN_SHARE = 0.6;
 /**
  * How long each kind of change may be held up by others when writes are scarce: the order in which
  * they are written is that of when they came plus this. Intake and cancellations go before all.
  */
-const MAY_WAIT: Record<Exclude<Press, typeof Press.none>, DurationMs> = {
-  [Press.intake]: ms(0),
-  [Press.place]: ms(400),
-  [Press.finish]: ms(1000),
-  [Press.progress]: ms(5000),
+const MAX_DELAY: Record<Exclude<WritePriority, typeof WritePriority.none>, DurationMs> = {
+  [WritePriority.admission]: ms(0),
+  [WritePriority.placement]: ms(400),
+  [WritePriority.completion]: ms(1000),
+  [WritePriority.progress]: ms(5000),
 };
 const MAX_FINALS = 4000;
 /** How long a record that is too large even by itself is not tried again: as its tasks end, it shrinks. */
@@ -46,19 +46,19 @@
 
 interface Waiter {
   readonly version: number;
-  readonly settle: (ok: boolean) => void;
+  readonly resolve: (ok: boolean) => void;
 }
 
 export interface LedgerEvents {
   /** A version of the job is in the store: what waited for it may happen. */
-  committed(job: Job): void;
+  onCommitted(job: Job): void;
   /** The store holds another record than ours: `job` takes the place of what we had. */
-  adopted(job: Job): void;
-  finished(job: Job, final: Final): void;
+  onReplaced(job: Job): void;
+  onFinished(job: Job, final: FinalState): void;
   /** Its creation was not carried out, and is its user's to repeat: the job does not exist. */
-  dropped(job: Job): void;
+  onDropped(job: Job): void;
   /** Another leader wrote the leader key. */
-  deposed(): void;
+  onDeposed(): void;
 }
 
 /**
@@ -67,23 +67,23 @@
  */
 export class Ledger {
   readonly jobs = new Map<JobId, Job>();
-  private readonly finals = new Map<JobId, Final>();
+  private readonly finalStates = new Map<JobId, FinalState>();
   private readonly waiters = new Map<JobId, Waiter[]>();
   private readonly lastCommit = new Map<JobId, SteadyMs>();
   /** Jobs with changes that are not in the store yet, and since when. */
-  private readonly dirty = new Map<Job, SteadyMs>();
+  private readonly changedSince = new Map<Job, SteadyMs>();
   /** Jobs of a transaction that was refused as too large: each is tried by itself, and not before then. */
-  private readonly alone = new Map<Job, SteadyMs>();
-  private readonly lock = new Mutex();
+  private readonly writtenAloneAfter = new Map<Job, SteadyMs>();
+  private readonly assembleLock = new Mutex();
   private readonly backoff: Backoff;
   private inFlight = 0;
-  private pumping = false;
-  private again = false;
+  private loopRunning = false;
+  private loopRequested = false;
   private closed = false;
-  private wakeAt = Infinity;
-  private waker: Timer | undefined;
+  private retryAt = Infinity;
+  private retryTimer: Timer | undefined;
   /** Keys to delete along the way: notices of jobs that other nodes took in. */
-  private readonly notices = new Set<string>();
+  private readonly noticesToDelete = new Set<string>();
 
   constructor(
     private readonly store: StoreClient,
@@ -99,76 +99,77 @@
 
   close(): void {
     this.closed = true;
-    this.waker?.cancel();
-    for (const list of this.waiters.values()) for (const w of list) w.settle(false);
+    this.retryTimer?.cancel();
+    for (const list of this.waiters.values()) for (const w of list) w.resolve(false);
     this.waiters.clear();
   }
 
-  final(id: JobId): Final | undefined {
-    return this.finals.get(id);
+  finalState(id: JobId): FinalState | undefined {
+    return this.finalStates.get(id);
   }
 
-  remember(id: JobId, final: Final): void {
-    this.finals.delete(id);
-    this.finals.set(id, final);
-    if (this.finals.size > MAX_FINALS) {
-      const oldest = this.finals.keys().next().value;
-      if (oldest !== undefined) this.finals.delete(oldest);
+  rememberFinal(id: JobId, final: FinalState): void {
+    this.finalStates.delete(id);
+    this.finalStates.set(id, final);
+    if (this.finalStates.size > MAX_FINALS) {
+      const oldest = this.finalStates.keys().next().value;
+      if (oldest !== undefined) this.finalStates.delete(oldest);
     }
   }
 
   insert(job: Job): void {
     this.jobs.set(job.id, job);
-    this.mind(job);
+    this.track(job);
   }
 
-  private mind(job: Job): void {
+  private track(job: Job): void {
     const touched = (): void => {
-      if (!this.dirty.has(job)) this.dirty.set(job, this.clock.steady());
-      this.kick();
+      if (!this.changedSince.has(job)) this.changedSince.set(job, this.clock.steady());
+      this.scheduleCommit();
     };
-    job.onTouch = touched;
-    if (job.version > job.committed) touched();
+    job.onChange = touched;
+    if (job.version > job.committedVersion) touched();
   }
 
-  private unmind(job: Job): void {
-    job.onTouch = undefined;
-    this.alone.delete(job);
-    this.dirty.delete(job);
+  private untrack(job: Job): void {
+    job.onChange = undefined;
+    this.writtenAloneAfter.delete(job);
+    this.changedSince.delete(job);
   }
 
   /** About how long a job that is submitted now will wait for its turn to be written. */
-  intakeWait(): DurationMs {
+  admissionWait(): DurationMs {
     const pause = this.backoff.remaining();
     if (pause > 0) return pause;
     let ahead = 1;
-    for (const job of this.dirty.keys()) if (job.press === Press.intake && !job.inFlight) ahead++;
+    for (const job of this.changedSince.keys())
+      if (job.writePriority === WritePriority.admission && !job.writeInFlight) ahead++;
     return this.store.writeBacklog(ahead);
   }
 
-  forgetNotice(key: string): void {
-    this.notices.add(key);
-    this.kick();
+  deleteNotice(key: string): void {
+    this.noticesToDelete.add(key);
+    this.scheduleCommit();
   }
 
   /** Resolves once the job's present version is in the store, or false if that can't be told. */
-  written(job: Job): Promise<boolean> {
-    if (job.committed >= job.version) return Promise.resolve(true);
+  whenCommitted(job: Job): Promise<boolean> {
+    if (job.committedVersion >= job.version) return Promise.resolve(true);
     if (this.closed) return Promise.resolve(false);
     return new Promise((settle) => {
       const list = this.waiters.get(job.id) ?? [];
-      list.push({ version: job.version, settle });
+      list.push({ version: job.version, resolve: settle });
       this.waiters.set(job.id, list);
-      this.kick();
+      this.scheduleCommit();
     });
   }
 
-  private settleWaiters(id: JobId, upTo: number, ok: boolean): void {
+  private resolveWaiters(id: JobId, upTo: number, ok: boolean): void {
     const list = this.waiters.get(id);
     if (!list) return;
     const rest: Waiter[] = [];
     for (const w of list) {
-      if (w.version <= upTo) w.settle(ok);
+      if (w.version <= upTo) w.resolve(ok);
       else rest.push(w);
     }
     if (rest.length > 0) this.waiters.set(id, rest);
@@ -176,83 +177,85 @@
   }
 
   /** Looks for something to write, now or when the budgets allow. */
-  kick(): void {
+  scheduleCommit(): void {
     if (this.closed) return;
-    if (this.pumping) {
-      this.again = true;
+    if (this.loopRunning) {
+      this.loopRequested = true;
       return;
     }
-    this.pumping = true;
-    void this.pump().catch((e: unknown) => {
-      this.pumping = false;
+    this.loopRunning = true;
+    void this.runCommitLoop().catch((e: unknown) => {
+      this.loopRunning = false;
       this.log.error({ err: e }, 'commit loop failed');
-      this.wake(ms(200));
+      this.retryAfter(ms(200));
     });
   }
 
   /** Looks again after a while; of several such wishes the earliest counts. */
-  private wake(after: DurationMs): void {
+  private retryAfter(after: DurationMs): void {
     // Whole steps of the clock: a rest too small for it to move would be waited for for ever.
     const pause = ms(Math.max(1, Math.ceil(after)));
     const at = this.clock.steady() + pause;
-    if (at >= this.wakeAt) return;
-    this.waker?.cancel();
-    this.wakeAt = at;
-    this.waker = this.clock.after(pause, () => {
-      this.wakeAt = Infinity;
-      this.kick();
+    if (at >= this.retryAt) return;
+    this.retryTimer?.cancel();
+    this.retryAt = at;
+    this.retryTimer = this.clock.after(pause, () => {
+      this.retryAt = Infinity;
+      this.scheduleCommit();
     });
   }
 
-  private async pump(): Promise<void> {
+  private async runCommitLoop(): Promise<void> {
     // Let everything that happens in this turn gather in one transaction.
     await Promise.resolve();
     do {
-      this.again = false;
+      this.loopRequested = false;
       while (!this.closed && this.inFlight < MAX_IN_FLIGHT) {
         const pause = this.backoff.remaining();
         if (pause > 0) {
-          this.wake(pause);
+          this.retryAfter(pause);
           break;
         }
-        const batch = await this.lock.runExclusive(() => this.assemble());
+        const batch = await this.assembleLock.runExclusive(() => this.assemble());
         if (!batch) break;
         this.inFlight++;
         void this.write(batch).finally(() => {
           this.inFlight--;
-          this.kick();
+          this.scheduleCommit();
         });
       }
-    } while (this.again);
-    this.pumping = false;
+    } while (this.loopRequested);
+    this.loopRunning = false;
   }
 
   /** What is to be written, most pressing first; what must wait is looked at again in time. */
   private due(now: SteadyMs): Job[] {
     const due: { job: Job; at: number }[] = [];
-    for (const [job, since0] of this.dirty) {
-      if (job.version <= job.committed) {
-        this.dirty.delete(job);
+    for (const [job, since0] of this.changedSince) {
+      if (job.version <= job.committedVersion) {
+        this.changedSince.delete(job);
         continue;
       }
-      if (job.inFlight) continue;
-      const held = since(now, this.alone.get(job) ?? now);
+      if (job.writeInFlight) continue;
+      const held = since(now, this.writtenAloneAfter.get(job) ?? now);
       if (held > 0) {
-        this.wake(held);
+        this.retryAfter(held);
         continue;
       }
-      const press = job.press === Press.none ? Press.progress : job.press;
-      if (press === Press.progress) {
+      const press =
+        job.writePriority === WritePriority.none ? WritePriority.progress : job.writePriority;
+      if (press === WritePriority.progress) {
         const last = this.lastCommit.get(job.id);
-        const early = last === undefined ? 0 : PROGRESS_EVERY - since(last, now);
+        const early = last === undefined ? 0 : PROGRESS_INTERVAL - since(last, now);
         if (early > 0) {
-          this.wake(ms(early));
+          this.retryAfter(ms(early));
           continue;
         }
       }
-      const urgent = press === Press.place && rankOf(job.spec.priority) <= rankOf('high');
-      const wait = urgent ? 0 : MAY_WAIT[press];
-      due.push({ job, at: press === Press.intake ? -Infinity : since0 + wait });
+      const urgent =
+        press === WritePriority.placement && rankOf(job.spec.priority) <= rankOf('high');
+      const wait = urgent ? 0 : MAX_DELAY[press];
+      due.push({ job, at: press === WritePriority.admission ? -Infinity : since0 + wait });
     }
     return due.sort((a, b) => a.at - b.at).map((d) => d.job);
   }
@@ -263,89 +266,90 @@
     const batch = new BatchBuilder(
       this.epoch,
       this.limits,
-      Math.min(this.limits.txnOps, room.writes),
+      Math.min(this.limits.transactionOps, room.writes),
     );
     for (const job of due) {
-      const isSpare = job.press >= Press.progress;
-      if (isSpare && room.share < PROGRESS_LEAVES) {
-        this.wake(ms(500));
+      const isSpare = job.writePriority >= WritePriority.progress;
+      if (isSpare && room.share < PROGRESS_MIN_SHARE) {
+        this.retryAfter(ms(500));
         break;
       }
-      const isAlone = this.alone.has(job);
+      const isAlone = this.writtenAloneAfter.has(job);
       if (isAlone && !batch.isEmpty) continue;
-      if (!batch.hasRoomFor(changesOf(job))) {
+      if (!batch.hasRoomFor(changeCountOf(job))) {
         // What is next in order waits for its turn; less pressing work does not overtake it.
-        if (batch.isEmpty) this.wake(this.store.writeWait(changesOf(job)));
+        if (batch.isEmpty) this.retryAfter(this.store.writeWait(changeCountOf(job)));
         break;
       }
       if (!batch.add(job)) break;
-      this.dirty.delete(job);
+      this.changedSince.delete(job);
       if (isAlone) return batch.build();
     }
-    for (const key of this.notices) {
+    for (const key of this.noticesToDelete) {
       if (!batch.hasRoomFor(1)) break;
-      batch.forget(key);
-      this.notices.delete(key);
+      batch.deleteNotice(key);
+      this.noticesToDelete.delete(key);
     }
     if (!batch.isEmpty) return batch.build();
-    if (this.notices.size > 0) this.wake(this.store.writeWait(1));
+    if (this.noticesToDelete.size > 0) this.retryAfter(this.store.writeWait(1));
     return undefined;
   }
 
   private async write(batch: Batch): Promise<void> {
-    let result: Commit;
+    let result: CommitResult;
     try {
-      result = await this.store.multi(batch.conditions, batch.writes, TXN_TIMEOUT);
+      result = await this.store.transact(batch.conditions, batch.writes, TRANSACTION_TIMEOUT);
     } catch (e) {
       result = { kind: 'unknown', why: (e as Error).message };
     }
     if (this.closed) return;
-    if (result.kind !== 'committed') for (const key of batch.notices) this.notices.add(key);
+    if (result.kind !== 'committed')
+      for (const key of batch.noticeKeys) this.noticesToDelete.add(key);
     switch (result.kind) {
       case 'committed': {
-        this.backoff.worked();
+        this.backoff.noteSuccess();
         const revision = result.revision;
-        await this.lock.runExclusive(() => {
-          for (const s of batch.sent) this.applied(s, revision);
+        await this.assembleLock.runExclusive(() => {
+          for (const s of batch.records) this.noteApplied(s, revision);
         });
         return;
       }
       case 'conflict': {
         if (result.failed.includes(LEADER_KEY)) {
-          this.events.deposed();
+          this.events.onDeposed();
           return;
         }
         const failed = new Set(result.failed);
         await Promise.all(
-          batch.sent.map(async (s) => {
-            if (failed.has(liveKey(s.job.id)) || failed.has(doneKey(s.job.id))) {
-              await this.reread(s);
+          batch.records.map(async (s) => {
+            if (failed.has(liveKey(s.job.id)) || failed.has(finalKey(s.job.id))) {
+              await this.resolveOutcome(s);
             } else this.retry(s);
           }),
         );
         return;
       }
       case 'unknown':
-        this.log.warn({ why: result.why, jobs: batch.sent.length }, 'commit outcome unknown');
-        this.backoff.failed();
-        for (const s of batch.sent) {
-          if (s.job.revision === 0) s.job.doubtful = true;
+        this.log.warn({ why: result.why, jobs: batch.records.length }, 'commit outcome unknown');
+        this.backoff.noteFailure();
+        for (const s of batch.records) {
+          if (s.job.revision === 0) s.job.creationOutcomeUnknown = true;
           // It may still be carried out, and others read its end in the store, until a later write is.
-          if (s.job.turning) s.job.endUnsure = true;
+          if (s.job.terminalWriteInFlight) s.job.terminalOutcomeUnknown = true;
           // Whoever waits is told now: the outcome may take long to find out.
-          this.settleWaiters(s.job.id, s.version, false);
+          this.resolveWaiters(s.job.id, s.version, false);
         }
-        await Promise.all(batch.sent.map((s) => this.reread(s)));
+        await Promise.all(batch.records.map((s) => this.resolveOutcome(s)));
         return;
-      case 'oversize':
-        this.refusedAsTooLarge(batch.sent);
+      case 'tooLarge':
+        this.refusedAsTooLarge(batch.records);
         return;
-      case 'leaseless':
+      case 'leaseExpired':
       case 'refused':
         this.log.info({ why: result.kind === 'refused' ? result.why : '' }, 'commit refused');
-        this.backoff.failed();
-        for (const s of batch.sent) {
-          this.settleWaiters(s.job.id, s.version, false);
+        this.backoff.noteFailure();
+        for (const s of batch.records) {
+          this.resolveWaiters(s.job.id, s.version, false);
           this.retry(s);
         }
     }
@@ -355,56 +359,57 @@
    * The limits of the state service may have been lowered since this was made: then all is written anew,
    * smaller. Otherwise one record is at fault, and must hold up no others until it has shrunk.
    */
-  private refusedAsTooLarge(sent: readonly Sent[]): void {
+  private refusedAsTooLarge(sent: readonly PendingRecord[]): void {
     const isNews = this.limits.noteRefusal();
     this.log.warn({ jobs: sent.length, isNews }, 'commit refused as too large');
     const now = this.clock.steady();
     for (const s of sent) {
       if (!isNews) {
-        this.alone.set(s.job, sent.length > 1 ? now : later(now, OVERSIZE_HOLD));
-        if (sent.length === 1) this.settleWaiters(s.job.id, s.version, false);
+        this.writtenAloneAfter.set(s.job, sent.length > 1 ? now : later(now, OVERSIZE_HOLD));
+        if (sent.length === 1) this.resolveWaiters(s.job.id, s.version, false);
       }
       this.retry(s);
     }
   }
 
-  private retry(s: Sent): void {
+  private retry(s: PendingRecord): void {
     const { job } = s;
-    job.inFlight = false;
-    job.turning = job.endUnsure;
+    job.writeInFlight = false;
+    job.terminalWriteInFlight = job.terminalOutcomeUnknown;
     // A creation that surely was not carried out is the user's to repeat.
-    if (job.revision === 0 && !job.doubtful && !this.waiters.has(job.id)) {
-      this.unmind(job);
+    if (job.revision === 0 && !job.creationOutcomeUnknown && !this.waiters.has(job.id)) {
+      this.untrack(job);
       if (this.jobs.get(job.id) === job) this.jobs.delete(job.id);
-      this.events.dropped(job);
+      this.events.onDropped(job);
       return;
     }
-    if (s.press < job.press) job.press = s.press;
-    if (job.onTouch && !this.dirty.has(job)) this.dirty.set(job, this.clock.steady());
+    if (s.writePriority < job.writePriority) job.writePriority = s.writePriority;
+    if (job.onChange && !this.changedSince.has(job))
+      this.changedSince.set(job, this.clock.steady());
   }
 
-  private applied(s: Sent, revision: Revision): void {
+  private noteApplied(s: PendingRecord, revision: Revision): void {
     const { job } = s;
-    job.inFlight = false;
-    job.turning = false;
-    job.endUnsure = false;
-    job.doubtful = false;
+    job.writeInFlight = false;
+    job.terminalWriteInFlight = false;
+    job.terminalOutcomeUnknown = false;
+    job.creationOutcomeUnknown = false;
     job.revision = revision;
-    job.committed = Math.max(job.committed, s.version);
-    job.shown = s.shown;
-    this.alone.delete(job);
+    job.committedVersion = Math.max(job.committedVersion, s.version);
+    job.committedProgress = s.progress;
+    this.writtenAloneAfter.delete(job);
     this.lastCommit.set(job.id, this.clock.steady());
-    if (s.final) {
-      this.unmind(job);
-      this.remember(job.id, s.final);
+    if (s.finalState) {
+      this.untrack(job);
+      this.rememberFinal(job.id, s.finalState);
       if (this.jobs.get(job.id) === job) this.jobs.delete(job.id);
       this.lastCommit.delete(job.id);
-      this.settleWaiters(job.id, Infinity, true);
-      this.events.finished(job, s.final);
+      this.resolveWaiters(job.id, Infinity, true);
+      this.events.onFinished(job, s.finalState);
       return;
     }
-    this.settleWaiters(job.id, s.version, true);
-    this.events.committed(job);
+    this.resolveWaiters(job.id, s.version, true);
+    this.events.onCommitted(job);
   }
 
   /**
@@ -412,24 +417,24 @@
    * is concluded here needs the old transaction to be dead: our next write names the revision that
    * was read, so either it or the late one wins, and the loser comes back here.
    */
-  private async reread(s: Sent): Promise<void> {
+  private async resolveOutcome(s: PendingRecord): Promise<void> {
     const { job } = s;
     for (;;) {
       if (this.closed) return;
       const live = await this.store.get(liveKey(job.id), READ_TIMEOUT);
       if (this.closed) return;
       if (live.kind === 'found') {
-        const mark = markOf(live.data);
+        const mark = writerMarkOf(live.data);
         if (live.revision === job.revision) this.retry(s);
         else if (mark && mark.epoch === this.epoch && mark.version === s.version) {
-          this.applied({ ...s, final: undefined }, live.revision);
-        } else this.adopt(job, live.data, live.revision);
+          this.noteApplied({ ...s, finalState: undefined }, live.revision);
+        } else this.replaceWithStored(job, live.data, live.revision);
         return;
       }
       if (live.kind === 'absent') {
-        const done = await this.store.get(doneKey(job.id), READ_TIMEOUT);
+        const done = await this.store.get(finalKey(job.id), READ_TIMEOUT);
         if (done.kind === 'found') {
-          this.applied({ ...s, final: decodeFinal(done.data) }, done.revision);
+          this.noteApplied({ ...s, finalState: decodeFinal(done.data) }, done.revision);
           return;
         }
         if (done.kind === 'absent') {
@@ -446,15 +451,15 @@
   }
 
   /** The store holds something we did not write: it counts, our view of the job goes. */
-  private adopt(job: Job, data: unknown, revision: Revision): void {
+  private replaceWithStored(job: Job, data: unknown, revision: Revision): void {
     this.log.warn({ job: job.id }, 'record changed under us; taking what the store holds');
     this.limits.noteRecord(data);
     const fresh = decodeJob(job.id, data, revision, this.clock.steady());
-    fresh.succeed(job);
-    this.unmind(job);
+    fresh.inheritFrom(job);
+    this.untrack(job);
     this.jobs.set(job.id, fresh);
-    this.mind(fresh);
-    this.settleWaiters(job.id, Infinity, false);
-    this.events.adopted(fresh);
+    this.track(fresh);
+    this.resolveWaiters(job.id, Infinity, false);
+    this.events.onReplaced(fresh);
   }
 }
--- a/src/ledger/record-limits.ts
+++ b/src/ledger/record-limits.ts
@@ -6,7 +6,7 @@
  * the version before reads too. The first refusal of something too large shows that the moment has come; it
  * comes after an upgrade, so that from then on every node reads format 2.
  */
-import type { StateLimits } from '../config/settings.js';
+import type { StoreLimits } from '../config/settings.js';
 import type { Epoch } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
 import {
@@ -15,7 +15,7 @@
   encodeJobCompactly,
   isCompact,
   openTaskLimit,
-  sizeOf,
+  encodedSize,
   type LiveRecord,
 } from './codec.js';
 import type { Job } from './job.js';
@@ -27,18 +27,18 @@
 
 export class RecordLimits {
   private lowered = false;
-  private readonly leastValueBytes: number;
+  private readonly minValueBytes: number;
   /** The most changes of one transaction, under the present limits and under those to come. */
-  readonly txnOps: number;
+  readonly transactionOps: number;
 
   constructor(
-    private readonly limits: StateLimits & { readonly next: StateLimits | undefined },
+    private readonly limits: StoreLimits & { readonly next: StoreLimits | undefined },
     /** The limits to come are in force. */
     private readonly onLowered: () => void = () => undefined,
   ) {
     const { next } = limits;
-    this.leastValueBytes = Math.min(limits.valueBytes, next?.valueBytes ?? Infinity);
-    this.txnOps = Math.min(limits.txnOps, next?.txnOps ?? Infinity);
+    this.minValueBytes = Math.min(limits.valueBytes, next?.valueBytes ?? Infinity);
+    this.transactionOps = Math.min(limits.transactionOps, next?.transactionOps ?? Infinity);
   }
 
   get isLowered(): boolean {
@@ -60,10 +60,10 @@
 
   encode(job: Job, epoch: Epoch): EncodedRecord {
     const record = encodeJob(job, epoch);
-    const bytes = sizeOf(record);
-    if (!this.lowered || bytes <= this.leastValueBytes) return { record, bytes };
+    const bytes = encodedSize(record);
+    if (!this.lowered || bytes <= this.minValueBytes) return { record, bytes };
     const compact = encodeJobCompactly(job, epoch);
-    return { record: compact, bytes: sizeOf(compact) };
+    return { record: compact, bytes: encodedSize(compact) };
   }
 
   /** How many tasks of a job may be open at once, so that its record fits however they end. */
@@ -76,8 +76,8 @@
 
   private openTasksLowered(spec: JobSpec, longestOtherName: number): number {
     return Math.max(
-      openTaskLimit(spec, this.leastValueBytes),
-      compactOpenTaskLimit(spec, this.leastValueBytes, longestOtherName),
+      openTaskLimit(spec, this.minValueBytes),
+      compactOpenTaskLimit(spec, this.minValueBytes, longestOtherName),
     );
   }
 
--- a/src/ledger/record.ts
+++ b/src/ledger/record.ts
@@ -13,22 +13,22 @@
   readonly machine: MachineId;
 }
 
-export interface JobFacts {
+export interface JobRecord {
   readonly spec: JobSpec;
-  readonly submitted: number;
-  readonly aborted: boolean;
-  readonly zone: string | undefined;
+  readonly submittedAt: number;
+  readonly cancelled: boolean;
+  readonly boundZone: string | undefined;
   readonly nextAttempt: number;
   /** How many tasks are done: all that neither wait nor are placed. */
-  readonly done: number;
+  readonly doneCount: number;
   readonly waiting: readonly (readonly [number, number])[];
-  readonly placed: readonly PlacedRun[];
+  readonly placements: readonly PlacedRun[];
 }
 
 /** The placed tasks of a job, lowest index first. */
 export function placedRuns(job: Job): PlacedRun[] {
   const runs: PlacedRun[] = [];
-  for (const [index, { machine, attempt }] of [...job.placed].sort((a, b) => a[0] - b[0])) {
+  for (const [index, { machine, attempt }] of [...job.placements].sort((a, b) => a[0] - b[0])) {
     const last = runs.at(-1);
     if (last && last.to === index && last.attempt === attempt && last.machine === machine) {
       runs[runs.length - 1] = { ...last, to: index + 1 };
--- a/src/main.ts
+++ b/src/main.ts
@@ -6,10 +6,10 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { createApp } from './api/app.js';
 import { parseCommandLine } from './cli/cli.js';
-import { longestLease, type OperatorSettings } from './config/operator.js';
+import { maxLeaderLease, type OperatorSettings } from './config/operator.js';
 import type { Settings } from './config/settings.js';
 import { LANE_SOCKETS, NodeHttpClient } from './net/http.js';
-import { Controller } from './node.js';
+import { Controller } from './controller.js';
 import { PeerLink, servePeers } from './peer/channel.js';
 import { systemClock } from './units/system.js';
 import type { Endpoint, NodeId } from './units/index.js';
@@ -60,10 +60,10 @@
     http: new NodeHttpClient(commands, 2, 1),
     log,
     peers: links,
-    run: randomUUID(),
+    processId: randomUUID(),
   });
 
-  const keepAlive = Math.max(LEAST_IDLE_MS, settings.workers.report * IDLE_REPORTS);
+  const keepAlive = Math.max(LEAST_IDLE_MS, settings.workers.heartbeatInterval * IDLE_REPORTS);
   const api = http.createServer(
     {
       keepAliveTimeout: keepAlive,
@@ -75,23 +75,23 @@
     createApp(controller, log).callback() as http.RequestListener,
   );
   api.maxConnections = Math.max(16, maxConnections - own);
-  const peers = servePeers((request) => controller.peers.handle(request), log);
+  const peers = servePeers((request) => controller.peerRequests.handle(request), log);
   const failed = (what: string) => (e: Error) => {
     log.error({ err: e }, `${what} failed`);
     setTimeout(() => open(), 500);
   };
   const open = (): void => {
-    if (!api.listening) listenOn(api, settings.api);
-    if (!peers.listening) listenOn(peers, settings.cluster);
+    if (!api.listening) listenOn(api, settings.apiEndpoint);
+    if (!peers.listening) listenOn(peers, settings.clusterEndpoint);
   };
   api.on('error', failed('listening for users and workers'));
   peers.on('error', failed('listening for the other nodes'));
   open();
   controller.start();
-  if (operator.lease > longestLease(settings.workers)) {
+  if (operator.lease > maxLeaderLease(settings.workers)) {
     log.warn('cancel_s leaves no time for a change of leader beside lease_s: tasks may outlast it');
   }
-  log.info({ area: settings.area }, 'started');
+  log.info({ area: settings.zone }, 'started');
 }
 
 // No await at the top: the bundle that is deployed has none.
--- a/src/net/http.ts
+++ b/src/net/http.ts
@@ -35,7 +35,7 @@
  * so that the sender can still be told; a body many times too long ends the stream. Listens to the
  * stream itself: a pipeline's abort signal costs more than all else that a report takes.
  */
-export function gather(from: Readable, limit: number): Promise<Buffer | undefined> {
+export function readBody(from: Readable, limit: number): Promise<Buffer | undefined> {
   return new Promise((resolve, reject) => {
     const parts: Buffer[] = [];
     let size = 0;
@@ -58,16 +58,16 @@
 }
 
 /** A watch's answer holds all changes and has no size limit; this bounds what we would hold. */
-const MAX_ANSWER = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
 /** The most sockets of the lanes that lead to a single host, and how many of them are kept. */
-const LANES: Record<Exclude<Lane, 'worker'>, { most: number; idle: number }> = {
+const LANE_LIMITS: Record<Exclude<Lane, 'worker'>, { most: number; idle: number }> = {
   lease: { most: 3, idle: 1 },
   store: { most: 16, idle: 6 },
   cloud: { most: 3, idle: 1 },
 };
 /** What those take of a node's sockets together. */
-export const LANE_SOCKETS = Object.values(LANES).reduce((n, l) => n + l.most, 0);
+export const LANE_SOCKETS = Object.values(LANE_LIMITS).reduce((n, l) => n + l.most, 0);
 
 const agentOf = (most: number, idle: number): http.Agent =>
   new http.Agent({
@@ -80,16 +80,16 @@
 /** HTTP with CBOR bodies over kept connections. */
 export class NodeHttpClient implements HttpClient {
   private readonly lanes: Readonly<Record<Exclude<Lane, 'worker'>, http.Agent>> = {
-    lease: agentOf(LANES.lease.most, LANES.lease.idle),
-    store: agentOf(LANES.store.most, LANES.store.idle),
-    cloud: agentOf(LANES.cloud.most, LANES.cloud.idle),
+    lease: agentOf(LANE_LIMITS.lease.most, LANE_LIMITS.lease.idle),
+    store: agentOf(LANE_LIMITS.store.most, LANE_LIMITS.store.idle),
+    cloud: agentOf(LANE_LIMITS.cloud.most, LANE_LIMITS.cloud.idle),
   };
   private readonly workers: http.Agent;
-  private underWay = 0;
+  private inFlight = 0;
 
   /** `total`: the most sockets for hosts of which there are many, those that are kept included. */
   constructor(
-    private readonly total: number,
+    private readonly maxWorkerSockets: number,
     perHost: number,
     idlePerHost: number,
   ) {
@@ -106,7 +106,7 @@
     for (const [name, sockets] of Object.entries(this.workers.freeSockets)) {
       for (const socket of sockets ?? []) if (!socket.destroyed) idle.push({ name, socket });
     }
-    if (this.underWay + idle.length < this.total) return true;
+    if (this.inFlight + idle.length < this.maxWorkerSockets) return true;
     if (idle.some(({ name }) => name.startsWith(`${endpoint}:`))) return true;
     // Hosts come in the order in which they fell idle.
     idle[0]?.socket.destroy();
@@ -119,7 +119,7 @@
     if (toWorker && !this.roomFor(request.endpoint)) {
       return Promise.resolve({ kind: 'undelivered', why: 'no socket is free' });
     }
-    if (toWorker) this.underWay++;
+    if (toWorker) this.inFlight++;
     return new Promise((resolve) => {
       const cut = request.endpoint.lastIndexOf(':');
       let connected = false;
@@ -127,7 +127,7 @@
       const settle = (outcome: Outcome): void => {
         if (settled) return;
         settled = true;
-        if (toWorker) this.underWay--;
+        if (toWorker) this.inFlight--;
         clearTimeout(timer);
         resolve(outcome);
       };
@@ -160,7 +160,7 @@
       });
       req.on('error', (e) => lost(e.message));
       req.on('response', (res) => {
-        gather(res, MAX_ANSWER).then(
+        readBody(res, MAX_RESPONSE_BYTES).then(
           (body) => {
             try {
               if (!body) throw new RangeError('answer too large');
--- a/src/peer/channel.ts
+++ b/src/peer/channel.ts
@@ -18,15 +18,14 @@
   encodeRequest,
   encodeResponse,
   type Envelope,
-  type PeerRequest,
-  type PeerResponse,
-} from './messages.js';
+} from './codec.js';
+import type { PeerRequest, PeerResponse } from './messages.js';
 
 /** One node's way to another. A response of undefined says nothing about what was carried out. */
 export interface Peer {
   /** Whether it answered lately; a node that does not is not waited for. */
   readonly responsive: boolean;
-  ask(request: PeerRequest, timeout: DurationMs): Promise<PeerResponse | undefined>;
+  request(request: PeerRequest, timeout: DurationMs): Promise<PeerResponse | undefined>;
 }
 
 export type PeerHandler = (request: PeerRequest) => Promise<PeerResponse>;
@@ -120,7 +119,7 @@
     for (const settle of [...this.pending.values()]) settle(undefined);
   }
 
-  async ask(request: PeerRequest, timeout: DurationMs): Promise<PeerResponse | undefined> {
+  async request(request: PeerRequest, timeout: DurationMs): Promise<PeerResponse | undefined> {
     this.dial();
     const framer = this.framer;
     if (!framer || this.closed) return undefined;
--- /dev/null
+++ b/src/peer/codec.ts
@@ -0,0 +1,137 @@
+/** Messages between controllers as bytes: an envelope round an Avro record. */
+import type { Command, Heartbeat } from '../wire/index.js';
+import type {
+  HeartbeatResponse,
+  HeartbeatResponses,
+  PeerRequest,
+  PeerResponse,
+  RelayedHeartbeat,
+  SendCommandsRequest,
+  UnchangedHeartbeat,
+  WorkerHeartbeatsRequest,
+} from './messages.js';
+import { EnvelopeType, payloadTypeOf, type MessageType } from './schemas.js';
+
+export interface Envelope<Message> {
+  /** Pairs a response with its request on one connection. */
+  readonly id: number;
+  readonly message: Message;
+}
+
+/** A message that this version can't read, or that is none where it stands. */
+export class MessageError extends Error {
+  override readonly name = 'MessageError';
+}
+
+// Unions as Avro records have them: optional fields in the place of alternatives.
+
+interface CommandRecord {
+  readonly type: Command['type'];
+  readonly task: string;
+  readonly attempt: number;
+  readonly gracePeriodSeconds: number | null;
+}
+
+interface RelayedRecord {
+  readonly full: Heartbeat | null;
+  readonly unchanged: Omit<UnchangedHeartbeat, 'kind'> | null;
+}
+
+type WithCommandRecords<T> = Omit<T, 'commands'> & { readonly commands: readonly CommandRecord[] };
+
+type WorkerHeartbeatsRecord = Omit<WorkerHeartbeatsRequest, 'type' | 'heartbeats'> & {
+  readonly heartbeats: readonly RelayedRecord[];
+};
+
+type HeartbeatResponsesRecord = Omit<HeartbeatResponses, 'type' | 'responses'> & {
+  readonly responses: readonly WithCommandRecords<HeartbeatResponse>[];
+};
+
+/** A grace period belongs to a command to stop alone. */
+function toCommand({ type, task, attempt, gracePeriodSeconds }: CommandRecord): Command {
+  if (type !== 'kill') return { type, task, attempt };
+  return { type, task, attempt, gracePeriodSeconds: gracePeriodSeconds ?? 0 };
+}
+
+function toRelayedHeartbeat({ full, unchanged }: RelayedRecord): RelayedHeartbeat {
+  if (full) return { kind: 'full', heartbeat: full };
+  if (unchanged) return { kind: 'unchanged', ...unchanged };
+  throw new MessageError('a relayed heartbeat is neither full nor unchanged');
+}
+
+const toRelayedRecord = (relayed: RelayedHeartbeat): object =>
+  relayed.kind === 'full' ? { full: relayed.heartbeat } : { unchanged: relayed };
+
+const toResponse = (
+  response: WithCommandRecords<HeartbeatResponse>,
+): HeartbeatResponses['responses'][number] => ({
+  ...response,
+  commands: response.commands.map(toCommand),
+});
+
+function encodeMessage(id: number, message: PeerRequest | PeerResponse): Buffer {
+  const value =
+    message.type === 'workerHeartbeats'
+      ? { ...message, heartbeats: message.heartbeats.map(toRelayedRecord) }
+      : message;
+  const payload = payloadTypeOf(message.type).toBuffer(value);
+  return EnvelopeType.toBuffer({ id, type: message.type, payload });
+}
+
+function toMessage(type: MessageType, value: object): PeerRequest | PeerResponse {
+  switch (type) {
+    case 'sendCommands': {
+      const request = value as WithCommandRecords<SendCommandsRequest>;
+      return { ...request, type, commands: request.commands.map(toCommand) };
+    }
+    case 'heartbeatResponses': {
+      const { epoch, responses } = value as HeartbeatResponsesRecord;
+      return { type, epoch, responses: responses.map(toResponse) };
+    }
+    case 'workerHeartbeats': {
+      const { node, epoch, heartbeats } = value as WorkerHeartbeatsRecord;
+      return { type, node, epoch, heartbeats: heartbeats.map(toRelayedHeartbeat) };
+    }
+    default:
+      return { type, ...value } as PeerRequest | PeerResponse;
+  }
+}
+
+function decodeMessage(bytes: Buffer): Envelope<PeerRequest | PeerResponse> {
+  const { id, type, payload } = EnvelopeType.fromBuffer(bytes) as {
+    id: number;
+    type: MessageType;
+    payload: Buffer;
+  };
+  return { id, message: toMessage(type, payloadTypeOf(type).fromBuffer(payload) as object) };
+}
+
+const RESPONSE_TYPES: ReadonlySet<string> = new Set<PeerResponse['type']>([
+  'peerStatus',
+  'acknowledged',
+  'userResponse',
+  'heartbeatResponses',
+  'commandResult',
+]);
+
+const isResponse = (message: PeerRequest | PeerResponse): message is PeerResponse =>
+  RESPONSE_TYPES.has(message.type);
+
+export const encodeRequest = (id: number, request: PeerRequest): Buffer =>
+  encodeMessage(id, request);
+export const encodeResponse = (id: number, response: PeerResponse): Buffer =>
+  encodeMessage(id, response);
+
+/** Throws on anything that is not a request of this version. */
+export function decodeRequest(bytes: Buffer): Envelope<PeerRequest> {
+  const { id, message } = decodeMessage(bytes);
+  if (isResponse(message)) throw new MessageError(`${message.type} is no request`);
+  return { id, message };
+}
+
+/** Throws on anything that is not a response of this version. */
+export function decodeResponse(bytes: Buffer): Envelope<PeerResponse> {
+  const { id, message } = decodeMessage(bytes);
+  if (!isResponse(message)) throw new MessageError(`${message.type} is no response`);
+  return { id, message };
+}
--- a/src/peer/heartbeats.ts
+++ b/src/peer/liveness.ts
@@ -8,10 +8,10 @@
 /** Without an answer from anybody for this long, a node counts itself as isolated. */
 const ISOLATED_AFTER = seconds(5);
 /** For so long another node's word is believed that the state service is out for it too. */
-const OUTAGE_BELIEVED = seconds(30);
+const OUTAGE_REPORT_TTL = seconds(30);
 
 /** What another node said last, and when. */
-export interface HeardStatus {
+export interface ReceivedStatus {
   readonly at: SteadyMs;
   readonly status: PeerStatus;
 }
@@ -23,7 +23,7 @@
 export function isIsolated(
   now: SteadyMs,
   storeAnswered: SteadyMs,
-  peers: readonly (HeardStatus | undefined)[],
+  peers: readonly (ReceivedStatus | undefined)[],
 ): boolean {
   if (peers.length === 0 || since(storeAnswered, now) < ISOLATED_AFTER) return false;
   for (const peer of peers) {
@@ -31,7 +31,7 @@
     const age = since(peer.at, now);
     if (age < ISOLATED_AFTER) return false;
     const outForAll = !peer.status.storeReachable && peer.at > storeAnswered;
-    if (outForAll && age < OUTAGE_BELIEVED) return false;
+    if (outForAll && age < OUTAGE_REPORT_TTL) return false;
   }
   return true;
 }
@@ -43,8 +43,8 @@
  * Sends heartbeats to the other nodes, so that one that fell silent is known before a user's request
  * depends on it, and so that a node that the state service does not serve still learns who leads.
  */
-export class Heartbeats {
-  private readonly heard = new Map<NodeId, HeardStatus>();
+export class PeerLiveness {
+  private readonly heard = new Map<NodeId, ReceivedStatus>();
   private stopped = false;
 
   constructor(
@@ -55,23 +55,23 @@
   ) {}
 
   start(): void {
-    for (const [node, peer] of this.peers) this.beat(node, peer);
+    for (const [node, peer] of this.peers) this.sendHeartbeat(node, peer);
   }
 
   stop(): void {
     this.stopped = true;
   }
 
-  private beat(node: NodeId, peer: Peer): void {
+  private sendHeartbeat(node: NodeId, peer: Peer): void {
     if (this.stopped) return;
     void peer
-      .ask({ type: 'heartbeat', status: this.ownStatus() }, HEARTBEAT_TIMEOUT)
+      .request({ type: 'peerHeartbeat', status: this.ownStatus() }, HEARTBEAT_TIMEOUT)
       .then((response) => {
-        if (response?.type !== 'status') return;
+        if (response?.type !== 'peerStatus') return;
         this.heard.set(node, { at: this.clock.steady(), status: response.status });
         this.onStatus(response.status);
       })
-      .finally(() => this.clock.after(HEARTBEAT_INTERVAL, () => this.beat(node, peer)));
+      .finally(() => this.clock.after(HEARTBEAT_INTERVAL, () => this.sendHeartbeat(node, peer)));
   }
 
   /** The response to another node's heartbeat. */
--- a/src/placer/types.ts
+++ b/src/placer/types.ts
@@ -1,53 +1,53 @@
 /** What the placer is asked: jobs with waiting tasks, machines with room, limits. */
-import type { Size } from '../fleet/size.js';
+import type { Resources } from '../fleet/resources.js';
 import type { JobId, MachineId } from '../units/index.js';
 
-export interface Host {
+export interface CandidateMachine {
   readonly id: MachineId;
-  readonly type: string;
+  readonly machineType: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly total: Size;
-  readonly free: Size;
+  readonly capacity: Resources;
+  readonly free: Resources;
   /** What a processor of it costs an hour. */
-  readonly rate: number;
-  readonly fetchGbPerS: number;
-  readonly holds: (image: string) => boolean;
+  readonly pricePerCpu: number;
+  readonly fetchGbPerSecond: number;
+  readonly hasImage: (image: string) => boolean;
   /** Images under way to it. */
-  readonly fetching: ReadonlySet<string>;
+  readonly imagesBeingFetched: ReadonlySet<string>;
 }
 
-export interface Want {
+export interface TaskRequest {
   readonly id: JobId;
   readonly team: string;
-  readonly size: Size;
+  readonly resources: Resources;
   readonly image: string;
   readonly imageGb: number;
   /** The allowed machine types and the only allowed zone; null: any. */
-  readonly types: readonly string[] | null;
-  readonly onlyZone: string | null;
-  readonly spot: boolean;
-  readonly together: boolean;
+  readonly machineTypes: readonly string[] | null;
+  readonly requiredZone: string | null;
+  readonly allowSpot: boolean;
+  readonly singleZone: boolean;
   /** The zone that a job kept together is bound to. */
-  readonly zone: string | undefined;
+  readonly boundZone: string | undefined;
   /** The most of its tasks that may be in one zone. */
-  readonly perZone: number;
+  readonly maxPerZone: number;
   /** Its tasks that may be on machines, by zone. */
-  readonly inZone: ReadonlyMap<string, number>;
+  readonly placedByZone: ReadonlyMap<string, number>;
   /** The waiting tasks that may be placed now, lowest index first. */
-  readonly indexes: Iterable<number>;
+  readonly waitingIndexes: Iterable<number>;
   /** All of its waiting tasks are placed at once, or none. */
-  readonly whole: boolean;
+  readonly isGang: boolean;
   /** How many tasks wait in all. */
-  readonly count: number;
+  readonly taskCount: number;
   /** Machines it must not go to. */
-  readonly avoid: ReadonlySet<MachineId>;
+  readonly avoidedMachines: ReadonlySet<MachineId>;
   /** Too urgent to be held to the reserve. */
-  readonly urgent: boolean;
+  readonly isUrgent: boolean;
   /** Room is kept for jobs of its class: it may use what is kept for its image. */
-  readonly isExpected: boolean;
+  readonly usesReserve: boolean;
   /** None of its tasks is anywhere, and it has waited for long: its first may go where room is kept. */
-  readonly mustBegin: boolean;
+  readonly mustStart: boolean;
   /** Its place among all: wants come in this order, and equal ones are alike in urgency. */
   readonly rank: number;
 }
@@ -56,9 +56,9 @@
  * Room kept for urgent work to come, by image: on the machines that hold the image, less urgent
  * tasks leave so many processors free, so that an urgent one starts without waiting or fetching.
  */
-export type Reserve = ReadonlyMap<string, number>;
+export type ImageReserve = ReadonlyMap<string, number>;
 
-export interface TeamRoom {
+export interface RemainingQuota {
   cpus: number;
   gpus: number;
 }
--- a/src/relay/report-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -3,7 +3,7 @@
  * the sequence number has changed, so that the leader spends little on each.
  */
 import type { Peer } from '../peer/channel.js';
-import type { RelayedReport, ReportResponse } from '../peer/messages.js';
+import type { RelayedHeartbeat, HeartbeatResponse } from '../peer/messages.js';
 import {
   later,
   ms,
@@ -32,41 +32,41 @@
  * How many reports go in one batch, by how long the leader took for the last: one that takes longer than its
  * workers wait is lost as a whole, and all of them look for another node.
  */
-const FIRST_BATCH_REPORTS = 40;
-const LEAST_BATCH_REPORTS = 10;
-const MOST_BATCH_REPORTS = 160;
+const INITIAL_BATCH_SIZE = 40;
+const MIN_BATCH_SIZE = 10;
+const MAX_BATCH_SIZE = 160;
 const SLOW_RESPONSE = ms(1000);
 const FAST_RESPONSE = ms(300);
 /** Nobody waits any more for the answer to a report that came longer ago: workers give up after 4 s. */
 const ABANDONED_AFTER = ms(3500);
 /** Baselines of machines that went elsewhere are dropped after a while. */
-const BASELINE_IDLE = ms(30_000);
+const BASELINE_TTL = ms(30_000);
 
 /** The report that the leader took last from a machine through this node. */
 interface Baseline {
   readonly id: number;
-  readonly report: Heartbeat;
+  readonly heartbeat: Heartbeat;
 }
 
-interface PendingReport {
-  readonly report: Heartbeat;
+interface PendingHeartbeat {
+  readonly heartbeat: Heartbeat;
   readonly bytes: number;
   /** Until when it waits for a leader that may answer it. */
   readonly waitsUntil: SteadyMs;
   readonly abandonedAt: SteadyMs;
   /** Sent in full, whatever the leader may know. */
-  readonly full: boolean;
-  readonly settle: (reply: HeartbeatReply | undefined) => void;
+  readonly sendFull: boolean;
+  readonly resolve: (reply: HeartbeatReply | undefined) => void;
 }
 
-export class ReportRelay {
-  private pending: PendingReport[] = [];
-  private baselines = new ExpiringMap<string, Baseline>(BASELINE_IDLE);
+export class HeartbeatRelay {
+  private pending: PendingHeartbeat[] = [];
+  private baselines = new ExpiringMap<string, Baseline>(BASELINE_TTL);
   /** The epoch under which the baselines were given. */
   private epoch = 0;
   private scheduled = false;
-  private underWay = false;
-  private batchReports = FIRST_BATCH_REPORTS;
+  private batchInFlight = false;
+  private batchSize = INITIAL_BATCH_SIZE;
   private sentAt: SteadyMs | undefined;
 
   constructor(
@@ -81,14 +81,21 @@
     return new Promise((settle) => {
       const waitsUntil = later(now, MAX_LEADER_WAIT);
       const abandonedAt = later(now, ABANDONED_AFTER);
-      this.pending.push({ report, bytes, waitsUntil, abandonedAt, full: false, settle });
+      this.pending.push({
+        heartbeat: report,
+        bytes,
+        waitsUntil,
+        abandonedAt,
+        sendFull: false,
+        resolve: settle,
+      });
       this.schedule();
     });
   }
 
   /** One batch is under way at a time: a leader that has much to do gets fewer and fuller ones. */
   private schedule(): void {
-    if (this.scheduled || this.underWay || this.pending.length === 0) return;
+    if (this.scheduled || this.batchInFlight || this.pending.length === 0) return;
     this.scheduled = true;
     const now = this.clock.steady();
     const rest = this.sentAt === undefined ? 0 : BATCH_WINDOW - since(this.sentAt, now);
@@ -105,19 +112,19 @@
     this.sentAt = this.clock.steady();
     const batch = this.takeBatch(this.sentAt);
     if (batch.length === 0) return;
-    this.underWay = true;
+    this.batchInFlight = true;
     void this.sendBatch(peer, batch).finally(() => {
-      this.underWay = false;
+      this.batchInFlight = false;
       this.schedule();
     });
   }
 
   private waitForLeader(): void {
     const now = this.clock.steady();
-    const waiting: PendingReport[] = [];
+    const waiting: PendingHeartbeat[] = [];
     for (const p of this.pending) {
       if (now < p.waitsUntil) waiting.push(p);
-      else p.settle(undefined);
+      else p.resolve(undefined);
     }
     this.pending = waiting;
     if (waiting.length === 0) return;
@@ -125,15 +132,15 @@
     this.clock.after(LEADER_POLL, () => this.flush());
   }
 
-  private takeBatch(now: SteadyMs): PendingReport[] {
-    const batch: PendingReport[] = [];
+  private takeBatch(now: SteadyMs): PendingHeartbeat[] {
+    const batch: PendingHeartbeat[] = [];
     let bytes = 0;
     let taken = 0;
     for (const p of this.pending) {
       if (now > p.abandonedAt) {
-        p.settle(undefined);
+        p.resolve(undefined);
       } else {
-        const full = batch.length >= this.batchReports || bytes + p.bytes > MAX_BATCH_BYTES;
+        const full = batch.length >= this.batchSize || bytes + p.bytes > MAX_BATCH_BYTES;
         if (batch.length > 0 && full) break;
         bytes += p.bytes;
         batch.push(p);
@@ -144,18 +151,21 @@
     return batch;
   }
 
-  private async sendBatch(peer: Peer, batch: readonly PendingReport[]): Promise<void> {
+  private async sendBatch(peer: Peer, batch: readonly PendingHeartbeat[]): Promise<void> {
     const { node, epoch } = this;
-    const reports = batch.map((p) => this.relayed(p));
+    const heartbeats = batch.map((p) => this.relayed(p));
     const asked = this.clock.steady();
-    const response = await peer.ask({ type: 'reports', node, epoch, reports }, BATCH_TIMEOUT);
-    this.batchReports = nextBatchReports(this.batchReports, since(asked, this.clock.steady()));
-    if (response?.type !== 'reportResponses' || response.responses.length !== batch.length) {
-      for (const p of batch) p.settle(undefined);
+    const response = await peer.request(
+      { type: 'workerHeartbeats', node, epoch, heartbeats },
+      BATCH_TIMEOUT,
+    );
+    this.batchSize = nextBatchSize(this.batchSize, since(asked, this.clock.steady()));
+    if (response?.type !== 'heartbeatResponses' || response.responses.length !== batch.length) {
+      for (const p of batch) p.resolve(undefined);
       return;
     }
     if (response.epoch !== this.epoch) {
-      this.baselines = new ExpiringMap(BASELINE_IDLE);
+      this.baselines = new ExpiringMap(BASELINE_TTL);
       this.epoch = response.epoch;
     }
     for (const [i, p] of batch.entries()) {
@@ -164,10 +174,10 @@
     }
   }
 
-  private settle(p: PendingReport, answer: ReportResponse, epoch: number): void {
-    const { report } = p;
-    if (answer.outcome === 'baselineUnknown' && !p.full) {
-      this.pending.push({ ...p, full: true });
+  private settle(p: PendingHeartbeat, answer: HeartbeatResponse, epoch: number): void {
+    const { heartbeat: report } = p;
+    if (answer.outcome === 'baselineUnknown' && !p.sendFull) {
+      this.pending.push({ ...p, sendFull: true });
       return;
     }
     if (answer.outcome === 'refused' && this.clock.steady() < p.waitsUntil) {
@@ -175,44 +185,45 @@
       return;
     }
     if (answer.outcome !== 'accepted') {
-      p.settle(undefined);
+      p.resolve(undefined);
       return;
     }
-    this.remember(report, answer.baseline);
-    p.settle({ fencingToken: epoch, commands: answer.orders });
+    this.rememberBaseline(report, answer.baseline);
+    p.resolve({ fencingToken: epoch, commands: answer.commands });
   }
 
-  private remember(report: Heartbeat, baseline: number): void {
+  private rememberBaseline(report: Heartbeat, baseline: number): void {
     if (baseline === 0) {
       this.baselines.delete(report.machine);
       return;
     }
-    this.baselines.set(report.machine, { id: baseline, report }, this.clock.steady());
+    this.baselines.set(report.machine, { id: baseline, heartbeat: report }, this.clock.steady());
   }
 
-  private relayed({ report, full }: PendingReport): RelayedReport {
+  private relayed({ heartbeat: report, sendFull: full }: PendingHeartbeat): RelayedHeartbeat {
     const baseline = full ? undefined : this.baselines.get(report.machine);
-    if (!baseline || !showsTheSame(baseline.report, report)) return { kind: 'full', report };
+    if (!baseline || !isUnchanged(baseline.heartbeat, report))
+      return { kind: 'full', heartbeat: report };
     return {
       kind: 'unchanged',
       machine: report.machine,
       session: report.session,
       sequence: report.sequence,
-      token: report.fencingToken,
+      fencingToken: report.fencingToken,
       unchangedSince: baseline.id,
     };
   }
 }
 
 /** Halved where the leader is slow, and raised by half where it is fast. */
-export function nextBatchReports(now: number, took: DurationMs): number {
-  if (took > SLOW_RESPONSE) return Math.max(LEAST_BATCH_REPORTS, Math.floor(now / 2));
-  if (took < FAST_RESPONSE) return Math.min(MOST_BATCH_REPORTS, Math.ceil(now * 1.5));
+export function nextBatchSize(now: number, took: DurationMs): number {
+  if (took > SLOW_RESPONSE) return Math.max(MIN_BATCH_SIZE, Math.floor(now / 2));
+  if (took < FAST_RESPONSE) return Math.min(MAX_BATCH_SIZE, Math.ceil(now * 1.5));
   return now;
 }
 
 /** Whether two reports of a machine differ in nothing but their sequence numbers and tokens. */
-export function showsTheSame(a: Heartbeat, b: Heartbeat): boolean {
+export function isUnchanged(a: Heartbeat, b: Heartbeat): boolean {
   return (
     a.session === b.session &&
     a.address === b.address &&
@@ -220,11 +231,11 @@
     (a.reclaimNoticeSeconds ?? null) === null &&
     (b.reclaimNoticeSeconds ?? null) === null &&
     a.tasks.length === b.tasks.length &&
-    a.tasks.every((entry, i) => sameEntry(entry, b.tasks[i]))
+    a.tasks.every((entry, i) => isSameTaskStatus(entry, b.tasks[i]))
   );
 }
 
-function sameEntry(a: TaskStatus, b: TaskStatus | undefined): boolean {
+function isSameTaskStatus(a: TaskStatus, b: TaskStatus | undefined): boolean {
   return (
     b !== undefined &&
     a.task === b.task &&
--- a/src/relay/worker-call.ts
+++ b/src/relay/worker-call.ts
@@ -4,13 +4,10 @@
  */
 import type { HttpClient, Outcome } from '../net/http.js';
 import type { Peer } from '../peer/channel.js';
-import type { CommandOutcome, PeerRequest, PeerResponse } from '../peer/messages.js';
+import type { CommandOutcome, CommandResult, SendCommandsRequest } from '../peer/messages.js';
 import { Endpoint, ms } from '../units/index.js';
 import { decodeHeartbeat, encodeCommandRequest } from '../wire/index.js';
 
-type CommandRequest = PeerRequest & { readonly type: 'command' };
-export type CommandResult = PeerResponse & { readonly type: 'commandResult' };
-
 /** How much longer than the call itself its result may take to come back through another node. */
 const RELAY_MARGIN = ms(500);
 
@@ -23,21 +20,21 @@
 /** Calls a worker from this node. */
 export async function callWorker(
   http: HttpClient,
-  { address, token, session, timeoutMs, orders }: CommandRequest,
+  { address, fencingToken, session, timeoutMs, commands }: SendCommandsRequest,
 ): Promise<CommandResult> {
   const outcome = await http.send({
     lane: 'worker',
     endpoint: Endpoint(address),
     method: 'POST',
     path: '/commands',
-    body: encodeCommandRequest({ fencingToken: token, session, commands: orders }),
+    body: encodeCommandRequest({ fencingToken, session, commands }),
     timeout: ms(timeoutMs),
   });
   return {
     type: 'commandResult',
     outcome: OUTCOMES[outcome.kind],
-    why: outcome.kind === 'answer' ? '' : outcome.why,
-    report: outcome.kind === 'answer' ? (decodeHeartbeat(outcome.body) ?? null) : null,
+    reason: outcome.kind === 'answer' ? '' : outcome.why,
+    heartbeat: outcome.kind === 'answer' ? (decodeHeartbeat(outcome.body) ?? null) : null,
   };
 }
 
@@ -47,9 +44,14 @@
  */
 export async function callWorkerThrough(
   peer: Peer,
-  request: CommandRequest,
+  request: SendCommandsRequest,
 ): Promise<CommandResult> {
-  const response = await peer.ask(request, ms(request.timeoutMs + RELAY_MARGIN));
+  const response = await peer.request(request, ms(request.timeoutMs + RELAY_MARGIN));
   if (response?.type === 'commandResult') return response;
-  return { type: 'commandResult', outcome: 'unknown', why: 'no word from the relay', report: null };
+  return {
+    type: 'commandResult',
+    outcome: 'unknown',
+    reason: 'no word from the relay',
+    heartbeat: null,
+  };
 }
--- a/src/store/budget.ts
+++ b/src/store/budget.ts
@@ -1,7 +1,7 @@
 import { SteadyMs, later, ms, type Clock, type DurationMs } from '../units/index.js';
 
 /** A token bucket: `rate` a second, bursts of `burst`. May go into debt by `spend`. */
-export class Bucket {
+export class TokenBucket {
   private tokens: number;
   private at: SteadyMs;
 
@@ -29,13 +29,13 @@
   }
 
   /** Takes `n` whether they are there or not: for what must not wait, such as a renewal. */
-  spend(n: number): void {
+  forceTake(n: number): void {
     this.refill();
     this.tokens -= n;
   }
 
   /** How long until `n` will be there. */
-  wait(n: number): DurationMs {
+  waitFor(n: number): DurationMs {
     this.refill();
     const missing = Math.min(n, this.burst) - this.tokens;
     return ms(missing <= 0 ? 0 : Math.ceil((missing / this.rate) * 1000) + 1);
@@ -61,29 +61,32 @@
 
 /** Pauses that grow while something keeps failing, spread so that nodes do not fall in step. */
 export class Backoff {
-  private next: DurationMs;
-  private until: SteadyMs = SteadyMs(0);
+  private nextPause: DurationMs;
+  private pausedUntil: SteadyMs = SteadyMs(0);
 
   constructor(
     private readonly clock: Clock,
     private readonly random: () => number,
-    private readonly least: DurationMs,
-    private readonly most: DurationMs,
+    private readonly minPause: DurationMs,
+    private readonly maxPause: DurationMs,
   ) {
-    this.next = least;
+    this.nextPause = minPause;
   }
 
-  failed(): void {
-    this.until = later(this.clock.steady(), ms(this.next * (0.75 + 0.5 * this.random())));
-    this.next = ms(Math.min(this.most, this.next * 2));
+  noteFailure(): void {
+    this.pausedUntil = later(
+      this.clock.steady(),
+      ms(this.nextPause * (0.75 + 0.5 * this.random())),
+    );
+    this.nextPause = ms(Math.min(this.maxPause, this.nextPause * 2));
   }
 
-  worked(): void {
-    this.next = this.least;
-    this.until = SteadyMs(0);
+  noteSuccess(): void {
+    this.nextPause = this.minPause;
+    this.pausedUntil = SteadyMs(0);
   }
 
   remaining(): DurationMs {
-    return ms(Math.max(0, this.until - this.clock.steady()));
+    return ms(Math.max(0, this.pausedUntil - this.clock.steady()));
   }
 }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,5 +1,5 @@
 import type { HttpClient, Outcome, Request } from '../net/http.js';
-import { Bucket } from './budget.js';
+import { TokenBucket } from './budget.js';
 import {
   Revision,
   later,
@@ -23,22 +23,22 @@
   type Write,
 } from '../wire/index.js';
 
-export type Read =
+export type ReadResult =
   | { kind: 'found'; data: unknown; revision: Revision; leaseId: number | undefined }
   | { kind: 'absent' }
   | { kind: 'failed'; why: string };
 
 /** `refused`: surely not carried out. `unknown`: reread before believing anything. */
-export type Commit =
+export type CommitResult =
   | { kind: 'committed'; revision: Revision }
   | { kind: 'conflict'; failed: readonly string[] }
-  | { kind: 'leaseless' }
+  | { kind: 'leaseExpired' }
   /** Not carried out, and never will be as it is: it exceeds the limits of the state service. */
-  | { kind: 'oversize' }
+  | { kind: 'tooLarge' }
   | { kind: 'refused'; why: string }
   | { kind: 'unknown'; why: string };
 
-export interface Listed {
+export interface ListResult {
   readonly items: readonly { key: string; data: unknown; revision: Revision }[];
   readonly revision: Revision;
 }
@@ -49,8 +49,8 @@
 }
 
 export interface StoreRates {
-  readonly rps: number;
-  readonly writeRps: number;
+  readonly requestRate: number;
+  readonly writeRate: number;
 }
 
 export interface StoreLimits extends StoreRates {
@@ -65,15 +65,15 @@
  * The leader writes nearly everything. Followers read for users whom the leader does not answer, and
  * take a job in now and then. While there is no leader, all are alike.
  */
-const SHARES: Record<Role, { requests: number; writes: number }> = {
+const RATE_SHARES: Record<Role, { requests: number; writes: number }> = {
   leading: { requests: 0.5, writes: 0.85 },
   following: { requests: 0.45, writes: 0.12 },
   leaderless: { requests: 0.95, writes: 0.95 },
 };
 
-const PAGE_ITEMS = 40;
+const PAGE_SIZE = 40;
 
-interface Waiting {
+interface QueuedCall {
   readonly writes: number;
   readonly until: SteadyMs;
   readonly resolve: (turn: boolean) => void;
@@ -85,13 +85,13 @@
  */
 export class StoreClient {
   private rates: StoreRates;
-  private requests: Bucket;
-  private writes: Bucket;
+  private requests: TokenBucket;
+  private writes: TokenBucket;
   private role: Role = 'leaderless';
-  private served: SteadyMs;
+  private lastServedAt: SteadyMs;
   /** Calls that wait for their turn under the budgets, in the order in which they came. */
-  private line: Waiting[] = [];
-  private serving = false;
+  private queue: QueuedCall[] = [];
+  private draining = false;
 
   constructor(
     private readonly http: HttpClient,
@@ -102,86 +102,90 @@
     private readonly nodes: number,
   ) {
     this.rates = limits;
-    this.requests = this.bucket(limits.rps, 'requests');
-    this.writes = this.bucket(limits.writeRps, 'writes');
-    this.served = clock.steady();
+    this.requests = this.newBucket(limits.requestRate, 'requests');
+    this.writes = this.newBucket(limits.writeRate, 'writes');
+    this.lastServedAt = clock.steady();
   }
 
   /** When it last answered with anything but a refusal to serve. */
   get servedAt(): SteadyMs {
-    return this.served;
+    return this.lastServedAt;
   }
 
-  private bucket(rate: number, what: 'requests' | 'writes'): Bucket {
+  private newBucket(rate: number, what: 'requests' | 'writes'): TokenBucket {
     const alike =
       this.role === 'leading' ? 1 : this.role === 'following' ? this.nodes - 1 : this.nodes;
-    const share = this.nodes === 1 ? 0.95 : SHARES[this.role][what] / Math.max(1, alike);
+    const share = this.nodes === 1 ? 0.95 : RATE_SHARES[this.role][what] / Math.max(1, alike);
     // Whoever has the smallest share may still need a handful at once.
-    return new Bucket(this.clock, rate * share, Math.max(4, rate * share));
+    return new TokenBucket(this.clock, rate * share, Math.max(4, rate * share));
   }
 
   /** Who writes most changes with leadership, and so do the shares of the rates. */
   setRole(role: Role): void {
     if (role === this.role) return;
     this.role = role;
-    this.requests = this.bucket(this.rates.rps, 'requests');
-    this.writes = this.bucket(this.rates.writeRps, 'writes');
+    this.requests = this.newBucket(this.rates.requestRate, 'requests');
+    this.writes = this.newBucket(this.rates.writeRate, 'writes');
   }
 
   /** From now on the rates to come are kept, where they are the lower ones. */
   lowerRates(): void {
     const { next } = this.limits;
-    if (!next || (next.rps >= this.rates.rps && next.writeRps >= this.rates.writeRps)) return;
+    if (
+      !next ||
+      (next.requestRate >= this.rates.requestRate && next.writeRate >= this.rates.writeRate)
+    )
+      return;
     this.rates = {
-      rps: Math.min(next.rps, this.rates.rps),
-      writeRps: Math.min(next.writeRps, this.rates.writeRps),
+      requestRate: Math.min(next.requestRate, this.rates.requestRate),
+      writeRate: Math.min(next.writeRate, this.rates.writeRate),
     };
-    this.requests = this.bucket(this.rates.rps, 'requests');
-    this.writes = this.bucket(this.rates.writeRps, 'writes');
+    this.requests = this.newBucket(this.rates.requestRate, 'requests');
+    this.writes = this.newBucket(this.rates.writeRate, 'writes');
   }
 
   /** Waits for its turn; false, at once, if that would not come within `patience`. */
-  private turn(writes: number, patience: DurationMs): Promise<boolean> {
-    if (this.line.length === 0 && this.take(writes)) return Promise.resolve(true);
+  private waitForTurn(writes: number, patience: DurationMs): Promise<boolean> {
+    if (this.queue.length === 0 && this.tryTake(writes)) return Promise.resolve(true);
     const until = later(this.clock.steady(), patience);
     if (this.expectedWait() > patience) return Promise.resolve(false);
     return new Promise((resolve) => {
-      this.line.push({ writes, until, resolve });
-      this.serveLine();
+      this.queue.push({ writes, until, resolve });
+      this.drainQueue();
     });
   }
 
-  private take(writes: number): boolean {
-    if (this.writes.wait(writes) > 0 || !this.requests.tryTake(1)) return false;
-    this.writes.spend(writes);
+  private tryTake(writes: number): boolean {
+    if (this.writes.waitFor(writes) > 0 || !this.requests.tryTake(1)) return false;
+    this.writes.forceTake(writes);
     return true;
   }
 
   private expectedWait(): DurationMs {
-    return this.requests.backlog(this.line.length + 1);
+    return this.requests.backlog(this.queue.length + 1);
   }
 
   /** First come, first served, but what waits for writes holds up nobody who only reads. */
-  private serveLine(): void {
-    if (this.serving) return;
+  private drainQueue(): void {
+    if (this.draining) return;
     const now = this.clock.steady();
     let pause = Infinity;
-    const rest: Waiting[] = [];
-    for (const w of this.line) {
+    const rest: QueuedCall[] = [];
+    for (const w of this.queue) {
       // Whoever asked has been told to come back by now: the answer would be for nobody.
       if (now > w.until) w.resolve(false);
-      else if (this.take(w.writes)) w.resolve(true);
+      else if (this.tryTake(w.writes)) w.resolve(true);
       else {
         rest.push(w);
-        pause = Math.min(pause, Math.max(this.requests.wait(1), this.writes.wait(w.writes)));
+        pause = Math.min(pause, Math.max(this.requests.waitFor(1), this.writes.waitFor(w.writes)));
       }
     }
-    this.line = rest;
+    this.queue = rest;
     if (rest.length === 0) return;
-    this.serving = true;
+    this.draining = true;
     this.clock.after(ms(Math.max(1, pause) + this.random() * 5), () => {
-      this.serving = false;
-      this.serveLine();
+      this.draining = false;
+      this.drainQueue();
     });
   }
 
@@ -191,9 +195,9 @@
   ): Promise<Outcome> {
     const writes = opts.writes ?? 0;
     if (opts.urgent) {
-      this.requests.spend(1);
-      this.writes.spend(writes);
-    } else if (!(await this.turn(writes, opts.patience ?? ms(Infinity)))) {
+      this.requests.forceTake(1);
+      this.writes.forceTake(writes);
+    } else if (!(await this.waitForTurn(writes, opts.patience ?? ms(Infinity)))) {
       return { kind: 'undelivered', why: 'no turn in time' };
     }
     const outcome = await this.http.send({
@@ -201,7 +205,8 @@
       lane: opts.urgent ? 'lease' : 'store',
       endpoint: this.endpoint,
     });
-    if (outcome.kind === 'answer' && outcome.status !== 503) this.served = this.clock.steady();
+    if (outcome.kind === 'answer' && outcome.status !== 503)
+      this.lastServedAt = this.clock.steady();
     if (outcome.kind === 'answer' && outcome.status === 429) {
       this.lowerRates();
       this.requests.drain();
@@ -217,7 +222,7 @@
 
   /** How long a transaction of `n` writes would have to wait for its turn. */
   writeWait(n: number): DurationMs {
-    return ms(Math.max(this.writes.wait(n), this.requests.wait(1)));
+    return ms(Math.max(this.writes.waitFor(n), this.requests.waitFor(1)));
   }
 
   /** Writes that may leave now, and the share of a full burst that they are. */
@@ -236,7 +241,7 @@
     key: string,
     timeout: DurationMs,
     opts: { urgent?: boolean; patience?: DurationMs } = {},
-  ): Promise<Read> {
+  ): Promise<ReadResult> {
     const o = await this.send({ method: 'GET', path: `/store/${key}`, timeout }, opts);
     if (o.kind !== 'answer') return { kind: 'failed', why: o.why };
     if (o.status === 404) return { kind: 'absent' };
@@ -250,13 +255,13 @@
    * Every key under a prefix, page by page; undefined if a page could not be had. Pages are small, so that
    * a process with little processor time gets to its other work, above all its lease, between them.
    */
-  async list(prefix: string, timeout: DurationMs, urgent = false): Promise<Listed | undefined> {
+  async list(prefix: string, timeout: DurationMs, urgent = false): Promise<ListResult | undefined> {
     const items: { key: string; data: unknown; revision: Revision }[] = [];
     let from: string | undefined;
     for (;;) {
       // Keys hold no character that a query would have to escape.
       const after = from === undefined ? '' : `&from=${from}`;
-      const path = `/store?starts=${prefix}${after}&limit=${PAGE_ITEMS}`;
+      const path = `/store?starts=${prefix}${after}&limit=${PAGE_SIZE}`;
       const o = await this.send({ method: 'GET', path, timeout }, { urgent });
       if (o.kind !== 'answer' || o.status !== 200) return undefined;
       const page = decodeValuePage(o.body);
@@ -270,12 +275,12 @@
     }
   }
 
-  async multi(
+  async transact(
     conditions: readonly Condition[],
     writes: readonly Write[],
     timeout: DurationMs,
     opts: { urgent?: boolean; patience?: DurationMs } = {},
-  ): Promise<Commit> {
+  ): Promise<CommitResult> {
     const o = await this.send(
       { method: 'POST', path: '/multi', body: encodeTransaction(conditions, writes), timeout },
       { ...opts, writes: writes.length },
@@ -291,8 +296,8 @@
       return { kind: 'conflict', failed: decodeConflict(o.body) ?? [] };
     }
     const error = (o.body as { error?: unknown } | undefined)?.error;
-    if (o.status === 400 && error === 'no such lease') return { kind: 'leaseless' };
-    if (o.status === 400) return { kind: 'oversize' };
+    if (o.status === 400 && error === 'no such lease') return { kind: 'leaseExpired' };
+    if (o.status === 400) return { kind: 'tooLarge' };
     if (o.status === 503 || o.status === 429) {
       return {
         kind: 'refused',
@@ -311,7 +316,7 @@
     return decodeLease(o.body);
   }
 
-  async touchLease(lease: number, timeout: DurationMs): Promise<'renewed' | 'gone' | 'failed'> {
+  async renewLease(lease: number, timeout: DurationMs): Promise<'renewed' | 'gone' | 'failed'> {
     const o = await this.send(
       { method: 'POST', path: `/leases/${lease}/touch`, body: {}, timeout },
       { urgent: true },
@@ -320,12 +325,12 @@
     return o.status === 200 ? 'renewed' : o.status === 404 ? 'gone' : 'failed';
   }
 
-  async dropLease(lease: number, timeout: DurationMs): Promise<void> {
+  async revokeLease(lease: number, timeout: DurationMs): Promise<void> {
     await this.send({ method: 'DELETE', path: `/leases/${lease}`, timeout }, { urgent: true });
   }
 
   /** Waits for a change under a prefix. `stale`: read the keys again. */
-  async follow(
+  async watch(
     prefix: string,
     from: Revision,
     wait: DurationMs,
--- a/test/standin/build.ts
+++ b/test/standin/build.ts
@@ -1,13 +1,13 @@
 import { pathToFileURL } from 'node:url';
 import { resolve } from 'node:path';
 import { parseSettings } from '../../src/config/settings.js';
-import { Controller } from '../../src/node.js';
+import { Controller } from '../../src/controller.js';
 import {
   decodeRequest,
   decodeResponse,
   encodeRequest,
   encodeResponse,
-} from '../../src/peer/messages.js';
+} from '../../src/peer/codec.js';
 
 /** A version of the service: what a world needs of it to run a controller. */
 export interface Build {
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -94,7 +94,7 @@
     ports: { ...ports, workers: base + 10 },
     flavors: [flavor('small', 8, 32, 'a'), flavor('large', 32, 64, 'b')],
     capacity: options.machines,
-    state: { rps: 80, writeRps: 15, valueBytes: 8192, txnOps: 8 },
+    state: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
     cloudRps: 2,
     jobs: {
       facts: (entry) => {
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -1,5 +1,5 @@
 import http from 'node:http';
-import { NodeHttpClient, gather } from '../../src/net/http.js';
+import { NodeHttpClient, readBody } from '../../src/net/http.js';
 import { systemClock } from '../../src/units/system.js';
 import { ms } from '../../src/units/index.js';
 import { MAX_BODY, decode, encode, type MachineType } from '../../src/wire/index.js';
@@ -31,7 +31,7 @@
 
 function serve(port: number, handler: Handler): http.Server {
   const server = http.createServer({ keepAliveTimeout: 120_000 }, (req, res) => {
-    void gather(req, MAX_BODY)
+    void readBody(req, MAX_BODY)
       .then(async (body) => {
         const a = await handler(
           req.method ?? 'GET',
@@ -88,10 +88,10 @@
         nodes: 1,
         teams: [{ name: 'vision', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }],
         state: {
-          rps: state.rps,
-          write_rps: state.writeRps,
+          rps: state.requestRate,
+          write_rps: state.writeRate,
           value_kb: state.valueBytes / 1024,
-          txn_ops: state.txnOps,
+          txn_ops: state.transactionOps,
         },
         cloud: { rps: cloudRps, list_lag_s: 3 },
       },
--- a/test/standin/serve.ts
+++ b/test/standin/serve.ts
@@ -22,7 +22,7 @@
     },
   ],
   capacity: 8,
-  state: { rps: 80, writeRps: 15, valueBytes: 8192, txnOps: 8 },
+  state: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
   cloudRps: 2,
   jobs: {
     // The stand-in workers run every task for three seconds, whatever it asks for.
--- a/test/standin/state.ts
+++ b/test/standin/state.ts
@@ -21,10 +21,10 @@
 }
 
 export interface StateLimits {
-  readonly rps: number;
-  readonly writeRps: number;
+  readonly requestRate: number;
+  readonly writeRate: number;
   readonly valueBytes: number;
-  readonly txnOps: number;
+  readonly transactionOps: number;
 }
 
 type Multi = {
@@ -51,8 +51,8 @@
     private readonly time: Pick<VirtualTime, 'now' | 'after'>,
     private limits: StateLimits,
   ) {
-    this.requests = { tokens: limits.rps, at: 0 };
-    this.writes = { tokens: limits.writeRps, at: 0 };
+    this.requests = { tokens: limits.requestRate, at: 0 };
+    this.writes = { tokens: limits.writeRate, at: 0 };
     this.sweep();
   }
 
@@ -132,7 +132,7 @@
     from: string,
   ): Answered | Promise<Answered> {
     if (this.out || this.outFor.has(from)) return { status: 503, body: { error: 'out' } };
-    if (!this.take(this.requests, this.limits.rps, 1)) {
+    if (!this.take(this.requests, this.limits.requestRate, 1)) {
       this.refused++;
       return { status: 429, body: {} };
     }
@@ -163,15 +163,15 @@
 
   private multi(m: Multi): Answered {
     const writes = m.writes ?? [];
-    if (!this.take(this.writes, this.limits.writeRps, writes.length)) {
+    if (!this.take(this.writes, this.limits.writeRate, writes.length)) {
       this.refused++;
       return { status: 429, body: {} };
     }
     const sizes = writes.map((w) => Buffer.byteLength(JSON.stringify(w.data ?? null)));
     this.sizes.push(...sizes);
     if (
-      writes.length > this.limits.txnOps ||
-      (m.if?.length ?? 0) > 4 * this.limits.txnOps ||
+      writes.length > this.limits.transactionOps ||
+      (m.if?.length ?? 0) > 4 * this.limits.transactionOps ||
       sizes.some((s) => s > this.limits.valueBytes)
     ) {
       this.tooLarge++;
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -3,7 +3,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { defaultOperator } from '../../src/config/operator.js';
 import { parseSettings, type Settings } from '../../src/config/settings.js';
-import type { Controller } from '../../src/node.js';
+import type { Controller } from '../../src/controller.js';
 import type { Peer } from '../../src/peer/channel.js';
 import type { Endpoint, NodeId } from '../../src/units/index.js';
 import { ms, type Random } from '../../src/units/index.js';
@@ -131,7 +131,7 @@
     for (const n of [0, 1, 2]) this.startNode(n);
     const probes = new ProcessClock(this.time, 0, 0);
     const balancer = new Balancer(this.time, this.random, 3, async (n) => {
-      const { api } = parseSettings(settingsFile(n, this.zones));
+      const { apiEndpoint: api } = parseSettings(settingsFile(n, this.zones));
       const client = this.network.client('balancer', REGION, probes);
       const o = await client.send({ endpoint: api, method: 'GET', path: '/up', timeout: ms(1000) });
       return o.kind === 'answer' && o.status === 200;
@@ -200,8 +200,8 @@
       (this.random() - 0.5) * 0.0005,
       (this.random() - 0.5) * 400,
     );
-    const api = settings.api;
-    const http = this.network.client(settings.node, settings.area, clock);
+    const api = settings.apiEndpoint;
+    const http = this.network.client(settings.node, settings.zone, clock);
     const peers = new Map<NodeId, Peer>(
       settings.others.map((o) => [o.node, this.peer(build, http, clock, o.endpoint)]),
     );
@@ -211,19 +211,19 @@
       http,
       log: this.log.child({ node: settings.node }),
       peers,
-      run: `run-${n}-${this.time.now}`,
+      processId: `run-${n}-${this.time.now}`,
     });
-    this.network.attach(api, settings.area, async (method, path, body) => {
+    this.network.attach(api, settings.zone, async (method, path, body) => {
       const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
       if (path === '/up') return controller.health();
       const reply = await (path === '/agent/beat'
-        ? controller.workers.handle(bytes)
-        : controller.users.handle(method, path, bytes));
+        ? controller.workerHeartbeats.handle(bytes)
+        : controller.userRequests.handle(method, path, bytes));
       return Buffer.isBuffer(reply.body) ? { ...reply, body: decode(reply.body) } : reply;
     });
-    this.network.attach(settings.cluster, settings.area, async (_method, _path, body) => {
+    this.network.attach(settings.clusterEndpoint, settings.zone, async (_method, _path, body) => {
       const { id, message } = build.decodeRequest(Buffer.from((body as Framed).frame, 'base64'));
-      const response = await controller.peers.handle(message);
+      const response = await controller.peerRequests.handle(message);
       return { status: 200, body: framed(build.encodeResponse(id, response)) };
     });
     this.nodes.set(n, { clock, controller });
@@ -241,7 +241,7 @@
       get responsive() {
         return clock.steady() >= silentUntil;
       },
-      ask: async (request, timeout) => {
+      request: async (request, timeout) => {
         const body = framed(build.encodeRequest(1, request));
         const o = await http.send({ endpoint, method: 'POST', path: '/', body, timeout });
         if (o.kind !== 'answer') {
@@ -268,8 +268,8 @@
     p.controller.stop();
     this.nodes.delete(n);
     const s = parseSettings(settingsFile(n, this.zones));
-    this.network.detach(s.api);
-    this.network.detach(s.cluster);
+    this.network.detach(s.apiEndpoint);
+    this.network.detach(s.clusterEndpoint);
   }
 
   /** It stands still, with what it has in hand, while its clocks run on. */
@@ -278,8 +278,8 @@
     if (!p) return;
     p.clock.freeze(on);
     const s = parseSettings(settingsFile(n, this.zones));
-    this.network.hang(s.api, on);
-    this.network.hang(s.cluster, on);
+    this.network.hang(s.apiEndpoint, on);
+    this.network.hang(s.clusterEndpoint, on);
   }
 
   leaderNode(): number | undefined {
@@ -299,7 +299,7 @@
     const clock = new ProcessClock(this.time, (this.random() - 0.5) * 0.0005, 0);
     const nodes = [0, 1, 2].map((n) => {
       const s = parseSettings(settingsFile(n, this.zones));
-      return { name: s.node, addr: s.api };
+      return { name: s.node, addr: s.apiEndpoint };
     });
     const worker = new Worker(
       m,
@@ -308,7 +308,7 @@
       this.network.client(m.id, m.hall, clock),
       clock,
       this.random,
-      { reportMs: this.settings.workers.report, leaseMs: this.settings.workers.lease },
+      { reportMs: this.settings.workers.heartbeatInterval, leaseMs: this.settings.workers.lease },
       this,
     );
     this.workers.set(m.id, { worker, machine: m });
@@ -344,8 +344,8 @@
   /** A controller loses the state service and the other controllers, but not workers and users. */
   isolate(n: number, refuse: boolean): void {
     const all = [0, 1, 2].map((k) => parseSettings(settingsFile(k, this.zones)));
-    const clusters = new Set<string>(all.map((s) => s.cluster));
-    const own = all[n]?.cluster;
+    const clusters = new Set<string>(all.map((s) => s.clusterEndpoint));
+    const own = all[n]?.clusterEndpoint;
     for (const s of all) {
       this.network.keepApart(
         s.node,
@@ -490,7 +490,7 @@
     }
     if (
       t.job.abortedAt !== undefined &&
-      this.time.now - t.job.abortedAt > this.settings.workers.cancel
+      this.time.now - t.job.abortedAt > this.settings.workers.cancellationTime
     ) {
       this.rule('ran_cancelled', `${entry} started`);
     }
@@ -498,7 +498,7 @@
     for (const [e, machines] of this.where) {
       used += machines.size * (this.parse(e)?.job.spec.cpus ?? 0);
     }
-    const most = this.settings.teams.get(s.team)?.cpusMax ?? 0;
+    const most = this.settings.teams.get(s.team)?.maxCpus ?? 0;
     if (most > 0 && used > most) this.rule('quota', `${used} of ${most}`);
   }
 
@@ -536,7 +536,7 @@
     this.time.after(500, () => {
       for (const [entry] of this.where) {
         const at = this.parse(entry)?.job.abortedAt;
-        if (at !== undefined && this.time.now - at > this.settings.workers.cancel) {
+        if (at !== undefined && this.time.now - at > this.settings.workers.cancellationTime) {
           this.rule('ran_cancelled', `${entry} is still there`);
         }
       }
@@ -548,7 +548,7 @@
   private waitsBesideRoom(id: string, job: Known): boolean {
     const { spec: s } = job;
     if (this.users.isOver(job) || !job.accepted || job.abortAsked) return false;
-    const most = this.settings.teams.get(s.team)?.cpusMax ?? 0;
+    const most = this.settings.teams.get(s.team)?.maxCpus ?? 0;
     let used = 0;
     // How many of its tasks the machines have room for, by zone.
     const room = new Map<string, number>();
--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -4,9 +4,9 @@
 /** A fleet that knows nothing yet, under an epoch that has just begun. */
 export const emptyFleet = (lease: DurationMs): Fleet =>
   new Fleet({
-    began: SteadyMs(0),
+    startedAt: SteadyMs(0),
     lease,
-    cacheOf: () => 20,
-    hinted: () => [],
-    sizeOf: () => undefined,
+    cacheSizeOf: () => 20,
+    imageHintsFor: () => [],
+    resourcesOf: () => undefined,
   });
--- a/test/support/play.ts
+++ b/test/support/play.ts
@@ -16,18 +16,18 @@
   { limit, batch, machineOf }: Play,
 ): void {
   for (const [kind, pick] of moves) {
-    const placed = [...job.placed.keys()];
+    const placed = [...job.placements.keys()];
     const chosen = placed[pick % Math.max(1, placed.length)];
     if (kind === 0) {
       const tasks: { index: number; machine: MachineId }[] = [];
       for (const index of job.waiting.indexes()) {
-        if (tasks.length > pick % batch || job.open + tasks.length >= limit) break;
+        if (tasks.length > pick % batch || job.openTaskCount + tasks.length >= limit) break;
         tasks.push({ index, machine: machineOf(pick, index) });
       }
-      if (tasks.length > 0) job.place(tasks, SteadyMs(0));
+      if (tasks.length > 0) job.placeTasks(tasks, SteadyMs(0));
     } else if (chosen !== undefined) {
-      if (kind === 1) job.finish(chosen);
-      else job.unplace(chosen);
+      if (kind === 1) job.complete(chosen);
+      else job.requeue(chosen);
     }
   }
 }
--- a/test/unit/orders.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { parseSettings } from '../../src/config/settings.js';
-import { attemptKey, leaseEnd, toReport } from '../../src/fleet/machine.js';
-import type { Board } from '../../src/leader/board.js';
-import type { TermDeps } from '../../src/leader/deps.js';
-import { Orders } from '../../src/leader/orders.js';
+import { attemptKey, workerLeaseEnd, toWorkerStatus } from '../../src/fleet/machine.js';
+import type { PlacementIndex } from '../../src/leader/placement-index.js';
+import type { TermDependencies } from '../../src/leader/dependencies.js';
+import { CommandSender } from '../../src/leader/command-sender.js';
 import { Job } from '../../src/ledger/job.js';
 import { Epoch, JobId, MachineId, Revision, WallMs, taskKey } from '../../src/units/index.js';
 import { encodeHeartbeat, type Priority } from '../../src/wire/index.js';
@@ -50,24 +50,24 @@
     const clock = new ProcessClock(time, 0, 0);
     const settings = parseSettings(settingsFile());
     const fleet = emptyFleet(lease);
-    const m = fleet.meet(id, { type: 'small', zone: 'a', spot: true }, beat.address);
-    m.take(toReport(beat), clock.steady());
-    m.answered(leaseEnd(clock.steady(), lease));
+    const m = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, beat.address);
+    m.recordStatus(toWorkerStatus(beat), clock.steady());
+    m.extendLease(workerLeaseEnd(clock.steady(), lease));
     const job = new Job(
       JobId('run-000001'),
       spec({ taskCount: 1, priority: urgency }),
       WallMs(0),
       Revision(1),
     );
-    job.place([{ index: 0, machine: id }], clock.steady());
-    job.committed = job.version;
-    const placed = job.placed.get(0);
+    job.placeTasks([{ index: 0, machine: id }], clock.steady());
+    job.committedVersion = job.version;
+    const placed = job.placements.get(0);
     assert.ok(placed);
     fleet.assign(id, taskKey(job.id, 0), {
       job: job.id,
       index: 0,
       attempt: placed.attempt,
-      size: { cpus: 2, gpus: 0, ramGb: 4 },
+      resources: { cpus: 2, gpus: 0, memoryGb: 4 },
       image: 'x',
       placedAt: clock.steady(),
     });
@@ -85,24 +85,24 @@
           }),
       },
     };
-    const board = { fleet, ledger: { jobs: new Map([[job.id, job]]) } };
-    const orders = new Orders(
+    const placements = { fleet, ledger: { jobs: new Map([[job.id, job]]) } };
+    const sender = new CommandSender(
       epoch,
-      board as unknown as Board,
-      deps as unknown as TermDeps,
+      placements as unknown as PlacementIndex,
+      deps as unknown as TermDependencies,
       () => undefined,
     );
     // The worker's own lease may be over by now, and a new session have begun.
     await time.run(lease);
-    const before = m.expires;
+    const before = m.leaseExpiresAt;
     assert.ok(clock.steady() <= before);
-    orders.isBusy = busy;
-    orders.push(id);
+    sender.isBusy = busy;
+    sender.schedulePush(id);
     await time.run(lease + 10);
-    assert.equal(m.report?.session, session, name);
-    assert.equal(m.report?.sequence, status === 0 ? 9 : 12, name);
-    assert.equal(m.expires > before, renewed, name);
-    if (renewed) assert.ok(m.expires >= lease * 2, name);
+    assert.equal(m.status?.session, session, name);
+    assert.equal(m.status?.sequence, status === 0 ? 9 : 12, name);
+    assert.equal(m.leaseExpiresAt > before, renewed, name);
+    if (renewed) assert.ok(m.leaseExpiresAt >= lease * 2, name);
   }
 });
 
@@ -115,27 +115,32 @@
   for (const [name, evicted, inDoubt, verbs] of cases) {
     const clock = new ProcessClock(new VirtualTime(), 0, 0);
     const fleet = emptyFleet(parseSettings(settingsFile()).workers.lease);
-    const m = fleet.meet(id, { type: 'small', zone: 'a', spot: true }, beat.address);
+    const m = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, beat.address);
     const job = new Job(JobId('run-000001'), spec({ taskCount: 1 }), WallMs(0), Revision(1));
-    job.place([{ index: 0, machine: id }], clock.steady());
-    job.committed = job.version;
-    const placed = job.placed.get(0);
+    job.placeTasks([{ index: 0, machine: id }], clock.steady());
+    job.committedVersion = job.version;
+    const placed = job.placements.get(0);
     assert.ok(placed);
-    if (evicted) placed.evict = 0;
+    if (evicted) placed.evictionGraceSeconds = 0;
     const key = taskKey(job.id, 0);
     fleet.assign(id, key, {
       job: job.id,
       index: 0,
       attempt: placed.attempt,
-      size: { cpus: 2, gpus: 0, ramGb: 4 },
+      resources: { cpus: 2, gpus: 0, memoryGb: 4 },
       image: 'x',
       placedAt: clock.steady(),
     });
-    if (inDoubt) m.doubts.add(attemptKey(key, placed.attempt));
-    const board = { fleet, ledger: { jobs: new Map([[job.id, job]]) } };
-    const deps = { clock } as unknown as TermDeps;
-    const orders = new Orders(epoch, board as unknown as Board, deps, () => undefined);
-    const told = orders.answer(m, toReport(beat)).map((o) => o.type);
+    if (inDoubt) m.unacknowledgedStarts.add(attemptKey(key, placed.attempt));
+    const placements = { fleet, ledger: { jobs: new Map([[job.id, job]]) } };
+    const deps = { clock } as unknown as TermDependencies;
+    const sender = new CommandSender(
+      epoch,
+      placements as unknown as PlacementIndex,
+      deps,
+      () => undefined,
+    );
+    const told = sender.commandsForReply(m, toWorkerStatus(beat)).map((o) => o.type);
     assert.deepEqual(told, verbs, name);
   }
 });
--- a/test/unit/compatibility.test.ts
+++ b/test/unit/compatibility.test.ts
@@ -7,7 +7,7 @@
   encodeFinal,
   encodeJob,
   encodeJobCompactly,
-  markOf,
+  writerMarkOf,
 } from '../../src/ledger/codec.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
 import {
@@ -15,18 +15,26 @@
   decodeResponse,
   encodeRequest,
   encodeResponse,
-  type PeerRequest,
-  type PeerResponse,
-} from '../../src/peer/messages.js';
+} from '../../src/peer/codec.js';
+import type { PeerRequest, PeerResponse } from '../../src/peer/messages.js';
 import { Epoch, JobId, Revision, SteadyMs } from '../../src/units/index.js';
 import { decodeCommand, decodeHeartbeat } from '../../src/wire/index.js';
 
+/** A heartbeat that the version in production passes on, in the form of the protocol. */
+interface RecordedHeartbeat {
+  readonly kind: string;
+  readonly report?: unknown;
+  readonly token?: number;
+}
+
 interface RecordedMessage {
   readonly id: number;
   readonly message: {
     readonly type: string;
     readonly body?: string;
-    readonly reports?: readonly { readonly report?: unknown }[];
+    readonly why?: string;
+    readonly token?: number;
+    readonly reports?: readonly RecordedHeartbeat[];
     readonly orders?: readonly unknown[];
     readonly responses?: readonly { readonly orders: readonly unknown[] }[];
     readonly report?: unknown;
@@ -48,26 +56,41 @@
   readFileSync('test/data/production.json', 'utf8'),
 ) as unknown as Recorded;
 
-/**
- * A recorded message by the names that it has in this version. The version in production holds heartbeats and
- * commands of workers in the form of the protocol.
- */
+/** What the version in production calls its messages, and what this one does. */
+const TYPE_NAMES = new Map([
+  ['heartbeat', 'peerHeartbeat'],
+  ['reports', 'workerHeartbeats'],
+  ['command', 'sendCommands'],
+  ['status', 'peerStatus'],
+  ['reportResponses', 'heartbeatResponses'],
+]);
+
+/** A recorded message by the names that it has in this version. */
 function messageOf({ message }: RecordedMessage): unknown {
-  const { body, reports, orders, responses, report, ...rest } = message;
+  const { type, body, why, token, reports, orders, responses, report, ...rest } = message;
   return {
     ...rest,
+    type: TYPE_NAMES.get(type) ?? type,
     ...(body === undefined ? {} : { body: Buffer.from(body, 'hex') }),
-    ...(orders === undefined ? {} : { orders: orders.map(decodeCommand) }),
-    ...(report === undefined ? {} : { report: report && decodeHeartbeat(report) }),
-    ...(reports === undefined ? {} : { reports: reports.map(relayedOf) }),
-    ...(responses === undefined
-      ? {}
-      : { responses: responses.map((r) => ({ ...r, orders: r.orders.map(decodeCommand) })) }),
+    ...(why === undefined ? {} : { reason: why }),
+    ...(token === undefined ? {} : { fencingToken: token }),
+    ...(orders === undefined ? {} : { commands: orders.map(decodeCommand) }),
+    ...(report === undefined ? {} : { heartbeat: report && decodeHeartbeat(report) }),
+    ...(reports === undefined ? {} : { heartbeats: reports.map(relayedOf) }),
+    ...(responses === undefined ? {} : { responses: responses.map(responseOf) }),
   };
 }
 
-const relayedOf = (relayed: { readonly report?: unknown }): unknown =>
-  relayed.report === undefined ? relayed : { ...relayed, report: decodeHeartbeat(relayed.report) };
+const relayedOf = ({ report, token, ...rest }: RecordedHeartbeat): unknown => ({
+  ...rest,
+  ...(report === undefined ? {} : { heartbeat: decodeHeartbeat(report) }),
+  ...(token === undefined ? {} : { fencingToken: token }),
+});
+
+const responseOf = ({ orders, ...rest }: { readonly orders: readonly unknown[] }): unknown => ({
+  ...rest,
+  commands: orders.map(decodeCommand),
+});
 
 const asJson = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
@@ -92,11 +115,11 @@
 
 void test('records of the version in production are read, and written as it writes them', () => {
   const falling = {
-    rps: 80,
-    writeRps: 15,
+    requestRate: 80,
+    writeRate: 15,
     valueBytes: 8192,
-    txnOps: 8,
-    next: { rps: 80, writeRps: 15, valueBytes: 2048, txnOps: 4 },
+    transactionOps: 8,
+    next: { requestRate: 80, writeRate: 15, valueBytes: 2048, transactionOps: 4 },
   };
   const limits = new RecordLimits(falling);
   const lowered = new RecordLimits(falling);
@@ -108,8 +131,8 @@
     job.version = live.v;
     assert.deepEqual(asJson(encodeJob(job, Epoch(live.e))), live, name);
     assert.deepEqual(asJson(limits.encode(job, Epoch(live.e)).record), live, `${name}: no change`);
-    if (final !== null) assert.deepEqual(asJson(encodeFinal(job.final())), final, name);
-    assert.deepEqual(markOf(live), { epoch: live.e, version: live.v });
+    if (final !== null) assert.deepEqual(asJson(encodeFinal(job.finalState())), final, name);
+    assert.deepEqual(writerMarkOf(live), { epoch: live.e, version: live.v });
     // The same facts in the format to come, and within the limits to come.
     const compact = asJson(encodeJobCompactly(job, Epoch(live.e)));
     const back = decodeJob(id, compact, Revision(9), SteadyMs(0));
--- a/test/unit/config.test.ts
+++ b/test/unit/config.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import { parseCommandLine } from '../../src/cli/cli.js';
 import fc from 'fast-check';
-import { defaultsFor, longestLease } from '../../src/config/operator.js';
+import { defaultsFor, maxLeaderLease } from '../../src/config/operator.js';
 import { checkTogether, parseOperator } from '../../src/config/operator-file.js';
 import { SettingsError, parseSettings } from '../../src/config/settings.js';
 import { seconds, shrunk, stretched } from '../../src/units/index.js';
@@ -64,18 +64,18 @@
   });
   fc.assert(
     fc.property(lasts, ({ lease, spare }) => {
-      const times = { lease: seconds(lease), cancel: seconds(lease + spare) };
-      const { lease: leader, renew } = defaultsFor(times);
+      const times = { lease: seconds(lease), cancellationTime: seconds(lease + spare) };
+      const { lease: leader, renewInterval: renew } = defaultsFor(times);
       // From the last renewal on: authority, then the lease of a worker answered in its last moment.
       const authority = shrunk(leader);
-      assert.ok(authority + stretched(times.lease) < times.cancel);
+      assert.ok(authority + stretched(times.lease) < times.cancellationTime);
       assert.ok(leader >= 1000 && leader <= 4000 && renew <= leader / 3);
     }),
     { seed: 20261202 },
   );
   // Less than any lease leaves: it starts all the same, and says so in its log.
-  const tight = { lease: seconds(24), cancel: seconds(25) };
-  assert.ok(defaultsFor(tight).lease > longestLease(tight));
+  const tight = { lease: seconds(24), cancellationTime: seconds(25) };
+  assert.ok(defaultsFor(tight).lease > maxLeaderLease(tight));
 });
 
 void test("operators' settings: XML, checked", () => {
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -19,26 +19,26 @@
       setRole: () => undefined,
       list: () => Promise.resolve({ items: [], revision: 6 }),
       createLease: () => Promise.resolve(1),
-      multi: () => Promise.resolve({ kind: 'committed', revision: 7 }),
+      transact: () => Promise.resolve({ kind: 'committed', revision: 7 }),
       // From here on the store is out for this node alone.
-      touchLease: () => new Promise(() => undefined),
+      renewLease: () => new Promise(() => undefined),
     };
     const election = new Election(
       store as unknown as StoreClient,
       NodeId('node-0'),
       'run',
-      { lease: ms(4000), renew: ms(1200) },
+      { duration: ms(4000), renewInterval: ms(1200) },
       new ProcessClock(time, 0, 0),
       () => 0.5,
       pino({ level: 'silent' }),
-      { gained: () => undefined, lost: (e) => lost.push(e) },
+      { onGained: () => undefined, onLost: (e) => lost.push(e) },
     );
-    void election.serve();
+    void election.run();
     await new Promise((resolve) => setImmediate(resolve));
     assert.equal(election.authority(), 7);
     await time.run(5000);
     assert.deepEqual([election.authority(), election.leader()], [undefined, 'node-0']);
-    election.heard(NodeId(node), epoch);
+    election.noteLeader(NodeId(node), epoch);
     assert.equal(election.leader(), stays ? 'node-0' : node, name);
     assert.deepEqual(lost, stays ? [] : [7], name);
     election.stop();
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -3,19 +3,19 @@
 import fc from 'fast-check';
 import {
   Machine,
-  leaseEnd,
+  workerLeaseEnd,
   loadOf,
-  provenAbsent,
-  toReport,
-  type Report,
+  isProvenAbsent,
+  toWorkerStatus,
+  type WorkerStatus,
 } from '../../src/fleet/machine.js';
 import { ImageCache } from '../../src/fleet/images.js';
 import { Epoch, JobId, MachineId, SteadyMs, seconds, taskKey } from '../../src/units/index.js';
 
 const epoch = Epoch(50);
 const key = 'run-000001/0';
-const report = (change: Partial<Parameters<typeof toReport>[0]>): Report =>
-  toReport({
+const report = (change: Partial<Parameters<typeof toWorkerStatus>[0]>): WorkerStatus =>
+  toWorkerStatus({
     session: 1,
     sequence: 10,
     fencingToken: 50,
@@ -24,7 +24,7 @@
     ...change,
   });
 const machine = (): Machine =>
-  new Machine(MachineId('vm-1'), { type: 'a', zone: 'z', spot: true }, 10, SteadyMs(0));
+  new Machine(MachineId('vm-1'), { machineType: 'a', zone: 'z', spot: true }, 10, SteadyMs(0));
 
 void test('reports are ordered by shift and tally, whichever way they came', () => {
   const cases: [string, [number, number], [number, number], boolean][] = [
@@ -36,32 +36,32 @@
   ];
   for (const [name, [s0, t0], [s1, t1], fresh] of cases) {
     const m = machine();
-    assert.ok(m.take(report({ session: s0, sequence: t0 }), SteadyMs(1)));
-    assert.equal(m.take(report({ session: s1, sequence: t1 }), SteadyMs(2)), fresh, name);
+    assert.ok(m.recordStatus(report({ session: s0, sequence: t0 }), SteadyMs(1)));
+    assert.equal(m.recordStatus(report({ session: s1, sequence: t1 }), SteadyMs(2)), fresh, name);
   }
 });
 
 void test('what a session left behind ends with its lease', () => {
   const m = machine();
-  m.take(report({ session: 3, sequence: 5 }), SteadyMs(1));
-  m.doubts.add('run-000001/0#1');
-  m.expire();
-  assert.equal(m.doubts.size, 0);
+  m.recordStatus(report({ session: 3, sequence: 5 }), SteadyMs(1));
+  m.unacknowledgedStarts.add('run-000001/0#1');
+  m.expireLease();
+  assert.equal(m.unacknowledgedStarts.size, 0);
   // Held back on the way: the worker has long dropped these tasks.
-  assert.equal(m.take(report({ session: 3, sequence: 6 }), SteadyMs(9)), false);
-  assert.equal(m.take(report({ session: 4, sequence: 1 }), SteadyMs(9)), true);
+  assert.equal(m.recordStatus(report({ session: 3, sequence: 6 }), SteadyMs(9)), false);
+  assert.equal(m.recordStatus(report({ session: 4, sequence: 1 }), SteadyMs(9)), true);
 });
 
 void test('a notice that newer reports do not show was a late copy of another time', () => {
   const m = machine();
-  m.take(report({ sequence: 5, reclaimNoticeSeconds: 9 }), SteadyMs(1));
-  assert.ok(m.draining);
-  m.take(report({ sequence: 6 }), SteadyMs(2));
-  assert.equal(m.draining, false);
+  m.recordStatus(report({ sequence: 5, reclaimNoticeSeconds: 9 }), SteadyMs(1));
+  assert.ok(m.isDraining);
+  m.recordStatus(report({ sequence: 6 }), SteadyMs(2));
+  assert.equal(m.isDraining, false);
 });
 
 void test('a lease counts as expired only when it has on every clock', () => {
-  assert.ok(leaseEnd(SteadyMs(0), seconds(24)) > 24_000 * 1.0005);
+  assert.ok(workerLeaseEnd(SteadyMs(0), seconds(24)) > 24_000 * 1.0005);
 });
 
 void test('proofs of absence', () => {
@@ -71,7 +71,7 @@
     name: string,
     report: Parameters<typeof report>[0],
     beat: boolean,
-    how: Parameters<typeof provenAbsent>[4],
+    how: Parameters<typeof isProvenAbsent>[4],
     doubts: ReadonlySet<string>,
     proven: boolean,
   ];
@@ -95,12 +95,12 @@
     ['inherited, our epoch seen', {}, true, old, none, true],
   ];
   for (const [name, r, beat, how, doubts, proven] of cases) {
-    assert.equal(provenAbsent(report(r), beat, key, 2, how, doubts, epoch), proven, name);
+    assert.equal(isProvenAbsent(report(r), beat, key, 2, how, doubts, epoch), proven, name);
   }
 });
 
 void test('the load that is kept is the load worked out anew', () => {
-  const sizes = [1, 2, 4].map((cpus) => ({ cpus, gpus: 0, ramGb: cpus }));
+  const sizes = [1, 2, 4].map((cpus) => ({ cpus, gpus: 0, memoryGb: cpus }));
   const sizeOf = (job: JobId) => sizes[Number(job.slice(-1))];
   const status = fc.constantFrom('fetching', 'running', 'exited');
   const entries = fc.array(fc.tuple(fc.nat(3), fc.nat(2), status), { maxLength: 6 });
@@ -120,16 +120,16 @@
           job,
           index: 0,
           attempt: 1,
-          size: sizes[n % 3]!,
+          resources: sizes[n % 3]!,
           image: `img-${n % 2}`,
           placedAt: SteadyMs(0),
         };
         if (what === 'assign' && n < 3) m.assign(taskKey(job, 0), task);
         else if (what === 'unassign') m.unassign(taskKey(job, 0));
-        else if (what === 'image') m.uses(`img-${n}`, 4);
+        else if (what === 'image') m.noteImageUse(`img-${n}`, 4);
         else {
           const shown = list.map(([k, t, s]) => ({ task: `run-${k}/0`, attempt: t, state: s }));
-          m.take(report({ sequence: ++tally, tasks: shown }), SteadyMs(tally));
+          m.recordStatus(report({ sequence: ++tally, tasks: shown }), SteadyMs(tally));
         }
         assert.deepEqual(m.load(sizeOf), loadOf(m, sizeOf));
       }
