--- a/test/unit/gangs.test.ts
+++ b/test/unit/gangs.test.ts
@@ -8,9 +8,9 @@
   type GangTask,
   type GangView,
 } from '../../src/leader/gang-lifecycle.js';
-import type { Board } from '../../src/leader/board.js';
-import { Gangs } from '../../src/leader/gangs.js';
-import type { Orders } from '../../src/leader/orders.js';
+import type { PlacementIndex } from '../../src/leader/placement-index.js';
+import { GangController } from '../../src/leader/gang-controller.js';
+import type { CommandSender } from '../../src/leader/command-sender.js';
 import { Job } from '../../src/ledger/job.js';
 import {
   JobId,
@@ -37,11 +37,11 @@
 
 /** A gang of three that saves within three seconds. */
 const gang = (tasks: readonly GangTask[], change: Partial<GangView> = {}): GangView => ({
-  entries: 3,
-  waiting: 3 - tasks.length,
-  done: 0,
+  taskCount: 3,
+  waitingCount: 3 - tasks.length,
+  doneCount: 0,
   tasks,
-  saveTime: seconds(3),
+  checkpointTime: seconds(3),
   ...change,
 });
 
@@ -70,7 +70,7 @@
     ['too soon to save', gang([running, leaving(2500), running]), 'running', 'none'],
     [
       'it can not save',
-      gang([running, leaving(5500), running], { saveTime: undefined }),
+      gang([running, leaving(5500), running], { checkpointTime: undefined }),
       'running',
       'none',
     ],
@@ -82,12 +82,17 @@
     ],
     [
       'one is done, the others have not been heard of since',
-      gang([running, running], { done: 1, waiting: 0 }),
+      gang([running, running], { doneCount: 1, waitingCount: 0 }),
       'done',
       'complete',
     ],
-    ['one is done, another is lost', gang([running], { done: 1, waiting: 1 }), 'done', 'complete'],
-    ['all are done', gang([], { done: 3, waiting: 0 }), 'done', 'none'],
+    [
+      'one is done, another is lost',
+      gang([running], { doneCount: 1, waitingCount: 1 }),
+      'done',
+      'complete',
+    ],
+    ['all are done', gang([], { doneCount: 3, waitingCount: 0 }), 'done', 'none'],
   ];
   for (const [name, view, phase, action] of cases) {
     assert.equal(phaseOf(view), phase, name);
@@ -103,22 +108,26 @@
     Revision(1),
   );
   const machine = MachineId('vm-000001');
-  job.place(
+  job.placeTasks(
     [0, 1, 2].map((index) => ({ index, machine })),
     SteadyMs(0),
   );
-  job.unplace(2);
-  job.finish(0);
-  const board = {
-    finish: (j: Job, index: number) => j.finish(index),
+  job.requeue(2);
+  job.complete(0);
+  const placements = {
+    completeTask: (j: Job, index: number) => j.complete(index),
     ledger: { jobs: new Map([[job.id, job]]) },
     fleet: { machines: new Map() },
   };
   let review = (): void => undefined;
   const clock = { after: (_: unknown, run: () => void) => (review = run), steady: () => 0 };
-  const gangs = new Gangs(board as unknown as Board, {} as Orders, clock as unknown as Clock);
+  const gangs = new GangController(
+    placements as unknown as PlacementIndex,
+    {} as CommandSender,
+    clock as unknown as Clock,
+  );
   gangs.noteBroken(job);
   review();
-  assert.ok(job.settled && job.doneCount === 3);
-  assert.equal(job.final().status, 'done');
+  assert.ok(job.isSettled && job.doneCount === 3);
+  assert.equal(job.finalState().status, 'done');
 });
--- a/test/unit/report-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -4,24 +4,26 @@
 import { pino } from 'pino';
 import { parseSettings } from '../../src/config/settings.js';
 import type { Fleet } from '../../src/fleet/fleet.js';
-import { toReport } from '../../src/fleet/machine.js';
-import type { Board } from '../../src/leader/board.js';
-import type { TermDeps } from '../../src/leader/deps.js';
-import type { Gangs } from '../../src/leader/gangs.js';
-import type { Orders } from '../../src/leader/orders.js';
-import { Reports } from '../../src/leader/reports.js';
+import { toWorkerStatus } from '../../src/fleet/machine.js';
+import type { PlacementIndex } from '../../src/leader/placement-index.js';
+import type { TermDependencies } from '../../src/leader/dependencies.js';
+import type { GangController } from '../../src/leader/gang-controller.js';
+import type { CommandSender } from '../../src/leader/command-sender.js';
+import { HeartbeatHandler } from '../../src/leader/heartbeat-handler.js';
 import type { Peer } from '../../src/peer/channel.js';
 import {
   decodeRequest,
   decodeResponse,
   encodeRequest,
   encodeResponse,
-  type PeerRequest,
-  type PeerResponse,
-  type RelayedReport,
-  type ReportResponse,
+} from '../../src/peer/codec.js';
+import type {
+  HeartbeatResponse,
+  PeerRequest,
+  PeerResponse,
+  RelayedHeartbeat,
 } from '../../src/peer/messages.js';
-import { ReportRelay, nextBatchReports, showsTheSame } from '../../src/relay/report-relay.js';
+import { HeartbeatRelay, nextBatchSize, isUnchanged } from '../../src/relay/heartbeat-relay.js';
 import { Epoch, MachineId, NodeId, ms } from '../../src/units/index.js';
 import type { Heartbeat, HeartbeatReply, TaskStatus } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
@@ -49,19 +51,19 @@
 /** A leader's books of machines, without jobs. */
 class Books {
   readonly fleet: Fleet = emptyFleet(settings.workers.lease);
-  readonly reports: Reports;
+  readonly reports: HeartbeatHandler;
 
   constructor(
     readonly epoch: Epoch,
     clock: ProcessClock,
   ) {
-    const board = { fleet: this.fleet, ledger: { jobs: new Map() } };
-    this.reports = new Reports(
+    const placements = { fleet: this.fleet, ledger: { jobs: new Map() } };
+    this.reports = new HeartbeatHandler(
       epoch,
-      board as unknown as Board,
-      { answer: () => [] } as unknown as Orders,
-      {} as Gangs,
-      { clock, settings, log: pino({ level: 'silent' }) } as unknown as TermDeps,
+      placements as unknown as PlacementIndex,
+      { commandsForReply: () => [] } as unknown as CommandSender,
+      {} as GangController,
+      { clock, settings, log: pino({ level: 'silent' }) } as unknown as TermDependencies,
       () => undefined,
     );
   }
@@ -70,13 +72,13 @@
   contents(): unknown {
     return [...this.fleet.machines.values()].map((m) => ({
       id: m.id,
-      session: m.report?.session,
-      sequence: m.report?.sequence,
-      fencingToken: m.report?.token,
-      tasks: m.report?.tasks.map((e) => [e.task, e.attempt, e.state, e.exitReason ?? null]),
-      expires: m.expires,
-      up: m.up,
-      deaf: m.deafSince,
+      session: m.status?.session,
+      sequence: m.status?.sequence,
+      fencingToken: m.status?.fencingToken,
+      tasks: m.status?.tasks.map((e) => [e.task, e.attempt, e.state, e.exitReason ?? null]),
+      expires: m.leaseExpiresAt,
+      up: m.isUp,
+      deaf: m.notReceivingSince,
     }));
   }
 }
@@ -106,13 +108,13 @@
   peer(meant: () => Heartbeat): Peer {
     return {
       responsive: true,
-      ask: async (request) => {
+      request: async (request) => {
         const { fault } = this;
         this.fault = 'none';
         if (fault === 'requestLost') return undefined;
-        assert.ok(request.type === 'reports');
+        assert.ok(request.type === 'workerHeartbeats');
         const copy = decodeRequest(encodeRequest(1, request)).message;
-        const message = { request: copy, meant: request.reports.map(() => meant()) };
+        const message = { request: copy, meant: request.heartbeats.map(() => meant()) };
         this.delivered.push(message);
         let response = this.deliver(message);
         if (fault === 'deliveredTwice') response = this.deliver(message);
@@ -129,29 +131,30 @@
   }
 
   private deliver({ request, meant }: { request: PeerRequest; meant: Heartbeat[] }): PeerResponse {
-    assert.ok(request.type === 'reports');
-    const responses = request.reports.map((r, i): ReportResponse => {
+    assert.ok(request.type === 'workerHeartbeats');
+    const responses = request.heartbeats.map((r, i): HeartbeatResponse => {
       const taken = this.take(request.epoch, r);
       const truth = meant[i];
       assert.ok(truth);
-      if (taken.outcome === 'accepted') this.full.reports.take(truth);
+      if (taken.outcome === 'accepted') this.full.reports.handleDirect(truth);
       return taken;
     });
     const { epoch } = this.relayed;
-    return decodeResponse(encodeResponse(1, { type: 'reportResponses', epoch, responses })).message;
+    return decodeResponse(encodeResponse(1, { type: 'heartbeatResponses', epoch, responses }))
+      .message;
   }
 
-  private take(epoch: number, r: RelayedReport): ReportResponse {
+  private take(epoch: number, r: RelayedHeartbeat): HeartbeatResponse {
     const node = NodeId('node-1');
     if (r.kind === 'full') {
-      const { reply, baseline } = this.relayed.reports.takeRelayed(r.report, node);
-      return { outcome: 'accepted', baseline, orders: reply.commands };
+      const { reply, baseline } = this.relayed.reports.handleRelayed(r.heartbeat, node);
+      return { outcome: 'accepted', baseline, commands: reply.commands };
     }
     const known = epoch === this.relayed.epoch;
-    const reply = known ? this.relayed.reports.takeUnchanged(r, node) : undefined;
-    if (!reply) return { outcome: 'baselineUnknown', baseline: 0, orders: [] };
+    const reply = known ? this.relayed.reports.handleUnchanged(r, node) : undefined;
+    if (!reply) return { outcome: 'baselineUnknown', baseline: 0, commands: [] };
     this.unchanged++;
-    return { outcome: 'accepted', baseline: r.unchangedSince, orders: reply.commands };
+    return { outcome: 'accepted', baseline: r.unchangedSince, commands: reply.commands };
   }
 }
 
@@ -204,7 +207,7 @@
       const leader = new Leader(clock);
       let sent: Heartbeat = report('vm-0');
       const peer = leader.peer(() => sent);
-      const relays = [0, 1].map((n) => new ReportRelay(NodeId(`node-${n}`), clock, () => peer));
+      const relays = [0, 1].map((n) => new HeartbeatRelay(NodeId(`node-${n}`), clock, () => peer));
       const machines = [0, 1, 2].map((n) => report(`vm-${n}`));
       const change = (n: number, by: Partial<Heartbeat>): Heartbeat => {
         const before = machines[n] ?? report(`vm-${n}`);
@@ -221,7 +224,9 @@
         else if (step.kind === 'command') {
           const answer = change(step.machine, { tasks: [running('run-000002/0')] });
           for (const { fleet } of [leader.relayed, leader.full]) {
-            fleet.machines.get(MachineId(answer.machine))?.take(toReport(answer), clock.steady());
+            fleet.machines
+              .get(MachineId(answer.machine))
+              ?.recordStatus(toWorkerStatus(answer), clock.steady());
           }
         } else {
           const session = machines[step.machine]?.session ?? 1;
@@ -249,7 +254,7 @@
     [150, 100, 160],
     [160, 100, 160],
   ];
-  for (const [now, took, next] of cases) assert.equal(nextBatchReports(now, ms(took)), next);
+  for (const [now, took, next] of cases) assert.equal(nextBatchSize(now, ms(took)), next);
 });
 
 void test('what counts as unchanged', () => {
@@ -267,16 +272,16 @@
   ];
   for (const [name, change, same] of cases) {
     const first = report('vm-1', { tasks: entries });
-    assert.equal(showsTheSame(first, { ...first, ...change }), same, name);
+    assert.equal(isUnchanged(first, { ...first, ...change }), same, name);
   }
 });
 
 void test('a report is answered by the leader there is, or given back in time', async () => {
   type Answers = (PeerResponse | undefined)[];
-  const answered = (outcome: ReportResponse['outcome']): PeerResponse => ({
-    type: 'reportResponses',
+  const answered = (outcome: HeartbeatResponse['outcome']): PeerResponse => ({
+    type: 'heartbeatResponses',
     epoch: 5,
-    responses: [{ outcome, baseline: 1, orders: [] }],
+    responses: [{ outcome, baseline: 1, commands: [] }],
   });
   const cases: [name: string, leaderAfter: number, answers: Answers, reply: boolean][] = [
     ['at once', 0, [answered('accepted')], true],
@@ -290,9 +295,9 @@
   for (const [name, leaderAfter, answers, expected] of cases) {
     const time = new VirtualTime();
     const clock = new ProcessClock(time, 0, 0);
-    const peer: Peer = { responsive: true, ask: () => Promise.resolve(answers.shift()) };
+    const peer: Peer = { responsive: true, request: () => Promise.resolve(answers.shift()) };
     const leader = (): Peer | undefined => (time.now >= leaderAfter ? peer : undefined);
-    const relay = new ReportRelay(NodeId('node-1'), clock, leader);
+    const relay = new HeartbeatRelay(NodeId('node-1'), clock, leader);
     let reply: HeartbeatReply | 'none' | undefined;
     void relay.send(report('vm-1'), 200).then((r) => (reply = r ?? 'none'));
     await time.run(ms(3500));
--- a/test/unit/ledger.test.ts
+++ b/test/unit/ledger.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { decodeJob, encodeJob, openTaskLimit, sizeOf } from '../../src/ledger/codec.js';
+import { decodeJob, encodeJob, openTaskLimit, encodedSize } from '../../src/ledger/codec.js';
 import { Job } from '../../src/ledger/job.js';
 import { RecordError } from '../../src/ledger/record.js';
-import { Ranges } from '../../src/ledger/ranges.js';
+import { IndexRanges } from '../../src/ledger/index-ranges.js';
 import { Epoch, JobId, MachineId, Revision, SteadyMs, WallMs } from '../../src/units/index.js';
 import { spec } from '../support/jobs.js';
 import { play, type Play } from '../support/play.js';
@@ -17,7 +17,7 @@
   const ops = fc.array(fc.tuple(fc.boolean(), fc.nat(40)), { maxLength: 120 });
   fc.assert(
     fc.property(ops, (list) => {
-      const ranges = Ranges.of([[0, 20]]);
+      const ranges = IndexRanges.of([[0, 20]]);
       const set = new Set(Array.from({ length: 20 }, (_, i) => i));
       for (const [add, i] of list) {
         if (add) {
@@ -49,7 +49,7 @@
     fc.property(moves, fc.boolean(), (list, aborted) => {
       const job = new Job(id, spec({ taskCount: 60 }), WallMs(5), Revision(7));
       play(job, list, { limit: 60, batch: 7, machineOf });
-      if (aborted) job.abort();
+      if (aborted) job.cancel();
       const back = decodeJob(
         id,
         JSON.parse(JSON.stringify(encodeJob(job, Epoch(3)))),
@@ -58,11 +58,11 @@
       );
       assert.deepEqual(back.waiting.list(), job.waiting.list());
       assert.equal(back.doneCount, job.doneCount);
-      assert.equal(back.aborted, job.aborted);
+      assert.equal(back.cancelled, job.cancelled);
       assert.equal(back.nextAttempt, job.nextAttempt);
       assert.deepEqual(
-        [...back.placed].map(([i, p]) => [i, p.machine, p.attempt]).sort(),
-        [...job.placed].map(([i, p]) => [i, p.machine, p.attempt]).sort(),
+        [...back.placements].map(([i, p]) => [i, p.machine, p.attempt]).sort(),
+        [...job.placements].map(([i, p]) => [i, p.machine, p.attempt]).sort(),
       );
     }),
     { seed },
@@ -81,7 +81,7 @@
     fc.property(long, (list) => {
       const job = new Job(id, wide, WallMs(Date.UTC(2026, 0)), Revision(123456));
       play(job, list, { limit: limit, batch: 7, machineOf });
-      assert.ok(sizeOf(encodeJob(job, Epoch(123456))) <= 8192);
+      assert.ok(encodedSize(encodeJob(job, Epoch(123456))) <= 8192);
     }),
     { seed, numRuns: 30 },
   );
@@ -90,26 +90,26 @@
 void test('a record that takes the place of ours keeps what we know of the attempts that both name', () => {
   const [a, b] = [MachineId('vm-000001'), MachineId('vm-000002')];
   const ours = new Job(id, spec({ taskCount: 4 }), WallMs(5), Revision(7));
-  ours.place([{ index: 0, machine: a }], now);
+  ours.placeTasks([{ index: 0, machine: a }], now);
   const late = decodeJob(id, encodeJob(ours, Epoch(3)), Revision(8), now);
-  const first = ours.placed.get(0);
+  const first = ours.placements.get(0);
   assert.ok(first);
-  first.sent = { session: 1, sequence: 9 };
+  first.sentInReplyTo = { session: 1, sequence: 9 };
   // A later write of ours, which lost against the late one.
-  ours.place([{ index: 1, machine: b }], now);
+  ours.placeTasks([{ index: 1, machine: b }], now);
   const used = ours.version;
-  late.succeed(ours);
-  const kept = late.placed.get(0);
-  assert.deepEqual([kept?.sent, kept?.inherited], [{ session: 1, sequence: 9 }, false]);
-  assert.equal(late.placed.has(1), false);
-  assert.ok(late.version > used && late.committed === late.version);
-  late.place([{ index: 1, machine: a }], now);
-  assert.equal(late.placed.get(1)?.attempt, 3, 'no attempt number is used twice');
+  late.inheritFrom(ours);
+  const kept = late.placements.get(0);
+  assert.deepEqual([kept?.sentInReplyTo, kept?.inherited], [{ session: 1, sequence: 9 }, false]);
+  assert.equal(late.placements.has(1), false);
+  assert.ok(late.version > used && late.committedVersion === late.version);
+  late.placeTasks([{ index: 1, machine: a }], now);
+  assert.equal(late.placements.get(1)?.attempt, 3, 'no attempt number is used twice');
 });
 
 void test('damaged records are refused rather than read as finished work', () => {
   const job = new Job(id, spec({ taskCount: 8 }), WallMs(5), Revision(7));
-  job.place([{ index: 0, machine: MachineId('vm-000001') }], now);
+  job.placeTasks([{ index: 0, machine: MachineId('vm-000001') }], now);
   const record = encodeJob(job, Epoch(3));
   const cases: [string, unknown][] = [
     ['a waiting range is missing', { ...record, w: [] }],
--- a/test/unit/lost-machines.test.ts
+++ b/test/unit/lost-machines.test.ts
@@ -9,16 +9,16 @@
 
 /** A machine that was last heard at that second; undefined: not yet by this leader. */
 function machine(id: string, heardAt: number | undefined, change: Partial<Machine> = {}): Machine {
-  const place = { type: 'small', zone: 'a', spot: true };
+  const place = { machineType: 'small', zone: 'a', spot: true };
   const m = new Machine(MachineId(id), place, 20, at(1000));
-  m.up = heardAt !== undefined;
-  m.lastHeard = heardAt === undefined ? undefined : at(heardAt);
-  m.runsSince = at(0);
+  m.isUp = heardAt !== undefined;
+  m.lastHeardAt = heardAt === undefined ? undefined : at(heardAt);
+  m.listedRunningSince = at(0);
   return Object.assign(m, change);
 }
 
 void test('which silent machines count as lost', () => {
-  const through = { reportsThrough: FOLLOWER };
+  const through = { relayNode: FOLLOWER };
   type Case = [name: string, one: Machine, unreachableAt: number | undefined, lost: boolean];
   const cases: Case[] = [
     ['heard lately', machine('m', 95), undefined, false],
@@ -30,7 +30,12 @@
     ['silent and not listed any more', machine('m', 91, { ...through, missedLists: 1 }), 92, true],
     ['not heard by this leader yet', machine('m', undefined), undefined, true],
     ['its boot takes far too long', machine('m', undefined, { bootingSince: at(50) }), 99, true],
-    ['deaf for longer than its lease', machine('m', 99, { deafSince: at(60) }), undefined, true],
+    [
+      'deaf for longer than its lease',
+      machine('m', 99, { notReceivingSince: at(60) }),
+      undefined,
+      true,
+    ],
   ];
   for (const [name, one, unreachable, lost] of cases) {
     // Beside two that are heard, so that most of the zone is.
@@ -38,7 +43,7 @@
     const found = lostMachines(all, {
       now: at(100),
       listeningSince: at(0),
-      report: seconds(3),
+      heartbeatInterval: seconds(3),
       lease: seconds(24),
       bootTime: () => seconds(10),
       unreachableAt: new Map(unreachable === undefined ? [] : [[FOLLOWER, at(unreachable)]]),
@@ -52,7 +57,7 @@
   const view = {
     now: at(100),
     listeningSince: at(0),
-    report: seconds(3),
+    heartbeatInterval: seconds(3),
     lease: seconds(24),
     bootTime: () => seconds(10),
     unreachableAt: new Map(),
@@ -60,7 +65,7 @@
   assert.deepEqual(lostMachines(all, view), []);
   assert.equal(lostMachines(all, { ...view, now: at(113) }).length, 2, 'for longer than that');
   // Hundreds that come back to a new leader, or after the end of their follower, take their time.
-  const back = [machine('m', undefined), machine('n', 91, { reportsThrough: FOLLOWER })];
+  const back = [machine('m', undefined), machine('n', 91, { relayNode: FOLLOWER })];
   const unreachableAt = new Map([[FOLLOWER, at(95)]]);
   const slow = (s: number) =>
     lostMachines(back, { ...view, unreachableAt, listeningSince: at(91), now: at(s) }).length;
--- a/test/unit/peer.test.ts
+++ b/test/unit/peer.test.ts
@@ -8,16 +8,15 @@
   decodeResponse,
   encodeRequest,
   encodeResponse,
-  type PeerRequest,
-  type PeerResponse,
-} from '../../src/peer/messages.js';
+} from '../../src/peer/codec.js';
+import type { PeerRequest, PeerResponse } from '../../src/peer/messages.js';
 import { Endpoint, NodeId, ms, seconds } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import type { Heartbeat, Command } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 const status = { leader: 'node-1', epoch: 2 ** 40, storeReachable: true };
-const orders: Command[] = [
+const commands: Command[] = [
   { type: 'launch', task: 'run-000001/0', attempt: 2 },
   { type: 'kill', task: 'run-000001/1', attempt: 1, gracePeriodSeconds: 1.5 },
   { type: 'clear', task: 'run-000001/2', attempt: 1 },
@@ -48,36 +47,43 @@
   machine: 'vm-2',
   session: 3,
   sequence: 9,
-  token: 5,
+  fencingToken: 5,
   unchangedSince: 77,
 };
 
 const requests: PeerRequest[] = [
-  { type: 'heartbeat', status },
+  { type: 'peerHeartbeat', status },
   { type: 'imageHints', machines: [{ machine: 'vm-1', images: [{ name: 'img-1', gb: 2.5 }] }] },
   { type: 'jobNotice', job: 'run-000001' },
   { type: 'submitJob', body: Buffer.from([1, 2, 3]) },
   { type: 'readJob', job: 'run-000001' },
   { type: 'cancelJob', job: 'run-000001' },
   {
-    type: 'reports',
+    type: 'workerHeartbeats',
     node: NodeId('node-2'),
     epoch: 5,
-    reports: [{ kind: 'full', report }, unchanged],
+    heartbeats: [{ kind: 'full', heartbeat: report }, unchanged],
+  },
+  {
+    type: 'sendCommands',
+    address: '10.1.0.1:9000',
+    fencingToken: 5,
+    session: 1,
+    timeoutMs: 2500,
+    commands,
   },
-  { type: 'command', address: '10.1.0.1:9000', token: 5, session: 1, timeoutMs: 2500, orders },
 ];
 const responses: PeerResponse[] = [
-  { type: 'status', status },
+  { type: 'peerStatus', status },
   { type: 'acknowledged', ok: true },
   { type: 'userResponse', status: 429, retryAfter: 3, body: Buffer.alloc(0) },
   {
-    type: 'reportResponses',
+    type: 'heartbeatResponses',
     epoch: 5,
-    responses: [{ outcome: 'accepted', baseline: 7, orders }],
+    responses: [{ outcome: 'accepted', baseline: 7, commands }],
   },
-  { type: 'commandResult', outcome: 'answered', why: '', report },
-  { type: 'commandResult', outcome: 'unknown', why: 'no answer in time', report: null },
+  { type: 'commandResult', outcome: 'answered', reason: '', heartbeat: report },
+  { type: 'commandResult', outcome: 'unknown', reason: 'no answer in time', heartbeat: null },
 ];
 
 /** Without the classes that decoded records are made of. */
@@ -120,7 +126,7 @@
   assert.equal(lines.length, 1);
   const link = new PeerLink(at, systemClock, log);
   try {
-    const response = await link.ask({ type: 'readJob', job: 'run-000001' }, seconds(60));
+    const response = await link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
     assert.deepEqual(plain(response), { type: 'acknowledged', ok: true });
   } finally {
     link.close();
@@ -143,10 +149,10 @@
   }, log);
   const link = new PeerLink(await listening(server), clock, log);
   try {
-    const first = link.ask({ type: 'readJob', job: 'run-000001' }, seconds(60));
+    const first = link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
     await arrival;
     assert.ok(link.responsive, 'it has just been asked');
-    const heartbeat = link.ask({ type: 'heartbeat', status }, ms(800));
+    const heartbeat = link.request({ type: 'peerHeartbeat', status }, ms(800));
     await time.run(time.now + 900);
     assert.equal(await heartbeat, undefined);
     assert.ok(link.responsive, 'it is late');
--- a/test/unit/placer.test.ts
+++ b/test/unit/placer.test.ts
@@ -1,79 +1,88 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Size } from '../../src/fleet/size.js';
+import type { Resources } from '../../src/fleet/resources.js';
 import {
-  allows,
+  isAllowed,
   place,
-  type Host,
-  type Reserve,
-  type TeamRoom,
-  type Want,
+  type CandidateMachine,
+  type ImageReserve,
+  type RemainingQuota,
+  type TaskRequest,
 } from '../../src/placer/placer.js';
 import { JobId, MachineId } from '../../src/units/index.js';
 
 const seed = 20260314;
-const host = (id: string, change: Partial<Host> & { images?: string[] } = {}): Host => {
-  const total: Size = change.total ?? { cpus: 8, gpus: 0, ramGb: 32 };
+const host = (
+  id: string,
+  change: Partial<CandidateMachine> & { images?: string[] } = {},
+): CandidateMachine => {
+  const total: Resources = change.capacity ?? { cpus: 8, gpus: 0, memoryGb: 32 };
   return {
     id: MachineId(id),
-    type: 'small',
+    machineType: 'small',
     zone: 'a',
     spot: true,
-    total,
+    capacity: total,
     free: total,
-    rate: 0.02,
-    fetchGbPerS: 0.5,
-    holds: (image) => (change.images ?? []).includes(image),
-    fetching: new Set(),
+    pricePerCpu: 0.02,
+    fetchGbPerSecond: 0.5,
+    hasImage: (image) => (change.images ?? []).includes(image),
+    imagesBeingFetched: new Set(),
     ...change,
   };
 };
-const want = (id: string, count: number, change: Partial<Want> = {}): Want => ({
+const want = (id: string, count: number, change: Partial<TaskRequest> = {}): TaskRequest => ({
   id: JobId(id),
   team: 't',
-  size: { cpus: 2, gpus: 0, ramGb: 1 },
+  resources: { cpus: 2, gpus: 0, memoryGb: 1 },
   image: 'img',
   imageGb: 2,
-  types: null,
-  onlyZone: null,
-  spot: true,
-  together: false,
-  zone: undefined,
-  perZone: Infinity,
-  inZone: new Map(),
-  indexes: Array.from({ length: count }, (_, i) => i),
-  avoid: new Set(),
-  urgent: false,
-  isExpected: false,
+  machineTypes: null,
+  requiredZone: null,
+  allowSpot: true,
+  singleZone: false,
+  boundZone: undefined,
+  maxPerZone: Infinity,
+  placedByZone: new Map(),
+  waitingIndexes: Array.from({ length: count }, (_, i) => i),
+  avoidedMachines: new Set(),
+  isUrgent: false,
+  usesReserve: false,
   rank: 2,
-  mustBegin: false,
-  whole: false,
-  count,
+  mustStart: false,
+  isGang: false,
+  taskCount: count,
   ...change,
 });
 
 void test('room that is kept: who may use it, and how much', () => {
-  const big: Size = { cpus: 32, gpus: 0, ramGb: 64 };
-  const half: Size = { cpus: 16, gpus: 0, ramGb: 64 };
-  const large = want('l', 1, { size: { cpus: 24, gpus: 0, ramGb: 1 }, rank: 1 });
-  const hosts = [host('m1', { total: big, free: half })];
+  const big: Resources = { cpus: 32, gpus: 0, memoryGb: 64 };
+  const half: Resources = { cpus: 16, gpus: 0, memoryGb: 64 };
+  const large = want('l', 1, { resources: { cpus: 24, gpus: 0, memoryGb: 1 }, rank: 1 });
+  const hosts = [host('m1', { capacity: big, free: half })];
   const reserved = new Map([['img', 64]]);
   const room = new Map([['t', { cpus: 20, gpus: 0 }]]);
   const none = new Map<string, never>();
-  const cases: [string, Want[], ReadonlyMap<string, TeamRoom>, Reserve, number][] = [
+  const cases: [
+    string,
+    TaskRequest[],
+    ReadonlyMap<string, RemainingQuota>,
+    ImageReserve,
+    number,
+  ][] = [
     ['a large task keeps its machine', [large, want('j', 4)], none, none, 0],
-    ['a job begins there in the end', [large, want('j', 4, { mustBegin: true })], none, none, 1],
+    ['a job begins there in the end', [large, want('j', 4, { mustStart: true })], none, none, 1],
     [
       'not if the large one waited as long',
-      [{ ...large, rank: -1 }, want('j', 4, { mustBegin: true })],
+      [{ ...large, rank: -1 }, want('j', 4, { mustStart: true })],
       none,
       none,
       0,
     ],
     ['what its team may not start keeps nothing', [large, want('j', 4)], room, none, 4],
     ['room for urgent work', [want('j', 4)], none, reserved, 0],
-    ['a job begins there too', [want('j', 4, { mustBegin: true })], none, reserved, 1],
+    ['a job begins there too', [want('j', 4, { mustStart: true })], none, reserved, 1],
   ];
   for (const [name, wants, teams, reserve, placed] of cases) {
     const held = reserve.size > 0 ? [host('m1', { images: ['img'] })] : hosts;
@@ -83,55 +92,60 @@
 });
 
 void test('where a task goes', () => {
-  const big: Size = { cpus: 32, gpus: 0, ramGb: 64 };
-  const cases: [string, Want, Host[], string | undefined][] = [
+  const big: Resources = { cpus: 32, gpus: 0, memoryGb: 64 };
+  const cases: [string, TaskRequest, CandidateMachine[], string | undefined][] = [
     ['the holder of its image', want('j', 1), [host('m1'), host('m2', { images: ['img'] })], 'm2'],
     [
       'else the freest',
       want('j', 1),
-      [host('m1', { free: { cpus: 4, gpus: 0, ramGb: 32 } }), host('m2')],
+      [host('m1', { free: { cpus: 4, gpus: 0, memoryGb: 32 } }), host('m2')],
+      'm2',
+    ],
+    [
+      'the smaller type',
+      want('j', 1),
+      [host('m1', { capacity: big, free: big }), host('m2')],
       'm2',
     ],
-    ['the smaller type', want('j', 1), [host('m1', { total: big, free: big }), host('m2')], 'm2'],
     [
       'only an allowed type',
-      want('j', 1, { types: ['fat'] }),
-      [host('m1'), host('m2', { type: 'fat' })],
+      want('j', 1, { machineTypes: ['fat'] }),
+      [host('m1'), host('m2', { machineType: 'fat' })],
       'm2',
     ],
     [
       'only the allowed zone',
-      want('j', 1, { onlyZone: 'b' }),
+      want('j', 1, { requiredZone: 'b' }),
       [host('m1'), host('m2', { zone: 'b' })],
       'm2',
     ],
     [
       'no spot machine',
-      want('j', 1, { spot: false }),
+      want('j', 1, { allowSpot: false }),
       [host('m1'), host('m2', { spot: false })],
       'm2',
     ],
     [
       'not where it failed',
-      want('j', 1, { avoid: new Set([MachineId('m1')]) }),
+      want('j', 1, { avoidedMachines: new Set([MachineId('m1')]) }),
       [host('m1'), host('m2')],
       'm2',
     ],
     [
       'its zone',
-      want('j', 1, { together: true, zone: 'b' }),
+      want('j', 1, { singleZone: true, boundZone: 'b' }),
       [host('m1'), host('m2', { zone: 'b' })],
       'm2',
     ],
     [
       'not too many in a zone',
-      want('j', 1, { perZone: 1, inZone: new Map([['a', 1]]) }),
+      want('j', 1, { maxPerZone: 1, placedByZone: new Map([['a', 1]]) }),
       [host('m1')],
       undefined,
     ],
     [
       'nowhere without room',
-      want('j', 1, { size: { cpus: 16, gpus: 0, ramGb: 1 } }),
+      want('j', 1, { resources: { cpus: 16, gpus: 0, memoryGb: 1 } }),
       [host('m1')],
       undefined,
     ],
@@ -142,7 +156,7 @@
 });
 
 void test('a gang is placed whole or not at all, and leaves its room to others', () => {
-  const gang = want('g', 5, { whole: true });
+  const gang = want('g', 5, { isGang: true });
   const other = want('o', 4);
   const placed = place([gang, other], [host('m1')], new Map(), 10);
   assert.deepEqual(
@@ -153,35 +167,39 @@
 });
 
 void test('a gang that must be in one zone goes where all of it fits, and starts soonest', () => {
-  const small: Size = { cpus: 4, gpus: 0, ramGb: 32 };
-  const gang = want('g', 4, { whole: true, together: true });
-  const cases: [name: string, hosts: Host[], team: number | undefined, zone: string | undefined][] =
+  const small: Resources = { cpus: 4, gpus: 0, memoryGb: 32 };
+  const gang = want('g', 4, { isGang: true, singleZone: true });
+  const cases: [
+    name: string,
+    hosts: CandidateMachine[],
+    team: number | undefined,
+    zone: string | undefined,
+  ][] = [
     [
+      'the best machine is alone in its zone',
+      [host('m1', { images: ['img'], free: small }), host('m2', { zone: 'b' })],
+      undefined,
+      'b',
+    ],
+    [
+      'one zone has to fetch the image for a part',
       [
-        'the best machine is alone in its zone',
-        [host('m1', { images: ['img'], free: small }), host('m2', { zone: 'b' })],
-        undefined,
-        'b',
-      ],
-      [
-        'one zone has to fetch the image for a part',
-        [
-          host('m1', { images: ['img'], free: small }),
-          host('m2', { free: small }),
-          host('m3', { zone: 'b', images: ['img'], rate: 9 }),
-        ],
-        undefined,
-        'b',
-      ],
-      [
-        'room for half of it in each',
-        [host('m1', { free: small }), host('m2', { zone: 'b', free: small })],
-        undefined,
-        undefined,
+        host('m1', { images: ['img'], free: small }),
+        host('m2', { free: small }),
+        host('m3', { zone: 'b', images: ['img'], pricePerCpu: 9 }),
       ],
-      ['its team may start half of it', [host('m1')], 4, undefined],
-      ['its team may start all of it', [host('m1')], 8, 'a'],
-    ];
+      undefined,
+      'b',
+    ],
+    [
+      'room for half of it in each',
+      [host('m1', { free: small }), host('m2', { zone: 'b', free: small })],
+      undefined,
+      undefined,
+    ],
+    ['its team may start half of it', [host('m1')], 4, undefined],
+    ['its team may start all of it', [host('m1')], 8, 'a'],
+  ];
   for (const [name, hosts, team, zone] of cases) {
     const teams = new Map(team === undefined ? [] : [['t', { cpus: team, gpus: Infinity }]]);
     const placed = place([gang], hosts, teams, 100);
@@ -193,7 +211,7 @@
 });
 
 void test('machines are kept for a gang that finds no room, in one zone, if they could ever hold it', () => {
-  const free: Size = { cpus: 4, gpus: 0, ramGb: 32 };
+  const free: Resources = { cpus: 4, gpus: 0, memoryGb: 32 };
   const hosts = [
     host('m1', { free }),
     host('m2', { zone: 'b', free }),
@@ -206,7 +224,7 @@
     ['no zone is large enough', 13, ['m1', 'm1', 'm2', 'm2', 'm3']],
   ];
   for (const [name, count, left] of cases) {
-    const gang = want('g', count, { whole: true, together: true });
+    const gang = want('g', count, { isGang: true, singleZone: true });
     const later = place([gang, want('o', 9)], hosts, new Map(), 100);
     assert.deepEqual(later.map((a) => a.machine).sort(), left, name);
   }
@@ -216,14 +234,14 @@
   const size = fc.record({
     cpus: fc.integer({ min: 1, max: 9 }),
     gpus: fc.nat(1),
-    ramGb: fc.nat(20),
+    memoryGb: fc.nat(20),
   });
   const hosts = fc.array(
     fc.record({
-      type: fc.constantFrom('small', 'fat'),
+      machineType: fc.constantFrom('small', 'fat'),
       zone: fc.constantFrom('a', 'b', 'c'),
       spot: fc.boolean(),
-      free: fc.record({ cpus: fc.nat(16), gpus: fc.nat(2), ramGb: fc.nat(40) }),
+      free: fc.record({ cpus: fc.nat(16), gpus: fc.nat(2), memoryGb: fc.nat(40) }),
       images: fc.subarray(['x', 'y']),
     }),
     { maxLength: 6 },
@@ -231,33 +249,33 @@
   const wants = fc.array(
     fc.record({
       count: fc.integer({ min: 1, max: 12 }),
-      size,
+      resources: size,
       team: fc.constantFrom('t', 'u'),
       image: fc.constantFrom('x', 'y', 'z'),
-      types: fc.option(fc.subarray(['small', 'fat']), { nil: null }),
-      onlyZone: fc.option(fc.constantFrom('a', 'b'), { nil: null }),
-      spot: fc.boolean(),
-      together: fc.boolean(),
+      machineTypes: fc.option(fc.subarray(['small', 'fat']), { nil: null }),
+      requiredZone: fc.option(fc.constantFrom('a', 'b'), { nil: null }),
+      allowSpot: fc.boolean(),
+      singleZone: fc.boolean(),
       apart: fc.boolean(),
-      whole: fc.boolean(),
+      isGang: fc.boolean(),
     }),
     { maxLength: 5 },
   );
   fc.assert(
     fc.property(hosts, wants, fc.nat(30), (hs, ws, limit) => {
-      const hostList = hs.map((h, i) => host(`m${i}`, { ...h, total: h.free }));
+      const hostList = hs.map((h, i) => host(`m${i}`, { ...h, capacity: h.free }));
       const wantList = ws.map((w, i) =>
-        want(`j${i}`, w.count, { ...w, perZone: w.apart ? Math.ceil(w.count / 2) : Infinity }),
+        want(`j${i}`, w.count, { ...w, maxPerZone: w.apart ? Math.ceil(w.count / 2) : Infinity }),
       );
       const once = place(wantList, hostList, new Map([['t', { cpus: limit, gpus: limit }]]), 50);
       const twice = place(wantList, hostList, new Map([['t', { cpus: limit, gpus: limit }]]), 50);
       assert.deepEqual(once, twice, 'the same input gives the same placements');
       // Beside a job of tiny tasks, none of which waits, every machine is looked at.
-      const tiny = want('tiny', 0, { size: { cpus: 0, gpus: 0, ramGb: 0 }, rank: 99 });
+      const tiny = want('tiny', 0, { resources: { cpus: 0, gpus: 0, memoryGb: 0 }, rank: 99 });
       const limits = new Map([['t', { cpus: limit, gpus: limit }]]);
       const plain = place([...wantList, tiny], hostList, limits, 50);
       assert.deepEqual(once, plain, 'machines that are passed over could hold nothing');
-      const used = new Map<string, Size>();
+      const used = new Map<string, Resources>();
       const zones = new Map<string, Map<string, number>>();
       let team = 0;
       const seen = new Set<string>();
@@ -265,16 +283,16 @@
         const w = wantList.find((x) => x.id === a.job);
         const h = hostList.find((x) => x.id === a.machine);
         assert.ok(w && h);
-        assert.ok(allows(w, h));
+        assert.ok(isAllowed(w, h));
         assert.ok(!seen.has(`${a.job}/${a.index}`), 'a task is placed once');
         seen.add(`${a.job}/${a.index}`);
-        const u = used.get(h.id) ?? { cpus: 0, gpus: 0, ramGb: 0 };
+        const u = used.get(h.id) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
         used.set(h.id, {
-          cpus: u.cpus + w.size.cpus,
-          gpus: u.gpus + w.size.gpus,
-          ramGb: u.ramGb + w.size.ramGb,
+          cpus: u.cpus + w.resources.cpus,
+          gpus: u.gpus + w.resources.gpus,
+          memoryGb: u.memoryGb + w.resources.memoryGb,
         });
-        if (w.team === 't') team += w.size.cpus;
+        if (w.team === 't') team += w.resources.cpus;
         const z = zones.get(w.id) ?? new Map<string, number>();
         z.set(h.zone, (z.get(h.zone) ?? 0) + 1);
         zones.set(w.id, z);
@@ -282,20 +300,20 @@
       for (const h of hostList) {
         const u = used.get(h.id);
         if (!u) continue;
-        assert.ok(u.cpus <= h.free.cpus && u.gpus <= h.free.gpus && u.ramGb <= h.free.ramGb);
+        assert.ok(u.cpus <= h.free.cpus && u.gpus <= h.free.gpus && u.memoryGb <= h.free.memoryGb);
       }
       assert.ok(team <= limit);
       for (const w of wantList) {
         const z = zones.get(w.id);
         if (!z) continue;
-        if (w.whole)
+        if (w.isGang)
           assert.equal(
             [...z.values()].reduce((a, b) => a + b),
-            w.count,
+            w.taskCount,
             'all or none',
           );
-        if (w.together) assert.equal(z.size, 1);
-        for (const n of z.values()) assert.ok(n <= w.perZone);
+        if (w.singleZone) assert.equal(z.size, 1);
+        for (const n of z.values()) assert.ok(n <= w.maxPerZone);
       }
     }),
     { seed },
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { pino } from 'pino';
-import { parseSettings, type StateLimits } from '../../src/config/settings.js';
-import { decodeJob, encodeJob, encodeJobCompactly, sizeOf } from '../../src/ledger/codec.js';
+import { parseSettings, type StoreLimits } from '../../src/config/settings.js';
+import { decodeJob, encodeJob, encodeJobCompactly, encodedSize } from '../../src/ledger/codec.js';
 import { Job } from '../../src/ledger/job.js';
 import { Ledger } from '../../src/ledger/ledger.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
@@ -28,8 +28,8 @@
 const seed = 20261202;
 const now = SteadyMs(0);
 const id = JobId('run-000001');
-const before: StateLimits = { rps: 80, writeRps: 15, valueBytes: 8192, txnOps: 8 };
-const after: StateLimits = { rps: 80, writeRps: 15, valueBytes: 2048, txnOps: 4 };
+const before: StoreLimits = { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 };
+const after: StoreLimits = { requestRate: 80, writeRate: 15, valueBytes: 2048, transactionOps: 4 };
 const lowering = { ...before, next: after };
 
 const machineOf: Play['machineOf'] = (pick, index) => {
@@ -45,12 +45,12 @@
 
 const contents = (job: Job): unknown => ({
   spec: job.spec,
-  submitted: job.submitted,
-  aborted: job.aborted,
-  zone: job.zone,
+  submitted: job.submittedAt,
+  aborted: job.cancelled,
+  zone: job.boundZone,
   next: job.nextAttempt,
   waiting: job.waiting.list(),
-  placed: [...job.placed].map(([i, p]) => [i, p.machine, p.attempt]).sort(),
+  placed: [...job.placements].map(([i, p]) => [i, p.machine, p.attempt]).sort(),
 });
 
 void test('compact records come back as they were, and as records of the first format do', () => {
@@ -64,10 +64,10 @@
   fc.assert(
     fc.property(moves(0, 60), specs, names, fc.boolean(), (list, change, odd, aborted) => {
       const job = new Job(id, spec({ taskCount: 60, ...change }), WallMs(1.7e12), Revision(7));
-      job.place([{ index: 0, machine: MachineId(odd) }], now);
+      job.placeTasks([{ index: 0, machine: MachineId(odd) }], now);
       play(job, list, { limit: 60, batch: 9, machineOf });
-      if (aborted) job.abort();
-      job.zone = change.zone ?? undefined;
+      if (aborted) job.cancel();
+      job.boundZone = change.zone ?? undefined;
       const stored: unknown = JSON.parse(JSON.stringify(encodeJobCompactly(job, Epoch(3))));
       assert.deepEqual(contents(decodeJob(id, stored, Revision(7), now)), contents(job));
       const first = decodeJob(id, encodeJob(job, Epoch(3)), Revision(7), now);
@@ -93,8 +93,8 @@
         const job = new Job(id, wide, WallMs(1.7e12), Revision(123456));
         play(job, list, { limit: open, batch: 9, machineOf });
         const { record, bytes } = limits.encode(job, Epoch(123456));
-        assert.equal(bytes, sizeOf(record));
-        assert.ok(bytes <= after.valueBytes, `${bytes} bytes with ${job.open} open tasks`);
+        assert.equal(bytes, encodedSize(record));
+        assert.ok(bytes <= after.valueBytes, `${bytes} bytes with ${job.openTaskCount} open tasks`);
       }),
       { seed, numRuns: 25 },
     );
@@ -108,7 +108,7 @@
       index,
       machine: MachineId(`vm-${String(index * 3).padStart(6, '0')}`),
     }));
-    made.place(tasks, now);
+    made.placeTasks(tasks, now);
     return made;
   };
   const higher = { ...before, next: { ...before, valueBytes: 16_384 } };
@@ -129,7 +129,7 @@
     if (refused) limits.noteRefusal();
     assert.equal(limits.encode(job(entries), Epoch(1)).record.f, f, name);
   }
-  const { txnOps } = new RecordLimits(lowering);
+  const { transactionOps: txnOps } = new RecordLimits(lowering);
   assert.equal(txnOps, 4, 'the smaller number of changes holds from the start');
   const limits = new RecordLimits(lowering);
   const gang = spec({ kind: 'ensemble' });
@@ -165,11 +165,11 @@
   const limits = new RecordLimits(lowering, () => store.lowerRates());
   const committed: string[] = [];
   const events = {
-    committed: (job: Job) => committed.push(job.id),
-    adopted: () => undefined,
-    dropped: () => undefined,
-    finished: (job: Job) => committed.push(`${job.id} over`),
-    deposed: () => assert.fail('deposed'),
+    onCommitted: (job: Job) => committed.push(job.id),
+    onReplaced: () => undefined,
+    onDropped: () => undefined,
+    onFinished: (job: Job) => committed.push(`${job.id} over`),
+    onDeposed: () => assert.fail('deposed'),
   };
   const silent = pino({ level: 'silent' });
   const put = { writes: [{ put: 'leader', data: {} }] };
@@ -182,7 +182,7 @@
 const wideJob = (n: number, entries: number): Job => {
   const name = JobId(`run-${String(n).padStart(6, '0')}`);
   const job = new Job(name, spec({ id: name, taskCount: entries }), WallMs(0), Revision(0));
-  job.touch(0);
+  job.markChanged(0);
   return job;
 };
 
@@ -192,21 +192,22 @@
     const jobs = [1, 2, 3, 4].map((n) => wideJob(n, n === 2 ? 3 : 120));
     for (const job of jobs) ledger.insert(job);
     // Their users wait for them.
-    for (const job of jobs) void ledger.written(job);
+    for (const job of jobs) void ledger.whenCommitted(job);
     await time.run(lowerAfter);
     for (const job of jobs) {
       const tasks = [...job.waiting.indexes()].map((index) => ({
         index,
         machine: MachineId(`vm-${String(1000 + index * 3).padStart(6, '0')}`),
       }));
-      job.place(tasks, now);
+      job.placeTasks(tasks, now);
     }
     state.lower(after);
     await time.run(lowerAfter + 8000);
     assert.ok(limits.isLowered, `after ${lowerAfter} ms`);
-    for (const job of jobs) assert.equal(job.committed, job.version, `${job.id} ${lowerAfter} ms`);
+    for (const job of jobs)
+      assert.equal(job.committedVersion, job.version, `${job.id} ${lowerAfter} ms`);
     assert.ok(state.tooLarge <= 3, `${state.tooLarge} refused as too large`);
-    for (const job of jobs) for (const index of [...job.placed.keys()]) job.finish(index);
+    for (const job of jobs) for (const index of [...job.placements.keys()]) job.complete(index);
     await time.run(lowerAfter + 16_000);
     assert.equal(committed.filter((c) => c.endsWith('over')).length, 4);
     assert.ok(state.tooLarge <= 3);
@@ -227,13 +228,13 @@
     index,
     machine: MachineId(`vm-${String((index * 7919) % 16_000).padStart(6, '0')}`),
   }));
-  large.place(tasks, now);
-  for (const job of small) job.place([{ index: 0, machine: MachineId('vm-000001') }], now);
+  large.placeTasks(tasks, now);
+  for (const job of small) job.placeTasks([{ index: 0, machine: MachineId('vm-000001') }], now);
   await time.run(7000);
   for (const job of small) assert.ok(committed.includes(job.id), `${job.id} waits`);
   assert.ok(!committed.includes(large.id));
   assert.ok(state.tooLarge <= 5, `${state.tooLarge} refused in five seconds`);
-  for (const index of [...large.placed.keys()]) if (index >= 100) large.finish(index);
+  for (const index of [...large.placements.keys()]) if (index >= 100) large.complete(index);
   await time.run(14_000);
   assert.ok(committed.includes(large.id));
 });
--- a/test/unit/store.test.ts
+++ b/test/unit/store.test.ts
@@ -15,7 +15,7 @@
     },
   };
   const clock = new ProcessClock(time, 0, 0);
-  const limits = { rps: 40, writeRps: 10 };
+  const limits = { requestRate: 40, writeRate: 10 };
   const store = new StoreClient(http, Endpoint('10.0.0.9:1'), clock, () => 0.5, limits, 1);
   const outcomes: { i: number; kind: string; at: number }[] = [];
   const flood = 200;
@@ -24,7 +24,7 @@
       outcomes.push({ i, kind, at: time.now });
     });
   }
-  void store.touchLease(3, ms(1000));
+  void store.renewLease(3, ms(1000));
   await time.run(60);
   assert.ok(sent.some((s) => s.path === '/leases/3/touch'));
   const refused = outcomes.filter((o) => o.kind === 'failed').length;
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Catalog } from '../../src/cloud/catalog.js';
+import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
 import { parseSettings } from '../../src/config/settings.js';
-import type { Held } from '../../src/ledger/front.js';
-import { Job, type Final } from '../../src/ledger/job.js';
-import type { Answer } from '../../src/leader/term.js';
+import type { StoredJob } from '../../src/ledger/job-records.js';
+import { Job, type FinalState } from '../../src/ledger/job.js';
+import type { JobAnswer } from '../../src/leader/term.js';
 import { Revision, WallMs, ms, sleep } from '../../src/units/index.js';
 import { encode, encodeJobSpec, parseSubmission, type JobSpec } from '../../src/wire/index.js';
 import { flavors } from '../standin/world.js';
@@ -15,7 +15,7 @@
 void test('an answer that rests on authority is given under it to the end', async () => {
   const running = new Job(JOB, spec({}), WallMs(0), Revision(5));
   const body = encode(encodeJobSpec(spec({})));
-  type Case = [name: string, method: string, path: string, found: Answer, kept: number];
+  type Case = [name: string, method: string, path: string, found: JobAnswer, kept: number];
   const cases: Case[] = [
     ['a question', 'GET', `/v1/jobs/${JOB}`, { kind: 'job', job: running }, 200],
     ['a question about no job', 'GET', `/v1/jobs/${JOB}`, { kind: 'absent' }, 404],
@@ -38,9 +38,9 @@
 
 void test('submissions that can not run, or lack something, are refused by every node alike', () => {
   const settings = parseSettings(settingsFile(0));
-  const catalog = new Catalog();
+  const catalog = new MachineCatalog();
   catalog.update(flavors);
-  const one = new Catalog();
+  const one = new MachineCatalog();
   one.update(flavors.map((f) => ({ ...f, zones: ['a'] })));
   const submission = (change: Partial<JobSpec>) => encodeJobSpec(spec(change));
   const ok = submission({});
@@ -108,8 +108,8 @@
 
 void test('a follower that reaches no leader: what the store said too long ago is not told', async () => {
   const job = new Job(JOB, spec({}), WallMs(0), Revision(5));
-  const final: Final = { status: 'done', entries: 4, done: 4, desk: 'vision', cause: '' };
-  const cases: [name: string, held: Held, took: number, status: number][] = [
+  const final: FinalState = { status: 'done', taskCount: 4, done: 4, team: 'vision', reason: '' };
+  const cases: [name: string, held: StoredJob, took: number, status: number][] = [
     ['a live job, at once', { kind: 'live', job }, 100, 200],
     ['a live job, late: it may be cancelled by now', { kind: 'live', job }, 400, 503],
     ['no job, at once', { kind: 'absent' }, 100, 404],
--- a/test/unit/worker-reports.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { redirectsWorkers } from '../../src/leader/worker-redirects.js';
+import { shouldRedirectWorkers } from '../../src/leader/worker-redirects.js';
 import { MAX_FRAME_BYTES } from '../../src/peer/framing.js';
-import { encodeResponse } from '../../src/peer/messages.js';
+import { encodeResponse } from '../../src/peer/codec.js';
 import { NodeId, seconds } from '../../src/units/index.js';
 import { encode, encodeHeartbeat, type Heartbeat, type Command } from '../../src/wire/index.js';
 import { EPOCH, leadingNode } from '../support/api.js';
@@ -26,11 +26,11 @@
       const { workers, term } = leadingNode({ kind: 'absent' });
       let became = (): void => undefined;
       Object.assign(term, { isReady: false, rebuilt: new Promise<void>((r) => (became = r)) });
-      const full = { kind: 'full' as const, report: report('vm-1') };
+      const full = { kind: 'full' as const, heartbeat: report('vm-1') };
       const accepted = relayed
         ? workers
             .handleRelayed(NodeId('node-1'), EPOCH, [full])
-            .then((r) => r.type === 'reportResponses' && r.responses[0]?.outcome === 'accepted')
+            .then((r) => r.type === 'heartbeatResponses' && r.responses[0]?.outcome === 'accepted')
         : workers.handle(encode(encodeHeartbeat(report('vm-1')))).then((r) => r.status === 200);
       await Promise.resolve();
       term.isReady = ready;
@@ -48,16 +48,16 @@
   ];
   for (const [name, token, loses, outcome] of cases) {
     const { workers, term, lose } = leadingNode({ kind: 'absent' });
-    const take = term.takeRelayedReport;
+    const take = term.handleRelayedHeartbeat;
     Object.assign(term, {
-      takeRelayedReport: () => {
+      handleRelayedHeartbeat: () => {
         if (loses) lose();
         return take();
       },
     });
-    const full = { kind: 'full' as const, report: report('vm-1', token) };
+    const full = { kind: 'full' as const, heartbeat: report('vm-1', token) };
     const response = await workers.handleRelayed(NodeId('node-1'), EPOCH, [full]);
-    assert.ok(response.type === 'reportResponses');
+    assert.ok(response.type === 'heartbeatResponses');
     assert.equal(response.responses[0]?.outcome, outcome, name);
   }
 });
@@ -71,8 +71,8 @@
     [50, 0.05, true, false],
   ];
   for (const [machines, cpu, before, redirects] of cases) {
-    const load = { machines, report: seconds(3), cpu };
-    assert.equal(redirectsWorkers(before, load), redirects, `${machines}`);
+    const load = { machines, heartbeatInterval: seconds(3), cpu };
+    assert.equal(shouldRedirectWorkers(before, load), redirects, `${machines}`);
   }
 });
 
@@ -82,15 +82,15 @@
   const status = async (box: string) =>
     (await workers.handle(encode(encodeHeartbeat(report(box))))).status;
   assert.equal(await status('vm-0'), 200, 'no other node answers');
-  peers.set(NodeId('node-1'), { responsive: true, ask: () => Promise.resolve(undefined) });
+  peers.set(NodeId('node-1'), { responsive: true, request: () => Promise.resolve(undefined) });
   assert.deepEqual(await workers.handle(encode(encodeHeartbeat(report('vm-1')))), {
     status: 421,
     body: { clerk: 'node-1' },
   });
   assert.equal(await status('vm-1'), 200, 'it can not reach that one');
-  const full = { kind: 'full' as const, report: report('vm-2') };
+  const full = { kind: 'full' as const, heartbeat: report('vm-2') };
   const relayed = await workers.handleRelayed(NodeId('node-1'), EPOCH, [full]);
-  assert.ok(relayed.type === 'reportResponses');
+  assert.ok(relayed.type === 'heartbeatResponses');
   assert.equal(relayed.responses[0]?.outcome, 'accepted', 'carried by another node');
 });
 
@@ -102,19 +102,19 @@
   });
   let taken = 0;
   Object.assign(term, {
-    takeRelayedReport: () => {
+    handleRelayedHeartbeat: () => {
       taken++;
       return { reply: { fencingToken: EPOCH, commands }, baseline: 1 };
     },
   });
   const batch = Array.from({ length: 60 }, (_, i) => {
-    return { kind: 'full' as const, report: report(`vm-${i}`) };
+    return { kind: 'full' as const, heartbeat: report(`vm-${i}`) };
   });
   const answered = workers.handleRelayed(NodeId('node-1'), EPOCH, batch);
   await new Promise((resolve) => setImmediate(resolve));
   await time.run(1000);
   const response = await answered;
-  assert.ok(response.type === 'reportResponses');
+  assert.ok(response.type === 'heartbeatResponses');
   assert.equal(response.responses.length, batch.length);
   const accepted = response.responses.filter((r) => r.outcome === 'accepted').length;
   assert.ok(accepted > 0 && accepted === taken, 'what is not answered is not taken');
