--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,5 +1,9 @@
+/** What `npm run lint` holds every file to. Reasons stand beside each option that departs from a plugin's own. */
 import js from '@eslint/js';
+import { defineConfig } from 'eslint/config';
+import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
+import topazpin from './tools/eslint-rules.mjs';
 
 /** The packages of `src`, lowest first: each may import only those before it. */
 const PACKAGES = [
@@ -32,29 +36,99 @@
   },
 }));
 
-export default tseslint.config(
+const COUNTED = { skipBlankLines: true, skipComments: true };
+
+/** The limits of size, by the files that they are for. */
+export const LIMITS = [
+  {
+    files: ['src/**/*.ts'],
+    values: { complexity: 12, 'max-lines': 300, 'max-lines-per-function': 50 },
+  },
+  {
+    // Tables of cases are long, and are read from top to bottom.
+    files: ['test/**/*.ts', 'tools/**', 'eslint.config.js'],
+    values: { complexity: 12, 'max-lines': 400, 'max-lines-per-function': 150 },
+  },
+];
+
+/** Limits of size, as entries of `rules`. */
+export const limits = (values) =>
+  Object.fromEntries(
+    Object.entries(values).map(([rule, max]) => [
+      rule,
+      ['error', rule === 'complexity' ? { max } : { max, ...COUNTED }],
+    ]),
+  );
+
+/** Every export has a doc comment, every file one at its head. */
+const documented = {
+  plugins: { jsdoc, topazpin },
+  rules: {
+    'topazpin/module-comment': 'error',
+    'jsdoc/require-jsdoc': [
+      'error',
+      {
+        publicOnly: { esm: true, cjs: false, window: false },
+        // The fixer would write empty comments.
+        enableFixer: false,
+        // Methods: the names say enough in most of them, and the class has its comment.
+        require: { ClassDeclaration: true, FunctionDeclaration: true, MethodDefinition: false },
+        contexts: [
+          'TSInterfaceDeclaration',
+          // A type that is derived from the value of its name has the comment of that value.
+          'TSTypeAliasDeclaration:not([typeAnnotation.type="TSIndexedAccessType"]):not([typeAnnotation.typeName.right.name="infer"])',
+          'TSEnumDeclaration',
+          // Likewise the function of a brand's name, which only casts: the type has the comment.
+          'ExportNamedDeclaration > VariableDeclaration:not(:has(> VariableDeclarator[id.name=/^[A-Z][a-z]/][init.type="ArrowFunctionExpression"]))',
+        ],
+      },
+    ],
+    'jsdoc/no-blank-blocks': 'error',
+    'jsdoc/require-description': ['error', { contexts: ['any'] }],
+    'jsdoc/check-alignment': 'error',
+  },
+};
+
+const config = [
   { ignores: ['target/', 'node_modules/', 'journal/'] },
+  { linterOptions: { reportUnusedDisableDirectives: 'error' } },
   js.configs.recommended,
+  documented,
   {
     files: ['**/*.ts'],
-    extends: [...tseslint.configs.recommendedTypeChecked],
+    extends: [tseslint.configs.strictTypeChecked, tseslint.configs.stylisticTypeChecked],
     languageOptions: {
       parserOptions: { project: './tsconfig.test.json', tsconfigRootDir: import.meta.dirname },
     },
     rules: {
-      '@typescript-eslint/no-unused-vars': ['error', { argsIgnorePattern: '^_' }],
       '@typescript-eslint/consistent-type-imports': 'error',
-      eqeqeq: 'error',
+      // What a callback is passed but doesn't need is named all the same.
+      '@typescript-eslint/no-unused-vars': ['error', { argsIgnorePattern: '^_' }],
+      // `() => timer.cancel()` has nothing to confuse: its result has the type `void` there too.
+      '@typescript-eslint/no-confusing-void-expression': ['error', { ignoreArrowShorthand: true }],
+      // `path.join('.') || 'file'`: an empty text stands for none as well.
+      '@typescript-eslint/prefer-nullish-coalescing': [
+        'error',
+        { ignorePrimitives: { string: true } },
+      ],
+      // A number in a text is as plain as a string; what may be undefined, and objects, stay forbidden.
+      '@typescript-eslint/restrict-template-expressions': ['error', { allowNumber: true }],
     },
   },
+  {
+    files: ['**/*.js', '**/*.mjs', '**/*.cjs'],
+    extends: [tseslint.configs.strict, tseslint.configs.stylistic],
+  },
+  { rules: { eqeqeq: 'error' } },
   ...importsOneWay,
   {
-    // Limits that the largest of today's files just keep: what grows beyond them is to be divided.
     files: ['src/**/*.ts'],
     rules: {
-      complexity: ['error', 20],
-      'max-lines': ['error', { max: 430, skipBlankLines: true, skipComments: true }],
-      'max-lines-per-function': ['error', { max: 80, skipBlankLines: true, skipComments: true }],
+      // TypeScript takes a field that it saw false as false beyond an `await` too: what the rule found in src
+      // (six guards) were questions asked again after one, each of them needed.
+      '@typescript-eslint/no-unnecessary-condition': 'off',
+      // It asks for `!`, which `no-non-null-assertion` forbids here: `as` at least names the type.
+      '@typescript-eslint/non-nullable-type-assertion-style': 'off',
       '@typescript-eslint/naming-convention': [
         'error',
         { selector: 'default', format: ['camelCase'], leadingUnderscore: 'allow' },
@@ -68,14 +142,19 @@
     },
   },
   {
-    // Rules of placing, orders and proofs written as one decision each: to be divided when next touched.
-    files: [
-      'src/cloud/catalog.ts',
-      'src/leader/orders.ts',
-      'src/leader/reports.ts',
-      'src/placer/placer.ts',
-    ],
-    rules: { complexity: ['error', 42] },
+    files: ['src/**/*.ts'],
+    ignores: ['src/wire/**'],
+    rules: { 'topazpin/protocol-words': 'error' },
+  },
+  ...LIMITS.map(({ files, values }) => ({ files, rules: limits(values) })),
+  {
+    files: ['test/**/*.ts'],
+    rules: {
+      // A test that meets undefined fails there, which is what it is to do.
+      '@typescript-eslint/no-non-null-assertion': 'off',
+      // A stand-in has just the members that its test needs; the compiler compares their types.
+      '@typescript-eslint/no-unsafe-class-instance-assignment': 'off',
+    },
   },
   {
     files: ['tools/**'],
@@ -91,5 +170,59 @@
       },
     },
   },
-  { files: ['tools/**/*.cjs'], languageOptions: { sourceType: 'commonjs' } },
+  {
+    files: ['tools/**/*.cjs'],
+    languageOptions: { sourceType: 'commonjs' },
+    // The rule is for modules: a CommonJS script has nothing else.
+    rules: { '@typescript-eslint/no-require-imports': 'off' },
+  },
+];
+
+/**
+ * EXCEPTIONS: files that still exceed a limit, as [file, rule, value, reason].
+ *
+ * The value is what the file has today, so it can only shrink. `npm run limits` prints what
+ * is missing and what is stale here. Nothing is added for new code: it is divided.
+ */
+// prettier-ignore
+export const EXCEPTIONS = [
+  ['src/capacity/keeper.ts', 'complexity', 20, '`idle`: each reason to keep a machine is one condition'],
+  ['src/capacity/keeper.ts', 'max-lines', 390, 'renting, listing and giving back share the machines that are pending'],
+  ['src/capacity/lost-machines.ts', 'complexity', 18, '`lostMachines`: one decision over all signs of life of a machine'],
+  ['src/capacity/planner.ts', 'complexity', 14, '`cheapest`: compares offers by one rule after the other'],
+  ['src/cloud/catalog.ts', 'complexity', 23, '`judge`: one condition for each way in which a job can never run'],
+  ['src/config/operator-file.ts', 'complexity', 14, '`parseOperator`: one default for each optional element'],
+  ['src/config/settings.ts', 'complexity', 16, '`parseSettings`: one default for each optional setting'],
+  ['src/config/settings.ts', 'max-lines-per-function', 75, '`parseSettings`: one line for each setting'],
+  ['src/fleet/machine.ts', 'complexity', 15, '`loadOf`: sums what is assigned and what is reported beside it'],
+  ['src/leader/dispatch.ts', 'complexity', 17, '`teamRoom`, `want`, `hosts`, `victims`: rules of placing, written as one decision each'],
+  ['src/leader/election.ts', 'complexity', 14, '`seek`: the states in which the leader key may be, one branch each'],
+  ['src/leader/orders.ts', 'complexity', 27, '`answer`, `direct`: what a machine is told, in order of precedence'],
+  ['src/leader/reports.ts', 'complexity', 34, '`observe`: what a report proves, in order of precedence'],
+  ['src/leader/term.ts', 'complexity', 14, '`submit`: the outcomes of a submission, in order of precedence'],
+  ['src/leader/term.ts', 'max-lines', 371, 'puts the parts of a term together and passes calls on to them'],
+  ['src/leader/term.ts', 'max-lines-per-function', 57, 'the constructor makes the parts of a term in their order'],
+  ['src/ledger/ledger.ts', 'complexity', 17, '`write`: the outcomes of a transaction, each with what then holds'],
+  ['src/ledger/ledger.ts', 'max-lines', 394, 'batches, their writing and rereading share the revisions in flight'],
+  ['src/ledger/ledger.ts', 'max-lines-per-function', 56, '`write`: as its complexity'],
+  ['src/ledger/queue.ts', 'complexity', 15, '`dueTimes`: one case for each kind of objective'],
+  ['src/main.ts', 'max-lines-per-function', 59, '`run`: the start of the process, step by step'],
+  ['src/net/http.ts', 'max-lines-per-function', 63, '`send`: listeners that share the state of one request'],
+  ['src/node.ts', 'max-lines-per-function', 61, 'the constructor makes the parts of a node in their order'],
+  ['src/placer/fill.ts', 'complexity', 15, '`fillGang`: zones and halves are tried in one search'],
+  ['src/store/client.ts', 'complexity', 15, '`multi`: the outcomes of a transaction, by status'],
+  ['test/standin/day.ts', 'complexity', 64, '`badDay`: the mishaps of a day, one condition each; its order of draws fixes the seeds'],
+  ['test/standin/day.ts', 'max-lines-per-function', 168, '`badDay`: as its complexity'],
+  ['test/standin/state.ts', 'complexity', 16, '`multi`, `handle`: the answers of the service, one branch each'],
+  ['test/standin/users.ts', 'complexity', 16, '`ask`: the answers that a user may get, one branch each'],
+  ['test/standin/worker.ts', 'complexity', 16, '`report`: the answers that a worker may get, one branch each'],
+  ['test/standin/world.ts', 'complexity', 25, '`started`, `waitsBesideRoom`: rules of the service that each day is judged by'],
+  ['test/standin/world.ts', 'max-lines', 528, 'one world joins all stand-ins and judges them'],
+  ['test/unit/placer.test.ts', 'complexity', 16, 'a property of placing, checked over its cases'],
+  ['test/unit/report-relay.test.ts', 'complexity', 13, 'a property over drawn steps, one branch for each kind'],
+];
+
+export default defineConfig(
+  ...config,
+  EXCEPTIONS.map(([file, rule, value]) => ({ files: [file], rules: limits({ [rule]: value }) })),
 );
--- a/tools/loader.cjs
+++ b/tools/loader.cjs
@@ -1,5 +1,5 @@
-'use strict';
 /** Runs the bundle beside it, with the code that V8 made of it earlier if that fits. */
+'use strict';
 const fs = require('node:fs');
 const { createRequire, wrap } = require('node:module');
 const path = require('node:path');
--- a/tools/samples.mjs
+++ b/tools/samples.mjs
@@ -1,4 +1,5 @@
 /** What `record-production.mjs` has a version say: one message of each kind, with and without what is optional. */
+
 const beat = {
   box: 'vm-000231',
   addr: '10.1.0.232:9000',
@@ -22,6 +23,7 @@
 ];
 const status = { leader: 'worker-1', epoch: 5_000_000_000, storeReachable: true };
 
+/** Each kind of request between controllers. */
 export const requests = [
   { type: 'heartbeat', status },
   { type: 'heartbeat', status: { leader: '', epoch: 0, storeReachable: false } },
@@ -53,6 +55,7 @@
   { type: 'command', address: '10.1.0.232:9000', token: 41, session: 3, timeoutMs: 2500, orders },
 ];
 
+/** Each kind of response to them. */
 export const responses = [
   { type: 'status', status },
   { type: 'acknowledged', ok: true },
