--- a/src/main.ts
+++ b/src/main.ts
@@ -31,7 +31,7 @@
 
 function run(settings: Settings, operator: OperatorSettings): void {
   const levels = ['error', 'warn', 'info', 'debug'];
-  const level = process.env['LOG_LEVEL'] ?? 'info';
+  const level = process.env.LOG_LEVEL ?? 'info';
   const log = pino(
     {
       level: levels.includes(level) ? level : 'info',
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -203,7 +203,7 @@
   try {
     const value = decode(body);
     if (!isMap(value)) return undefined;
-    const id = value['name_id'];
+    const id = value.name_id;
     return typeof id === 'string' && JOB_ID.test(id) ? id : undefined;
   } catch {
     return undefined;
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -28,8 +28,8 @@
     let i = h.push(due) - 1;
     while (i > 0) {
       const up = (i - 1) >> 1;
-      if (!VirtualTime.before(due, h[up] as Due)) break;
-      h[i] = h[up] as Due;
+      if (!VirtualTime.before(due, h[up]!)) break;
+      h[i] = h[up]!;
       i = up;
     }
     h[i] = due;
@@ -45,9 +45,9 @@
     for (;;) {
       let c = 2 * i + 1;
       if (c >= h.length) break;
-      if (c + 1 < h.length && VirtualTime.before(h[c + 1] as Due, h[c] as Due)) c++;
-      if (!VirtualTime.before(h[c] as Due, last)) break;
-      h[i] = h[c] as Due;
+      if (c + 1 < h.length && VirtualTime.before(h[c + 1]!, h[c]!)) c++;
+      if (!VirtualTime.before(h[c]!, last)) break;
+      h[i] = h[c]!;
       i = c;
     }
     h[i] = last;
--- a/test/standin/cloud.ts
+++ b/test/standin/cloud.ts
@@ -15,7 +15,7 @@
   running: boolean;
 }
 
-type Hire = { hire: string; build: string; hall: string; loaners: boolean; how_many: number };
+interface Hire { hire: string; build: string; hall: string; loaners: boolean; how_many: number }
 
 /** The cloud, from the protocol: rentals by name, boots, a lagging list, deletions, outages. */
 export class Cloud {
--- a/test/standin/gang-run.ts
+++ b/test/standin/gang-run.ts
@@ -76,7 +76,7 @@
   /** A stop with enough time to save. */
   stop(member: Member): void {
     const attempt = this.attempts.get(member.attempt);
-    if (!attempt || attempt.startedAt === undefined || attempt.over) {
+    if (attempt?.startedAt === undefined || attempt.over) {
       member.exit('halted');
       return;
     }
--- a/test/standin/state.ts
+++ b/test/standin/state.ts
@@ -27,10 +27,10 @@
   readonly transactionOps: number;
 }
 
-type Multi = {
+interface Multi {
   if?: { key: string; stamp: number }[];
   writes?: { put?: string; delete?: string; data?: unknown; tenure?: number }[];
-};
+}
 
 /** The state service, from the protocol: revisions, transactions, leases, watches, limits, outages. */
 export class StateService {
@@ -215,7 +215,7 @@
     const limit = Math.min(1000, Number(q.get('limit') ?? 1000));
     const keys = [...this.keys.keys()].filter((k) => k.startsWith(prefix) && k > from).sort();
     const items = keys.slice(0, limit).map((key) => {
-      const s = this.keys.get(key) as Stored;
+      const s = this.keys.get(key)!;
       return { key, data: s.data, stamp: s.stamp };
     });
     return {
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -106,11 +106,11 @@
     this.settings = this.settingsOf(0);
     // What goes wrong inside must not stay unseen behind a passing rule check.
     this.log = pino(
-      { level: process.env['SIM_LOG'] ?? 'error' },
+      { level: process.env.SIM_LOG ?? 'error' },
       {
         write: (line) => {
           if ((JSON.parse(line) as { level: number }).level >= 50) this.broken.push(`log: ${line}`);
-          if (process.env['SIM_LOG']) process.stderr.write(`${Math.round(this.time.now)} ${line}`);
+          if (process.env.SIM_LOG) process.stderr.write(`${Math.round(this.time.now)} ${line}`);
         },
       },
     );
