--- a/test/standin/build.ts
+++ b/test/standin/build.ts
@@ -1,42 +1,55 @@
-import { pathToFileURL } from 'node:url';
-import { resolve } from 'node:path';
-import { parseSettings } from '../../src/config/settings.js';
-import { Controller } from '../../src/controller.js';
-import {
-  decodeRequest,
-  decodeResponse,
-  encodeRequest,
-  encodeResponse,
-} from '../../src/peer/codec.js';
+/**
+ * What a world needs of a version of the service, so that several versions can run side by side. Controllers
+ * exchange frames: bytes that only they read, so that a version's messages stay its own affair.
+ */
+import type { Logger } from 'pino';
+import type { Reply } from '../../src/api/reply.js';
+import type { HttpClient } from '../../src/net/http.js';
+import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
 
-/** A version of the service: what a world needs of it to run a controller. */
-export interface Build {
-  readonly Controller: typeof Controller;
-  readonly parseSettings: typeof parseSettings;
-  readonly decodeRequest: typeof decodeRequest;
-  readonly decodeResponse: typeof decodeResponse;
-  readonly encodeRequest: typeof encodeRequest;
-  readonly encodeResponse: typeof encodeResponse;
+/** The connection of one controller to another. */
+export interface PeerConnection {
+  /** Whether the other side answered lately. */
+  readonly isResponsive: boolean;
+  /**
+   * Sends a request as a frame. Resolves with what `read` makes of the response's frame, or undefined if none
+   * came in time.
+   */
+  exchange<Response>(
+    frame: Buffer,
+    timeout: DurationMs,
+    read: (frame: Buffer) => Response,
+  ): Promise<Response | undefined>;
 }
 
-/** This version. */
-export const present: Build = {
-  Controller,
-  parseSettings,
-  decodeRequest,
-  decodeResponse,
-  encodeRequest,
-  encodeResponse,
-};
+/** What surrounds a controller. */
+export interface ControllerHost {
+  readonly clock: Clock;
+  readonly random: Random;
+  readonly http: HttpClient;
+  readonly log: Logger;
+  readonly peers: ReadonlyMap<NodeId, PeerConnection>;
+  /** Names this process among those that have run on its node. */
+  readonly processId: string;
+}
 
-/** Another version, from the folder into which it was compiled. */
-export async function loadBuild(folder: string): Promise<Build> {
-  const load = async (path: string): Promise<Build> =>
-    (await import(pathToFileURL(resolve(folder, path)).href)) as Build;
-  const [node, settings, messages] = await Promise.all([
-    load('node.js'),
-    load('config/settings.js'),
-    load('peer/messages.js'),
-  ]);
-  return { ...messages, Controller: node.Controller, parseSettings: settings.parseSettings };
+/** One controller, of whatever version. */
+export interface RunningController {
+  start(): void;
+  /** Ends its timers and loops, as the end of its process would. */
+  stop(): void;
+  /** The answer to a load balancer's probe. */
+  health(): Reply;
+  /** Whether it leads at this moment. */
+  hasAuthority(): boolean;
+  handleUserRequest(method: string, path: string, body: Buffer): Promise<Reply>;
+  handleHeartbeat(body: Buffer): Promise<Reply>;
+  /** Handles a peer's request. The body of the reply is the frame of the response. */
+  handlePeerFrame(frame: Buffer): Promise<Reply>;
+}
+
+/** A version of the service. */
+export interface Build {
+  /** Makes a controller, not started yet, by the settings file of its node. */
+  createController(settingsFile: unknown, host: ControllerHost): RunningController;
 }
--- a/test/standin/hunt.ts
+++ b/test/standin/hunt.ts
@@ -1,4 +1,4 @@
-import { loadBuild } from './build.js';
+import { loadOlderBuild } from './older-build.js';
 import { badDay, settle } from './day.js';
 
 /** Days of the stand-ins by hand, for what a few seeds do not find: `node hunt.js FIRST LAST [gangs] [BUILD]`;
@@ -7,7 +7,7 @@
 const last = Number(process.argv[3] ?? first);
 const gangs = process.argv[4] === 'gangs';
 const folder = process.argv[5];
-const build = folder === undefined ? undefined : await loadBuild(folder);
+const build = folder === undefined ? undefined : await loadOlderBuild(folder);
 let broken = 0;
 for (let seed = first; seed <= last; seed++) {
   try {
--- a/test/standin/network.ts
+++ b/test/standin/network.ts
@@ -25,8 +25,11 @@
   hung: boolean;
 }
 
-const through = (value: unknown): unknown =>
-  value === undefined ? undefined : decode(encode(value));
+/** What arrives of a body: frames of bytes as they are, and all else by way of CBOR. */
+function transmitted(body: unknown): unknown {
+  if (body === undefined) return undefined;
+  return Buffer.isBuffer(body) ? Buffer.from(body) : decode(encode(body));
+}
 
 /**
  * The network between hosts: delays, cuts that hold messages back and deliver them late, and lost
@@ -170,7 +173,7 @@
     );
     if (this.blocked(from, zone, to) && !kept) return;
     sent = true;
-    const body = through(request.body);
+    const body = transmitted(request.body);
     if (this.random() < this.loss || this.deaf.has(to)) return;
     const call = (at: string): Promise<Answered> | undefined => {
       const handler = this.hosts.get(at)?.handler;
@@ -192,7 +195,7 @@
       void answered.then((a) => {
         if (this.random() < this.loss || this.deaf.has(from)) return;
         if (this.losesAnswer?.(request.path)) return;
-        const answer = through(a.body);
+        const answer = transmitted(a.body);
         this.time.after(1 + this.random() * 4 + (this.slow?.(to) ?? 0), () => {
           // The way back is cut as well: the sender has long given up when it is open again.
           if (this.blocked(from, zone, to)) return;
--- /dev/null
+++ b/test/standin/older-build.ts
@@ -0,0 +1,132 @@
+/**
+ * Runs an older, compiled version of the service (commit 9324b84 and before) as a `Build`. Its classes and
+ * fields have names of their own; what they are is stated here, as far as a world needs it.
+ */
+import { resolve } from 'node:path';
+import { pathToFileURL } from 'node:url';
+import type { Logger } from 'pino';
+import type { Reply } from '../../src/api/reply.js';
+import type { HttpClient, Outcome, Request } from '../../src/net/http.js';
+import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
+import type { Build, ControllerHost, PeerConnection, RunningController } from './build.js';
+
+/** Values that only the older version reads. */
+type OlderSettings = unknown;
+type OlderOperator = unknown;
+type OlderMessage = unknown;
+
+type OlderOutcome =
+  | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
+  | { readonly kind: 'undelivered' | 'unknown'; readonly why: string };
+
+interface OlderPeer {
+  readonly responsive: boolean;
+  /** Resolves with undefined if there was no response in time. */
+  ask(request: OlderMessage, timeout: DurationMs): Promise<OlderMessage>;
+}
+
+interface OlderWorld {
+  readonly clock: Clock;
+  readonly random: Random;
+  readonly http: { send(request: Request): Promise<OlderOutcome> };
+  readonly log: Logger;
+  readonly peers: ReadonlyMap<NodeId, OlderPeer>;
+  readonly run: string;
+}
+
+interface OlderController {
+  readonly users: { handle(method: string, path: string, body: Buffer): Promise<Reply> };
+  readonly workers: { handle(body: Buffer): Promise<Reply> };
+  readonly peers: { handle(request: OlderMessage): Promise<OlderMessage> };
+  readonly election: { authority(): number | undefined };
+  health(): Reply;
+  start(): void;
+  stop(): void;
+}
+
+interface OlderModules {
+  readonly node: {
+    readonly Controller: new (
+      settings: OlderSettings,
+      operator: OlderOperator,
+      world: OlderWorld,
+    ) => OlderController;
+  };
+  readonly settings: { parseSettings(file: unknown): OlderSettings };
+  readonly operator: { readonly defaultOperator: OlderOperator };
+  readonly messages: {
+    encodeRequest(id: number, request: OlderMessage): Buffer;
+    decodeRequest(frame: Buffer): { readonly id: number; readonly message: OlderMessage };
+    encodeResponse(id: number, response: OlderMessage): Buffer;
+    decodeResponse(frame: Buffer): { readonly message: OlderMessage };
+  };
+}
+
+const REQUEST_ID = 1;
+
+const olderOutcome = (outcome: Outcome): OlderOutcome =>
+  outcome.kind === 'answer' ? outcome : { kind: outcome.kind, why: outcome.why };
+
+const olderHttp = (http: HttpClient): OlderWorld['http'] => ({
+  send: async (request) => olderOutcome(await http.send(request)),
+});
+
+const olderPeer = (connection: PeerConnection, messages: OlderModules['messages']): OlderPeer => ({
+  get responsive() {
+    return connection.isResponsive;
+  },
+  ask: (request, timeout) =>
+    connection.exchange(
+      messages.encodeRequest(REQUEST_ID, request),
+      timeout,
+      (frame) => messages.decodeResponse(frame).message,
+    ),
+});
+
+function createController(
+  { node, settings, operator, messages }: OlderModules,
+  settingsFile: unknown,
+  host: ControllerHost,
+): RunningController {
+  const controller = new node.Controller(
+    settings.parseSettings(settingsFile),
+    operator.defaultOperator,
+    {
+      clock: host.clock,
+      random: host.random,
+      http: olderHttp(host.http),
+      log: host.log,
+      peers: new Map([...host.peers].map(([name, peer]) => [name, olderPeer(peer, messages)])),
+      run: host.processId,
+    },
+  );
+  return {
+    start: () => controller.start(),
+    stop: () => controller.stop(),
+    health: () => controller.health(),
+    hasAuthority: () => controller.election.authority() !== undefined,
+    handleUserRequest: (method, path, body) => controller.users.handle(method, path, body),
+    handleHeartbeat: (body) => controller.workers.handle(body),
+    handlePeerFrame: async (frame) => {
+      const { id, message } = messages.decodeRequest(frame);
+      const response = await controller.peers.handle(message);
+      return { status: 200, body: messages.encodeResponse(id, response) };
+    },
+  };
+}
+
+/** Loads the older version from the folder into which it was compiled. Rejects if a module is missing there. */
+export async function loadOlderBuild(folder: string): Promise<Build> {
+  const load = async <Module>(path: string): Promise<Module> =>
+    (await import(pathToFileURL(resolve(folder, path)).href)) as Module;
+  const [node, settings, operator, messages] = await Promise.all([
+    load<OlderModules['node']>('node.js'),
+    load<OlderModules['settings']>('config/settings.js'),
+    load<OlderModules['operator']>('config/operator.js'),
+    load<OlderModules['messages']>('peer/messages.js'),
+  ]);
+  const modules = { node, settings, operator, messages };
+  return {
+    createController: (settingsFile, host) => createController(modules, settingsFile, host),
+  };
+}
--- /dev/null
+++ b/test/standin/present-build.ts
@@ -0,0 +1,52 @@
+/** The version of the service that this repository holds, as a `Build`. */
+import { defaultOperator } from '../../src/config/operator.js';
+import { parseSettings } from '../../src/config/settings.js';
+import { Controller } from '../../src/controller.js';
+import type { Peer } from '../../src/peer/channel.js';
+import {
+  decodeRequest,
+  decodeResponse,
+  encodeRequest,
+  encodeResponse,
+} from '../../src/peer/codec.js';
+import type { NodeId } from '../../src/units/index.js';
+import type { Build, ControllerHost, PeerConnection, RunningController } from './build.js';
+
+/** On these connections nothing needs to be paired: each request has an exchange of its own. */
+const REQUEST_ID = 1;
+
+const peerOver = (connection: PeerConnection): Peer => ({
+  get responsive() {
+    return connection.isResponsive;
+  },
+  request: (request, timeout) =>
+    connection.exchange(
+      encodeRequest(REQUEST_ID, request),
+      timeout,
+      (frame) => decodeResponse(frame).message,
+    ),
+});
+
+function createController(settingsFile: unknown, host: ControllerHost): RunningController {
+  const { peers, ...environment } = host;
+  const controller = new Controller(parseSettings(settingsFile), defaultOperator, {
+    ...environment,
+    peers: new Map<NodeId, Peer>([...peers].map(([node, peer]) => [node, peerOver(peer)])),
+  });
+  return {
+    start: () => controller.start(),
+    stop: () => controller.stop(),
+    health: () => controller.health(),
+    hasAuthority: () => controller.election.authority() !== undefined,
+    handleUserRequest: (method, path, body) => controller.userRequests.handle(method, path, body),
+    handleHeartbeat: (body) => controller.workerHeartbeats.handle(body),
+    handlePeerFrame: async (frame) => {
+      const { id, message } = decodeRequest(frame);
+      const response = await controller.peerRequests.handle(message);
+      return { status: 200, body: encodeResponse(id, response) };
+    },
+  };
+}
+
+/** This version. */
+export const presentBuild: Build = { createController };
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -1,20 +1,18 @@
 import { pino, type Logger } from 'pino';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { defaultOperator } from '../../src/config/operator.js';
 import { parseSettings, type Settings } from '../../src/config/settings.js';
-import type { Controller } from '../../src/controller.js';
-import type { Peer } from '../../src/peer/channel.js';
 import type { Endpoint, NodeId } from '../../src/units/index.js';
 import { ms, type Random } from '../../src/units/index.js';
 import { decode, encode, type MachineType } from '../../src/wire/index.js';
 import { settingsFile } from '../support/settings.js';
 import { Balancer } from './balancer.js';
-import { present, type Build } from './build.js';
+import type { Build, PeerConnection, RunningController } from './build.js';
 import { ProcessClock, VirtualTime } from './clock.js';
 import { Cloud, type Rented } from './cloud.js';
 import { Network, REGION } from './network.js';
 import { StateService } from './state.js';
+import { presentBuild } from './present-build.js';
 import { Users, type Known } from './users.js';
 import { Worker, type WorkerWorld } from './worker.js';
 
@@ -36,15 +34,9 @@
   },
 ];
 
-/** The peers' own records, carried as text through a network that knows nothing binary. */
-interface Framed {
-  readonly frame: string;
-}
-const framed = (bytes: Buffer): Framed => ({ frame: bytes.toString('base64') });
-
 interface Process {
   readonly clock: ProcessClock;
-  readonly controller: Controller;
+  readonly controller: RunningController;
 }
 
 /** The limit of the one team, unless a world sets another. */
@@ -102,8 +94,8 @@
     this.cpusMax = options.cpusMax ?? TEAM_CPUS;
     this.cpu = options.cpu;
     this.nextState = options.nextState;
-    for (const n of [0, 1, 2]) this.builds.set(n, options.build ?? present);
-    this.settings = this.settingsOf(0);
+    for (const n of [0, 1, 2]) this.builds.set(n, options.build ?? presentBuild);
+    this.settings = parseSettings(this.fileOf(0));
     // What goes wrong inside must not stay unseen behind a passing rule check.
     this.log = pino(
       { level: process.env.SIM_LOG ?? 'error' },
@@ -151,12 +143,13 @@
     this.watchRoom();
   }
 
-  private settingsOf(n: number, build = present): Settings {
+  /** The settings file of a node. */
+  private fileOf(n: number) {
     const file = settingsFile(n, this.zones);
     const teams = file.params.teams.map((t) => ({ ...t, cpus_max: this.cpusMax }));
     const limits = { ...file.params.limits, cpu: this.cpu ?? file.params.limits.cpu };
     const state = { ...file.params.state, next: this.nextState };
-    return build.parseSettings({ ...file, params: { ...file.params, teams, limits, state } });
+    return { ...file, params: { ...file.params, teams, limits, state } };
   }
 
   /** The state service takes from now on what the settings announced. */
@@ -193,8 +186,8 @@
 
   startNode(n: number): void {
     if (this.nodes.has(n)) return;
-    const build = this.builds.get(n) ?? present;
-    const settings = this.settingsOf(n, build);
+    const file = this.fileOf(n);
+    const settings = parseSettings(file);
     const clock = new ProcessClock(
       this.time,
       (this.random() - 0.5) * 0.0005,
@@ -202,10 +195,10 @@
     );
     const api = settings.apiEndpoint;
     const http = this.network.client(settings.node, settings.zone, clock);
-    const peers = new Map<NodeId, Peer>(
-      settings.others.map((o) => [o.node, this.peer(build, http, clock, o.endpoint)]),
+    const peers = new Map<NodeId, PeerConnection>(
+      settings.others.map((o) => [o.node, this.peer(http, clock, o.endpoint)]),
     );
-    const controller = new build.Controller(settings, defaultOperator, {
+    const controller = (this.builds.get(n) ?? presentBuild).createController(file, {
       clock,
       random: this.random,
       http,
@@ -217,38 +210,34 @@
       const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
       if (path === '/up') return controller.health();
       const reply = await (path === '/agent/beat'
-        ? controller.workerHeartbeats.handle(bytes)
-        : controller.userRequests.handle(method, path, bytes));
+        ? controller.handleHeartbeat(bytes)
+        : controller.handleUserRequest(method, path, bytes));
       return Buffer.isBuffer(reply.body) ? { ...reply, body: decode(reply.body) } : reply;
     });
-    this.network.attach(settings.clusterEndpoint, settings.zone, async (_method, _path, body) => {
-      const { id, message } = build.decodeRequest(Buffer.from((body as Framed).frame, 'base64'));
-      const response = await controller.peerRequests.handle(message);
-      return { status: 200, body: framed(build.encodeResponse(id, response)) };
-    });
+    this.network.attach(settings.clusterEndpoint, settings.zone, (_method, _path, body) =>
+      controller.handlePeerFrame(body as Buffer),
+    );
     this.nodes.set(n, { clock, controller });
     controller.start();
   }
 
   private peer(
-    build: Build,
     http: ReturnType<Network['client']>,
     clock: ProcessClock,
     endpoint: Endpoint,
-  ): Peer {
+  ): PeerConnection {
     let silentUntil = 0;
     return {
-      get responsive() {
+      get isResponsive() {
         return clock.steady() >= silentUntil;
       },
-      request: async (request, timeout) => {
-        const body = framed(build.encodeRequest(1, request));
-        const o = await http.send({ endpoint, method: 'POST', path: '/', body, timeout });
+      exchange: async (frame, timeout, read) => {
+        const o = await http.send({ endpoint, method: 'POST', path: '/', body: frame, timeout });
         if (o.kind !== 'answer') {
           silentUntil = clock.steady() + 2000;
           return undefined;
         }
-        return build.decodeResponse(Buffer.from((o.body as Framed).frame, 'base64')).message;
+        return read(o.body as Buffer);
       },
     };
   }
@@ -256,7 +245,7 @@
   /** It ends, and comes back with this version after a while. */
   upgradeNode(n: number, back: number): void {
     this.killNode(n);
-    this.builds.set(n, present);
+    this.builds.set(n, presentBuild);
     this.time.after(back, () => this.startNode(n));
   }
 
@@ -284,7 +273,7 @@
 
   leaderNode(): number | undefined {
     for (const [n, p] of this.nodes) {
-      if (p.controller.election.authority() !== undefined) return n;
+      if (p.controller.hasAuthority()) return n;
     }
     return undefined;
   }
