--- a/test/sim/fleet.test.ts
+++ b/test/sim/fleet.test.ts
@@ -1,3 +1,4 @@
+/** Worlds in which the fleet is at stake: what keeps machines, what gives them up, and what finds them again. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Endpoint, ms } from '../../src/units/index.js';
@@ -8,7 +9,7 @@
 /** A world whose machines all come up, so that a test finds the fleet that it counts on. */
 function sure(seed: number): World {
   const world = new World({ seed });
-  world.cloud.neverUp = 0;
+  world.cloud.bootFailureShare = 0;
   return world;
 }
 
@@ -33,7 +34,7 @@
     fleet.filter((id) => !world.workers.has(id)),
     [],
   );
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 void test('a machine that comes back late after a takeover is not given up because others were faster', async () => {
@@ -48,7 +49,7 @@
   world.hangWorker(slow, false);
   await world.run(30_000);
   assert.ok(world.workers.has(slow));
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 void test('an outage of the state service keeps the fleet: unanswered reports are no silence', async () => {
@@ -61,7 +62,7 @@
     fleet.filter((id) => !world.workers.has(id)),
     [],
   );
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 void test('a direct start that arrives long after its job was cancelled runs nothing', async () => {
@@ -89,7 +90,7 @@
     world.network.hold(undefined);
     await world.run(10_000);
     assert.equal(world.starts - before, started, 'the late start is a repeat');
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   }
 });
 
@@ -99,8 +100,8 @@
   world.users.submit({ taskCount: 100_000, cpus: 0.1, memoryGb: 0.1 }, 2000, 60_000);
   await world.run(100_000);
   assert.ok(world.starts > 500, `${world.starts} tasks started`);
-  assert.ok(Math.max(...world.state.sizes) <= 8192);
-  assert.deepEqual(world.broken, []);
+  assert.ok(Math.max(...world.state.valueSizes) <= 8192);
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(world.users.unfinished(), []);
 });
 
@@ -122,7 +123,7 @@
   await world.run(30_000);
   assert.deepEqual(world.users.unfinished(), [`${other} running`]);
   assert.equal(world.starts - before, 1, 'what was finished is not run again');
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 void test('a machine whose reports arrive while answers do not: its tasks go elsewhere, and then it goes', async () => {
@@ -131,7 +132,7 @@
   // Alone, the leader hears it often enough not to miss it: each try at a dead node ends at once.
   const leader = world.leaderNode();
   for (const n of [0, 1, 2]) if (n !== leader) world.killNode(n);
-  world.deafen(deaf, true);
+  world.dropIncoming(deaf, true);
   const began = world.time.now;
   for (let i = 0; i < 6; i++) world.users.submit({ taskCount: 2, cpus: 1 }, 4000);
   await world.run(75_000);
@@ -143,7 +144,7 @@
   assert.ok(!world.workers.has(deaf));
   await world.run(340_000);
   assert.deepEqual(world.users.unfinished(), []);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 void test('a late copy of the report of a machine that is long gone does not hold work up', async () => {
@@ -176,7 +177,7 @@
   world.users.submit({ taskCount: 3, cpus: 1, allowSpot: false }, 4000);
   await world.run(18_000);
   assert.equal(world.starts - before, 3);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 void test('a machine that is back at once and counts from the start again is of use again', async () => {
@@ -190,7 +191,7 @@
   );
   await world.run(260_000);
   assert.deepEqual(world.users.unfinished(), []);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 void test('what others may read in the store of an end is never answered older, to any question', async () => {
@@ -223,9 +224,9 @@
 });
 
 void test('over a thousand machines: all come back to a new leader, and none is given up', async () => {
-  const world = new World({ seed: 71, cpusMax: 0 });
-  world.cloud.neverUp = 0;
-  world.provide(1050);
+  const world = new World({ seed: 71, maxCpus: 0 });
+  world.cloud.bootFailureShare = 0;
+  world.provideMachines(1050);
   // All have been kept busy for longer than the shortest time a machine is paid for.
   for (let i = 0; i < 20; i++)
     world.users.submit({ taskCount: 100, cpus: 4, expectedRuntimeSeconds: 60 }, 60_000);
@@ -244,18 +245,18 @@
   assert.ok(world.starts <= 2000 * 1.01, 'what ran goes on and is not started again');
   await world.run(60_000);
   assert.deepEqual(world.users.unfinished(), []);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 void test('a leader of long standing: its key is older than what the store keeps, and watches stay few', async () => {
   const world = sure(81);
-  world.state.keeps = 10;
+  world.state.maxChanges = 10;
   await world.run(3000);
   for (let i = 0; i < 10; i++) world.users.submit({ taskCount: 2, cpus: 1 }, 3000);
   await world.run(30_000);
-  const before = world.state.watched;
+  const before = world.state.watchCount;
   await world.run(30_000);
   // Each of three nodes waits for ten seconds at a time, the leader for notices.
-  assert.ok(world.state.watched - before <= 15, `${world.state.watched - before} watches`);
+  assert.ok(world.state.watchCount - before <= 15, `${world.state.watchCount - before} watches`);
   assert.deepEqual(world.users.unfinished(), []);
 });
--- a/test/sim/gangs.test.ts
+++ b/test/sim/gangs.test.ts
@@ -1,3 +1,4 @@
+/** Worlds with gangs: whole starts, checkpoints, lost machines, cancellations, and ends of the leader. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../../src/wire/index.js';
@@ -58,7 +59,7 @@
     if (seed === 22) world.hangWorker(lost, true);
     else world.cloud.end(lost);
     await world.run(40_000);
-    assert.equal(gang.saved, 10_000, 'the last checkpoint');
+    assert.equal(gang.savedMs, 10_000, 'the last checkpoint');
     await settle(world, `seed ${seed}`);
     assert.equal(gang.starts, 2);
   }
@@ -66,10 +67,10 @@
 
 void test('a gang that loses a machine before it runs does not wait for its time to gather', async () => {
   const { world, id, gang } = await worldWithGang(31, { imageSizeGb: 6 }, 8000);
-  for (let i = 0; i < 100 && world.placedOn(id).length < 2; i++) await world.run(200);
+  for (let i = 0; i < 100 && world.machinesHolding(id).length < 2; i++) await world.run(200);
   await world.run(3000);
   assert.equal(gang.starts, 0);
-  world.cloud.end(world.placedOn(id)[0] ?? '');
+  world.cloud.end(world.machinesHolding(id)[0] ?? '');
   // The proof of the loss takes about nine seconds, fetching twelve, booting ten; gathering takes 45.
   await world.run(42_000);
   assert.equal(gang.starts, 1);
@@ -80,9 +81,9 @@
   const { world, id, gang } = await worldWithGang(41, {}, 40_000);
   await untilRunning(world, gang);
   await world.run(2500);
-  world.recall(firstMachine(world, id), 16_000);
+  world.reclaimMachine(firstMachine(world, id), 16_000);
   await world.run(40_000);
-  assert.ok(gang.saved > 10_000 && gang.saved % 5000 !== 0, `saved ${gang.saved}`);
+  assert.ok(gang.savedMs > 10_000 && gang.savedMs % 5000 !== 0, `saved ${gang.savedMs}`);
   await settle(world, 'notice');
   assert.equal(gang.starts, 2);
 });
@@ -91,15 +92,16 @@
   for (const seed of [51, 52, 53]) {
     const { world, id, gang } = await worldWithGang(seed, { imageSizeGb: 3 }, 200_000);
     if (seed !== 51) await untilRunning(world, gang);
-    else for (let i = 0; i < 200 && world.placedOn(id).length === 0; i++) await world.run(200);
+    else
+      for (let i = 0; i < 200 && world.machinesHolding(id).length === 0; i++) await world.run(200);
     if (seed === 53) {
-      world.recall(firstMachine(world, id), 6000);
+      world.reclaimMachine(firstMachine(world, id), 6000);
       await world.run(2500);
     }
     world.users.cancel(id);
     await settle(world, `seed ${seed}`);
     assert.equal(world.machinesOf(id).length, 0);
-    assert.equal(world.jobs.get(id)?.told, 'aborted');
+    assert.equal(world.jobs.get(id)?.lastStatus, 'aborted');
   }
 });
 
@@ -126,10 +128,10 @@
 
 void test('the state service lowers its limits while wide jobs and gangs come and the leader ends', async () => {
   for (const seed of [71, 72, 73, 74]) {
-    const nextState = { value_kb: 2, txn_ops: 4, write_rps: 12 };
-    const world = new World({ seed, cpusMax: 0, nextState });
+    const nextStateLimits = { value_kb: 2, txn_ops: 4, write_rps: 12 };
+    const world = new World({ seed, maxCpus: 0, nextStateLimits });
     await world.run(2500);
-    world.provide(30);
+    world.provideMachines(30);
     for (let i = 0; i < 4; i++) {
       world.users.submit({ taskCount: 70, cpus: 2 }, 20_000, i === 0 ? 32_000 : undefined);
       submitGang(world);
--- a/test/sim/meetings.test.ts
+++ b/test/sim/meetings.test.ts
@@ -1,3 +1,4 @@
+/** Worlds in which two or more faults meet; `docs/meetings.md` says what each has shown. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { TINY_CPU, settle } from '../standin/day.js';
@@ -8,7 +9,7 @@
   readonly name: string;
   readonly seeds: readonly number[];
   /** Its team's limit: none unless the meeting is about it. */
-  readonly cpusMax?: number;
+  readonly maxCpus?: number;
   readonly play: (world: World, seed: number) => Promise<void>;
 }
 
@@ -48,7 +49,7 @@
   ...[500, 2000, 3800, 4300, 5000, 8000, 12_000].map((outageAfter): Meeting => ({
     name: `the leader is refused alone, and ${outageAfter} ms later all are for longer than cancel_s`,
     seeds: [1, 2, 3, 4, 5],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 6);
       gap(world, outageAfter, seed % 2 === 0 ? 53_000 : 26_000);
@@ -58,9 +59,10 @@
         after(world, 9000, () => world.freezeNode(leader, false));
       }
       // Some workers don't hear a new leader.
-      if (seed >= 4) for (const id of [...world.workers.keys()].slice(0, 2)) world.deafen(id, true);
+      if (seed >= 4)
+        for (const id of [...world.workers.keys()].slice(0, 2)) world.dropIncoming(id, true);
       for (let at = 0; at <= outageAfter + 1000; at += 700) {
-        after(world, at, () => world.cancelNow(1, 0));
+        after(world, at, () => world.cancelRunning(1, 0));
       }
       await world.run(75_000);
     },
@@ -68,11 +70,11 @@
   {
     name: 'jobs are called off as the leader is refused, on machines that hang, and then all are refused',
     seeds: [1, 2, 3, 4],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 6);
       gap(world, 1000, 53_000);
-      world.cancelNow(4, seed * 8000);
+      world.cancelRunning(4, seed * 8000);
       await world.run(75_000);
     },
   },
@@ -99,19 +101,19 @@
   {
     name: 'new leaders end before they know the records, while jobs are called off',
     seeds: [1, 2, 3],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world) => {
       await longJobs(world, 4);
-      world.cancelNow(4, 0);
+      world.cancelRunning(4, 0);
       // The cancellations are in the store, and nobody has told the workers.
       world.network.hold('/commands');
       await world.run(250);
-      world.state.hides = 'live/';
+      world.state.refusedPrefix = 'live/';
       for (let i = 0; i < 9; i++) {
         endLeader(world, 300);
         await world.run(6000);
       }
-      world.state.hides = undefined;
+      world.state.refusedPrefix = undefined;
     },
   },
   {
@@ -129,10 +131,10 @@
   {
     name: 'all controllers are away for longer than a lease',
     seeds: [1, 2, 3],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 4, 60_000);
-      world.cancelNow(2, 0);
+      world.cancelRunning(2, 0);
       await world.run(seed * 150);
       for (const n of NODES) world.killNode(n);
       for (const n of NODES) after(world, 30_000, () => world.startNode(n));
@@ -142,19 +144,19 @@
   {
     name: 'a leader ends while machines with long tasks can not be reached or do not hear the next one',
     seeds: [1, 2, 3, 4],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 5, 80_000);
       const some = [...world.workers.keys()].slice(0, 3);
       for (const id of some) {
-        if (seed % 2 === 0) world.deafen(id, true);
+        if (seed % 2 === 0) world.dropIncoming(id, true);
         else world.hangWorker(id, true);
       }
       endLeader(world, 5000);
-      after(world, 2000, () => world.cancelNow(3, 0));
+      after(world, 2000, () => world.cancelRunning(3, 0));
       await world.run(18_000);
       for (const id of some) {
-        world.deafen(id, false);
+        world.dropIncoming(id, false);
         world.hangWorker(id, false);
       }
       await world.run(40_000);
@@ -165,7 +167,7 @@
     seeds: [1, 2, 3, 4, 5, 6],
     play: async (world, seed) => {
       await world.run(2500);
-      world.lateWrites(0.35);
+      world.delayWrites(0.35);
       for (let i = 0; i < 10; i++) {
         world.users.submit({ taskCount: 2 }, 5000, i % 2 === 0 ? 2500 * i : undefined);
         if (i % 4 === seed % 4) endLeader(world, 300);
@@ -179,10 +181,10 @@
     seeds: [1, 2, 3],
     play: async (world) => {
       await world.run(2500);
-      world.cancelAtEnd = 0.8;
+      world.cancelAtEndShare = 0.8;
       for (let i = 0; i < 12; i++) {
         world.users.submit({ taskCount: 1 + (i % 2) }, 3000);
-        world.users.oddRequests();
+        world.users.sendOddRequests();
         await world.run(2500);
       }
       await world.run(20_000);
@@ -193,7 +195,7 @@
     seeds: [1, 2, 3, 4],
     play: async (world, seed) => {
       await world.run(2500);
-      world.copies(0.4);
+      world.duplicateMessages(0.4);
       for (let i = 0; i < 10; i++) {
         world.users.submit({ taskCount: 2 }, 9000, i % 3 === 0 ? 2500 * i : undefined);
         if (i % 5 === seed % 5) endLeader(world, 800);
@@ -206,13 +208,13 @@
   {
     name: 'a leader is cut from the store and the others, not from workers, while jobs are called off',
     seeds: [1, 2, 3, 4],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 5);
-      world.isolate(world.leaderNode() ?? 0, seed % 2 === 0);
+      world.isolateNode(world.leaderNode() ?? 0, seed % 2 === 0);
       for (let i = 0; i < 6; i++) {
         await world.run(2500);
-        world.cancelNow(1, 0);
+        world.cancelRunning(1, 0);
       }
       await world.run(40_000);
     },
@@ -220,7 +222,7 @@
   {
     name: 'a zone with workers and a controller is cut off for longer than a lease',
     seeds: [1, 2, 3],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 5, 70_000);
       const [cut, b, c] =
@@ -228,7 +230,7 @@
       world.network.cut(cut, b, true);
       world.network.cut(cut, c, true);
       world.network.cut(cut, '.region', true);
-      world.cancelNow(2, 0);
+      world.cancelRunning(2, 0);
       await world.run(50_000);
       world.network.cut(cut, '.region', false);
     },
@@ -236,18 +238,18 @@
   {
     name: 'a team at its limit, a new leader, machines that can not be asked, and a cancellation',
     seeds: [1, 2, 3, 4],
-    cpusMax: 24,
+    maxCpus: 24,
     play: async (world, seed) => {
       await longJobs(world, 4, 45_000);
       for (let i = 0; i < 4; i++) world.users.submit({ taskCount: 3, cpus: 2 }, 9000);
       const some = [...world.workers.keys()].slice(0, 2);
       for (const id of some) {
-        if (seed % 2 === 0) world.mute(id, true);
+        if (seed % 2 === 0) world.blockHeartbeats(id, true);
         else world.hangWorker(id, true);
       }
       endLeader(world, 500);
       await world.run(seed * 1500);
-      world.cancelNow(2, 0);
+      world.cancelRunning(2, 0);
       await world.run(16_000);
       endLeader(world, 500);
       await world.run(20_000);
@@ -303,7 +305,7 @@
       }
       await world.run(25_000);
       for (const { machine } of [...world.workers.values()]) {
-        if (machine.hall === (seed % 2 === 0 ? 'b' : 'a')) world.cloud.end(machine.id);
+        if (machine.zone === (seed % 2 === 0 ? 'b' : 'a')) world.cloud.end(machine.id);
       }
       endLeader(world, 1000);
       await world.run(20_000);
@@ -312,11 +314,11 @@
   {
     name: 'more work than room, urgent and not, over slow links',
     seeds: [1, 2],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world) => {
       world.cloud.capacity = 1;
       await world.run(2500);
-      world.network.slow = () => 60 * world.random();
+      world.network.extraDelay = () => 60 * world.random();
       for (let i = 0; i < 24; i++) {
         const urgent = i % 2 === 0;
         const size = urgent ? { cpus: 1 } : { cpus: [2, 6][i % 4 === 1 ? 0 : 1] ?? 2 };
@@ -324,18 +326,18 @@
         await world.run(1500);
       }
       await world.run(30_000);
-      world.network.slow = undefined;
+      world.network.extraDelay = undefined;
     },
   },
   {
     name: 'workers reach no controller while commands reach them, and their jobs are called off',
     seeds: [1, 2, 3],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 5);
-      for (const id of [...world.workers.keys()].slice(0, 2)) world.mute(id, true);
+      for (const id of [...world.workers.keys()].slice(0, 2)) world.blockHeartbeats(id, true);
       await world.run(seed * 3000);
-      world.cancelNow(4, 0);
+      world.cancelRunning(4, 0);
       if (seed === 2) endLeader(world, 5000);
       await world.run(70_000);
     },
@@ -343,13 +345,13 @@
   {
     name: 'reports are held back until a new leader has acted, and then arrive there',
     seeds: [1, 2, 3],
-    cpusMax: 0,
+    maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 4, 60_000);
       world.network.hold('/agent/beat');
       await world.run(3500);
       endLeader(world, seed === 1 ? 300 : 5000);
-      world.cancelNow(2, 0);
+      world.cancelRunning(2, 0);
       await world.run(6000 + 2000 * seed);
       world.network.hold(undefined);
       await world.run(30_000);
@@ -361,9 +363,9 @@
   void test(m.name, async () => {
     for (const seed of m.seeds) {
       // With the last seed, the leader sends the workers that report to it to the other nodes.
-      const small = seed === m.seeds.at(-1) ? { cpu: TINY_CPU } : {};
-      const world = new World({ seed: 5000 + seed, cpusMax: m.cpusMax ?? 24, ...small });
-      world.cloud.neverUp = 0;
+      const small = seed === m.seeds.at(-1) ? { controllerCpu: TINY_CPU } : {};
+      const world = new World({ seed: 5000 + seed, maxCpus: m.maxCpus ?? 24, ...small });
+      world.cloud.bootFailureShare = 0;
       await m.play(world, seed);
       await settle(world, `${m.name}, seed ${seed}`);
     }
--- a/test/sim/rules.test.ts
+++ b/test/sim/rules.test.ts
@@ -1,3 +1,4 @@
+/** Worlds in which one thing goes wrong at every step, and days on which everything does; the rules hold. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { badDay, settle } from '../standin/day.js';
@@ -22,7 +23,7 @@
   world.users.submit({ taskCount: 5, spreadZones: true }, 3000);
   world.users.submit({ taskCount: 4, singleZone: true }, 3000);
   world.users.submit({ taskCount: 6, cpus: 8 }, 20_000, 15_000);
-  world.users.probeUnknown();
+  world.users.askForUnknownJob();
   await settle(world, 'quiet');
   assert.ok(world.starts >= 30);
 });
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -1,3 +1,4 @@
+/** Virtual time, and the clocks that the processes of a simulation have in it. */
 import {
   SteadyMs,
   WallMs,
@@ -6,55 +7,71 @@
   type Timer,
 } from '../../src/units/index.js';
 
-interface Due {
-  at: number;
-  order: number;
+interface ScheduledTimer {
+  readonly at: number;
+  /** The order in which timers were set: it decides between timers of one instant. */
+  readonly order: number;
+  /** Undefined once it is cancelled. */
   run: (() => void) | undefined;
 }
 
-/** Time that passes only when told to. Timers of one instant fire in the order they were set. */
-export class VirtualTime {
+/** What a stand-in needs of time; real time has it as well. */
+export interface TimeSource {
+  /** Milliseconds since some moment. */
+  readonly now: number;
+  after(delay: number, run: () => void): Timer;
+}
+
+/** Time that passes only in `run`. Timers of one instant fire in the order in which they were set. */
+export class VirtualTime implements TimeSource {
   now = 0;
-  private order = 0;
-  private readonly heap: Due[] = [];
+  private nextOrder = 0;
+  /** A binary heap, the next timer first. */
+  private readonly heap: ScheduledTimer[] = [];
 
-  private static before(a: Due, b: Due): boolean {
+  private static isBefore(a: ScheduledTimer, b: ScheduledTimer): boolean {
     return a.at < b.at || (a.at === b.at && a.order < b.order);
   }
 
   after(delay: number, run: () => void): Timer {
-    const due: Due = { at: this.now + Math.max(0, delay), order: this.order++, run };
-    const h = this.heap;
-    let i = h.push(due) - 1;
-    while (i > 0) {
-      const up = (i - 1) >> 1;
-      if (!VirtualTime.before(due, h[up]!)) break;
-      h[i] = h[up]!;
-      i = up;
+    const timer: ScheduledTimer = {
+      at: this.now + Math.max(0, delay),
+      order: this.nextOrder++,
+      run,
+    };
+    this.push(timer);
+    return { cancel: () => (timer.run = undefined) };
+  }
+
+  private push(timer: ScheduledTimer): void {
+    const { heap } = this;
+    let position = heap.push(timer) - 1;
+    while (position > 0) {
+      const parent = (position - 1) >> 1;
+      if (!VirtualTime.isBefore(timer, heap[parent]!)) break;
+      heap[position] = heap[parent]!;
+      position = parent;
     }
-    h[i] = due;
-    return { cancel: () => (due.run = undefined) };
+    heap[position] = timer;
   }
 
-  private pop(): Due | undefined {
-    const h = this.heap;
-    const top = h[0];
-    const last = h.pop();
-    if (top === undefined || last === undefined || h.length === 0) return top;
-    let i = 0;
+  private pop(): void {
+    const { heap } = this;
+    const last = heap.pop();
+    if (last === undefined || heap.length === 0) return;
+    let position = 0;
     for (;;) {
-      let c = 2 * i + 1;
-      if (c >= h.length) break;
-      if (c + 1 < h.length && VirtualTime.before(h[c + 1]!, h[c]!)) c++;
-      if (!VirtualTime.before(h[c]!, last)) break;
-      h[i] = h[c]!;
-      i = c;
+      let child = 2 * position + 1;
+      if (child >= heap.length) break;
+      if (child + 1 < heap.length && VirtualTime.isBefore(heap[child + 1]!, heap[child]!)) child++;
+      if (!VirtualTime.isBefore(heap[child]!, last)) break;
+      heap[position] = heap[child]!;
+      position = child;
     }
-    h[i] = last;
-    return top;
+    heap[position] = last;
   }
 
-  /** Lets time pass, and after each timer everything that follows from it without waiting. */
+  /** Lets time pass up to a moment. After each timer, all promises that settle by it are settled. */
   async run(until: number): Promise<void> {
     for (;;) {
       const next = this.heap[0];
@@ -69,15 +86,18 @@
   }
 }
 
-/** A process's own clocks: drifting, off, and silent once the process is killed. */
+/** The clocks of one process. They drift, and nothing fires any more once the process is dead. */
 export class ProcessClock implements Clock {
-  dead = false;
-  private held: (() => void)[] | undefined;
+  isDead = false;
+  /** What is due while the process is frozen; undefined while it is not. */
+  private postponed: (() => void)[] | undefined;
 
   constructor(
     private readonly time: VirtualTime,
+    /** The share by which its steady clock is fast. */
     private readonly drift: number,
-    private readonly wallOff: number,
+    /** By how many milliseconds its time of day is ahead. */
+    private readonly wallOffset: number,
   ) {}
 
   steady(): SteadyMs {
@@ -85,27 +105,28 @@
   }
 
   wall(): WallMs {
-    return WallMs(Date.UTC(2026, 2, 12) + this.time.now + this.wallOff);
+    return WallMs(Date.UTC(2026, 2, 12) + this.time.now + this.wallOffset);
   }
 
   after(delay: DurationMs, run: () => void): Timer {
-    return this.time.after(delay / (1 + this.drift), () => this.reach(run));
+    return this.time.after(delay / (1 + this.drift), () => this.deliver(run));
   }
 
-  /** Something comes up for the process: nothing once it is dead, later while it stands still. */
-  reach(run: () => void): void {
-    if (this.dead) return;
-    if (this.held) this.held.push(run);
+  /** Runs an event of the process: not at all once it is dead, and later while it is frozen. */
+  deliver(run: () => void): void {
+    if (this.isDead) return;
+    if (this.postponed) this.postponed.push(run);
     else run();
   }
 
-  /** The process stands still while its clocks run on. */
-  freeze(on: boolean): void {
-    if (on) this.held ??= [];
-    else {
-      const held = this.held ?? [];
-      this.held = undefined;
-      for (const run of held) this.time.after(0, () => this.reach(run));
+  /** While a process is frozen nothing of it runs, though its clocks do, as on a paused machine. */
+  freeze(isFrozen: boolean): void {
+    if (isFrozen) {
+      this.postponed ??= [];
+      return;
     }
+    const due = this.postponed ?? [];
+    this.postponed = undefined;
+    for (const run of due) this.time.after(0, () => this.deliver(run));
   }
 }
--- a/test/standin/cloud.ts
+++ b/test/standin/cloud.ts
@@ -1,118 +1,164 @@
+/** The cloud, from the protocol: rentals by name, boots, a list that lags, deletions, outages. */
 import type { Random } from '../../src/units/index.js';
 import { encodeMachineTypes, type MachineType } from '../../src/wire/index.js';
-import type { Answered } from './network.js';
-import type { VirtualTime } from './clock.js';
+import type { TimeSource } from './clock.js';
+import type { Answer } from './network.js';
 
-export interface Rented {
+/** A machine from its rental on; one that has ended is kept here too. */
+export interface RentedMachine {
   readonly id: string;
-  readonly addr: string;
+  readonly address: string;
+  readonly machineType: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly rentedAt: number;
+  /** When the list begins to show it. */
+  readonly listedAt: number;
+  endedAt: number | undefined;
+  isRunning: boolean;
+}
+
+/** A rental as it is sent. */
+interface RentalMessage {
+  readonly hire: string;
   readonly build: string;
   readonly hall: string;
-  readonly spot: boolean;
-  readonly since: number;
-  listedFrom: number;
-  goneAt: number | undefined;
-  running: boolean;
+  readonly loaners: boolean;
+  readonly how_many: number;
+}
+
+/** What becomes of rented machines. */
+export interface MachineLifecycle {
+  onBoot(machine: RentedMachine): void;
+  onEnd(machine: RentedMachine): void;
+}
+
+/** What a cloud is made of. */
+export interface CloudOptions {
+  readonly time: TimeSource;
+  readonly random: Random;
+  readonly machineTypes: readonly MachineType[];
+  /** By how many milliseconds the list lags, roughly. */
+  readonly listLagMs: number;
+  readonly lifecycle: MachineLifecycle;
+  /** The address of the machine that was rented as the nth. */
+  readonly addressOf: (n: number) => string;
 }
 
-interface Hire { hire: string; build: string; hall: string; loaners: boolean; how_many: number }
+const DEFAULT_BOOT_SECONDS = 10;
 
-/** The cloud, from the protocol: rentals by name, boots, a lagging list, deletions, outages. */
+/** The cloud's service. */
 export class Cloud {
-  readonly machines = new Map<string, Rented>();
-  private readonly hires = new Map<string, string[]>();
-  private counter = 0;
-  out = false;
-  /** Machines that may be rented of each type, zone and kind. */
+  readonly machines = new Map<string, RentedMachine>();
+  /** The machines of each rental, by its name: a repeated request gets them again. */
+  private readonly rentals = new Map<string, string[]>();
+  private rentedCount = 0;
+  /** While it is out, every request is answered with 503. */
+  isOut = false;
+  /** How many machines of each type, zone and price model there are. */
   capacity = 8;
-  /** The share of machines that never come up. */
-  neverUp = 0.03;
+  /** The share of machines that never boot. */
+  bootFailureShare = 0.03;
 
-  constructor(
-    private readonly time: Pick<VirtualTime, 'now' | 'after'>,
-    private readonly random: Random,
-    private readonly flavors: readonly MachineType[],
-    private readonly lagMs: number,
-    private readonly onBoot: (m: Rented) => void,
-    private readonly onGone: (m: Rented) => void,
-    private readonly address: (n: number) => string,
-  ) {}
+  constructor(private readonly options: CloudOptions) {}
 
-  flavor(build: string): MachineType | undefined {
-    return this.flavors.find((f) => f.name === build);
+  /** The machine type of a name. */
+  machineType(name: string): MachineType | undefined {
+    return this.options.machineTypes.find((type) => type.name === name);
   }
 
-  handle(_method: string, target: string, body: unknown): Answered {
-    if (this.out) return { status: 503, body: { error: 'trouble' } };
+  handle(_method: string, target: string, body: unknown): Answer {
+    if (this.isOut) return { status: 503, body: { error: 'trouble' } };
     const url = new URL(target, 'http://cloud');
-    if (url.pathname === '/flavors') return { status: 200, body: encodeMachineTypes(this.flavors) };
+    if (url.pathname === '/flavors') {
+      return { status: 200, body: encodeMachineTypes(this.options.machineTypes) };
+    }
     if (url.pathname === '/machines/delete') {
       for (const id of (body as { boxes: string[] }).boxes) this.end(id);
       return { status: 200, body: {} };
     }
-    if (url.pathname === '/machines' && body !== undefined) return this.hire(body as Hire);
+    if (url.pathname === '/machines' && body !== undefined) return this.rent(body as RentalMessage);
     return this.list(url.searchParams.get('from') ?? '');
   }
 
-  private hire(h: Hire): Answered {
-    const before = this.hires.get(h.hire);
-    if (before) return { status: 200, body: { boxes: before } };
-    const like = [...this.machines.values()].filter(
-      (m) =>
-        m.build === h.build && m.hall === h.hall && m.spot === h.loaners && m.goneAt === undefined,
-    );
-    const n = Math.min(h.how_many, this.capacity - like.length);
-    if (n <= 0) return { status: 503, body: { error: 'no capacity' } };
+  private rent(message: RentalMessage): Answer {
+    const known = this.rentals.get(message.hire);
+    if (known) return { status: 200, body: { boxes: known } };
+    const count = Math.min(message.how_many, this.capacity - this.countLike(message));
+    if (count <= 0) return { status: 503, body: { error: 'no capacity' } };
     const ids: string[] = [];
-    for (let i = 0; i < n; i++) {
-      const k = ++this.counter;
-      const m: Rented = {
-        id: `vm-${String(k).padStart(6, '0')}`,
-        addr: this.address(k),
-        build: h.build,
-        hall: h.hall,
-        spot: h.loaners,
-        since: this.time.now,
-        listedFrom: this.time.now + this.lagMs * (0.5 + 1.5 * this.random()),
-        goneAt: undefined,
-        running: false,
-      };
-      this.machines.set(m.id, m);
-      ids.push(m.id);
-      const ready = (this.flavor(h.build)?.bootSeconds ?? 10) * 1000;
-      // Now and then one never boots.
-      if (this.random() < this.neverUp) continue;
-      this.time.after(ready * (0.6 + 0.9 * this.random()), () => {
-        if (m.goneAt !== undefined) return;
-        m.running = true;
-        this.onBoot(m);
-      });
+    for (let i = 0; i < count; i++) {
+      const machine = this.create(message);
+      ids.push(machine.id);
+      this.boot(machine);
     }
-    this.hires.set(h.hire, ids);
+    this.rentals.set(message.hire, ids);
     return { status: 200, body: { boxes: ids } };
   }
 
-  /** Deleted, taken back or dead: gone with all that is on it. */
+  /** How many machines there are of the type, zone and price model that a rental asks for. */
+  private countLike({ build, hall, loaners }: RentalMessage): number {
+    return [...this.machines.values()].filter(
+      (machine) =>
+        machine.machineType === build &&
+        machine.zone === hall &&
+        machine.spot === loaners &&
+        machine.endedAt === undefined,
+    ).length;
+  }
+
+  private create({ build, hall, loaners }: RentalMessage): RentedMachine {
+    const { time, random, listLagMs, addressOf } = this.options;
+    const number = ++this.rentedCount;
+    const machine: RentedMachine = {
+      id: `vm-${String(number).padStart(6, '0')}`,
+      address: addressOf(number),
+      machineType: build,
+      zone: hall,
+      spot: loaners,
+      rentedAt: time.now,
+      listedAt: time.now + listLagMs * (0.5 + 1.5 * random()),
+      endedAt: undefined,
+      isRunning: false,
+    };
+    this.machines.set(machine.id, machine);
+    return machine;
+  }
+
+  private boot(machine: RentedMachine): void {
+    const { time, random, lifecycle } = this.options;
+    const type = this.machineType(machine.machineType);
+    const bootMs = (type?.bootSeconds ?? DEFAULT_BOOT_SECONDS) * 1000;
+    if (random() < this.bootFailureShare) return;
+    time.after(bootMs * (0.6 + 0.9 * random()), () => {
+      if (machine.endedAt !== undefined) return;
+      machine.isRunning = true;
+      lifecycle.onBoot(machine);
+    });
+  }
+
+  /** Ends a machine that was deleted, reclaimed or has failed, with all that runs on it. */
   end(id: string): void {
-    const m = this.machines.get(id);
-    if (!m || m.goneAt !== undefined) return;
-    m.goneAt = this.time.now;
-    this.onGone(m);
+    const machine = this.machines.get(id);
+    if (!machine || machine.endedAt !== undefined) return;
+    machine.endedAt = this.options.time.now;
+    this.options.lifecycle.onEnd(machine);
   }
 
-  private list(from: string): Answered {
+  private list(from: string): Answer {
+    const { now } = this.options.time;
     const boxes = [...this.machines.values()]
-      .filter((m) => m.id > from && m.listedFrom <= this.time.now)
-      // The list lags: what is gone still stands in it for a while.
-      .filter((m) => m.goneAt === undefined || this.time.now - m.goneAt < this.lagMs)
-      .map((m) => ({
-        name_id: m.id,
-        addr: m.addr,
-        build: m.build,
-        hall: m.hall,
-        loaners: m.spot,
-        status: m.running ? 'running' : 'starting',
-        age_s: (this.time.now - m.since) / 1000,
+      .filter((machine) => machine.id > from && machine.listedAt <= now)
+      // The list lags: it shows a machine for a while after its end.
+      .filter(({ endedAt }) => endedAt === undefined || now - endedAt < this.options.listLagMs)
+      .map((machine) => ({
+        name_id: machine.id,
+        addr: machine.address,
+        build: machine.machineType,
+        hall: machine.zone,
+        loaners: machine.spot,
+        status: machine.isRunning ? 'running' : 'starting',
+        age_s: (now - machine.rentedAt) / 1000,
       }));
     return { status: 200, body: { boxes, has_next: false } };
   }
--- a/test/standin/day.ts
+++ b/test/standin/day.ts
@@ -1,69 +1,92 @@
+/** Whole days of a world: jobs of all kinds while everything goes wrong, and the calm after it. */
 import assert from 'node:assert/strict';
 import type { Build } from './build.js';
+import { DUPLICATE_SHARE, letSomethingHappen, pick } from './mishaps.js';
+import { NODES, ZONES } from './platform.js';
 import { World } from './world.js';
 
 /** A share of a processor on which a handful of machines is too many. */
 export const TINY_CPU = 0.0005;
 
-/** Lets everything heal and settle, then asserts that no rule was broken and all work was done. */
+/** How long a world has to heal and to end all work once all faults are over. */
+const SETTLE_TIME = 240_000;
+
+/** Ends all faults, lets everything settle, then asserts that no rule was violated and all work was done. */
 export async function settle(world: World, name: string): Promise<void> {
-  world.network.loss = 0;
+  world.network.lossShare = 0;
   world.state.outage(false);
-  world.cloud.out = false;
-  for (const n of [0, 1, 2]) {
-    world.state.outageFor(`node-${n}`, false);
-    world.freezeNode(n, false);
-    world.startNode(n);
+  world.cloud.isOut = false;
+  for (const node of NODES) {
+    world.state.outageFor(`node-${node}`, false);
+    world.freezeNode(node, false);
+    world.startNode(node);
   }
-  for (const [a, b] of [
+  for (const [zone, other] of [
     ['a', 'b'],
     ['b', 'c'],
     ['a', 'c'],
   ] as const) {
-    world.network.cut(a, b, false);
+    world.network.cut(zone, other, false);
   }
   for (const id of world.workers.keys()) {
     world.hangWorker(id, false);
-    world.deafen(id, false);
-    world.mute(id, false);
+    world.dropIncoming(id, false);
+    world.blockHeartbeats(id, false);
   }
-  world.lateWrites(0);
+  world.delayWrites(0);
   world.slowStore(0);
   world.network.hold(undefined);
-  world.cancelAtEnd = 0;
-  world.reunite();
+  world.cancelAtEndShare = 0;
+  world.reconnectNodes();
   world.refusePeers(false);
-  world.copies(0);
-  world.calm();
-  await world.run(240_000);
-  assert.deepEqual(world.broken, [], name);
+  world.duplicateMessages(0);
+  world.declareCalm();
+  await world.run(SETTLE_TIME);
+  assert.deepEqual(world.violations, [], name);
   assert.deepEqual(world.users.unfinished(), [], name);
 }
 
-/** As many as the team's limit lets end within the time that a day takes to settle. */
-const GANGS_PER_STEP = 0.25;
-
-/** Some gang, cancelled now and then. */
+/** Submits some gang, which is cancelled now and then. */
 export function submitGang(world: World): void {
-  const r = world.random;
-  const saves = r() < 0.6;
+  const { random } = world;
+  const savesCheckpoints = random() < 0.6;
   world.users.submit(
     {
       kind: 'ensemble',
-      taskCount: 2 + Math.floor(r() * 5),
-      cpus: 1 + Math.floor(r() * 3),
-      priority: r() < 0.5 ? 'high' : 'normal',
-      singleZone: r() < 0.6,
-      allowSpot: r() < 0.5,
-      checkpointIntervalSeconds: saves ? 4 : 0,
-      checkpointSeconds: saves ? 1 + Math.floor(r() * 3) : 0,
-      image: r() < 0.5 ? 'x' : 'gang',
+      taskCount: 2 + Math.floor(random() * 5),
+      cpus: 1 + Math.floor(random() * 3),
+      priority: random() < 0.5 ? 'high' : 'normal',
+      singleZone: random() < 0.6,
+      allowSpot: random() < 0.5,
+      checkpointIntervalSeconds: savesCheckpoints ? 4 : 0,
+      checkpointSeconds: savesCheckpoints ? 1 + Math.floor(random() * 3) : 0,
+      image: random() < 0.5 ? 'x' : 'gang',
     },
-    4000 + r() * 25_000,
-    r() < 0.2 ? r() * 30_000 : undefined,
+    4000 + random() * 25_000,
+    random() < 0.2 ? random() * 30_000 : undefined,
   );
 }
 
+/** Submits some job array, which is cancelled now and then. */
+function submitArray(world: World): void {
+  const { random } = world;
+  world.users.submit(
+    {
+      taskCount: 1 + Math.floor(random() * 6),
+      cpus: 1 + Math.floor(random() * 4),
+      priority: pick(random, ['high', 'normal', 'low'] as const),
+      spreadZones: random() < 0.15,
+      singleZone: random() < 0.15,
+      allowSpot: random() < 0.7,
+      zone: random() < 0.2 ? pick(random, ZONES) : null,
+      image: pick(random, ['x', 'y', 'z']),
+    },
+    2000 + random() * 15_000,
+    random() < 0.25 ? random() * 25_000 : undefined,
+  );
+}
+
+/** How a day is played. */
 export interface DayOptions {
   /** Gangs are submitted beside the arrays. */
   readonly gangs?: boolean;
@@ -71,189 +94,48 @@
   readonly build?: Build;
 }
 
+const STEPS = 40;
+/** In each step so many arrays are submitted, each with this probability. */
+const ARRAYS_PER_STEP = 2;
+const ARRAY_PROBABILITY = 0.4;
+/** As many as the team's quota lets end within the time that a day takes to settle. */
+const GANG_PROBABILITY = 0.25;
+/** By this step the upgrade is over: only then is anything submitted that the older version can't run. */
+const UPGRADED_BY_STEP = 25;
+
 /** When each controller is upgraded: one after the other, in any order, or several at once. */
 function planUpgrade(world: World): void {
-  const r = world.random;
-  const nodes = [0, 1, 2].sort(() => r() - 0.5);
-  let at = 20_000 + r() * 20_000;
-  for (const n of nodes) {
-    world.time.after(at, () => world.upgradeNode(n, r() < 0.3 ? 200 : 5000));
-    at += r() < 0.3 ? 0 : 2000 + r() * 15_000;
+  const { random } = world;
+  const nodes = [...NODES].sort(() => random() - 0.5);
+  let at = 20_000 + random() * 20_000;
+  for (const node of nodes) {
+    world.time.after(at, () => world.upgradeNode(node, random() < 0.3 ? 200 : 5000));
+    at += random() < 0.3 ? 0 : 2000 + random() * 15_000;
   }
 }
 
-/** By this step of a day the upgrade is over: only then is anything new asked for. */
-const UPGRADED_BY_STEP = 25;
-
 /** A day on which everything goes wrong, alone and together, by the luck of its seed. */
-export async function badDay(seed: number, options: DayOptions = {}): Promise<World> {
-  // On every third, a leader so small that the others take its workers' reports.
+export async function badDay(seed: number, { gangs, build }: DayOptions = {}): Promise<World> {
   const world = new World({
     seed,
-    loss: 0.01,
-    ...(seed % 3 === 0 ? { cpu: TINY_CPU } : {}),
-    ...(options.build ? { build: options.build } : {}),
+    lossShare: 0.01,
+    // On every third, a leader so small that the others take its workers' heartbeats.
+    ...(seed % 3 === 0 ? { controllerCpu: TINY_CPU } : {}),
+    ...(build ? { build } : {}),
   });
-  if (options.build) planUpgrade(world);
-  const r = world.random;
-  const pick = <T>(list: readonly T[]): T => list[Math.floor(r() * list.length)] as T;
-  world.copies(0.02);
+  const { random } = world;
+  if (build) planUpgrade(world);
+  world.duplicateMessages(DUPLICATE_SHARE);
   await world.run(1500);
-  const zones = ['a', 'b', 'c'] as const;
-  for (let s = 0; s < 40; s++) {
-    for (let k = 0; k < 2; k++) {
-      if (r() < 0.4) {
-        world.users.submit(
-          {
-            taskCount: 1 + Math.floor(r() * 6),
-            cpus: 1 + Math.floor(r() * 4),
-            priority: pick(['high', 'normal', 'low'] as const),
-            spreadZones: r() < 0.15,
-            singleZone: r() < 0.15,
-            allowSpot: r() < 0.7,
-            zone: r() < 0.2 ? pick(zones) : null,
-            image: pick(['x', 'y', 'z']),
-          },
-          2000 + r() * 15_000,
-          r() < 0.25 ? r() * 25_000 : undefined,
-        );
-      }
-    }
-    const isUpgraded = options.build === undefined || s >= UPGRADED_BY_STEP;
-    if (options.gangs && isUpgraded && r() < GANGS_PER_STEP) submitGang(world);
-    const n = Math.floor(r() * 3);
-    const later = (delay: number, run: () => void): void => {
-      world.time.after(delay, run);
-    };
-    const [x, y] = pick([
-      ['a', 'b'],
-      ['b', 'c'],
-      ['a', 'c'],
-    ] as const);
-    const ids = [...world.workers.keys()];
-    switch (Math.floor(r() * 34)) {
-      case 0:
-      case 1: {
-        const victim = r() < 0.6 ? (world.leaderNode() ?? n) : n;
-        world.killNode(victim);
-        later(r() < 0.4 ? 300 : 6000, () => world.startNode(victim));
-        break;
-      }
-      case 2:
-        for (const k of [0, 1, 2]) world.killNode(k);
-        for (const k of [0, 1, 2]) later(1000 + r() * 6000, () => world.startNode(k));
-        break;
-      case 3:
-        world.network.cut(x, y, true);
-        later(3000 + r() * 40_000, () => world.network.cut(x, y, false));
-        break;
-      case 4:
-        world.state.outage(true);
-        later(2000 + r() * 20_000, () => world.state.outage(false));
-        break;
-      case 5:
-        world.state.outageFor(`node-${n}`, true);
-        later(4000 + r() * 20_000, () => world.state.outageFor(`node-${n}`, false));
-        break;
-      case 6:
-        world.cloud.out = true;
-        later(2000 + r() * 20_000, () => (world.cloud.out = false));
-        break;
-      case 7:
-      case 8:
-        if (ids.length > 0) {
-          const id = pick(ids);
-          world.hangWorker(id, true);
-          later(r() * 30_000, () => world.hangWorker(id, false));
-        }
-        break;
-      case 9:
-        if (ids.length > 0) world.cloud.end(pick(ids));
-        break;
-      case 10:
-        if (ids.length > 0) world.recall(pick(ids), r() * 20_000);
-        break;
-      case 12:
-      case 13:
-        if (ids.length > 0) {
-          const id = pick(ids);
-          world.deafen(id, true);
-          later(5000 + r() * 60_000, () => world.deafen(id, false));
-        }
-        break;
-      case 14:
-        world.isolate(r() < 0.6 ? (world.leaderNode() ?? n) : n, r() < 0.5);
-        later(3000 + r() * 50_000, () => world.reunite());
-        break;
-      case 15:
-        world.refusePeers(true);
-        later(3000 + r() * 40_000, () => world.refusePeers(false));
-        break;
-      case 16:
-        // Back within a fraction of a second, and in the middle of the election that follows.
-        for (const k of [0, 1, 2]) world.killNode(k);
-        for (const k of [0, 1, 2]) {
-          later(50 + r() * 450, () => world.startNode(k));
-          later(500 + r() * 700, () => world.killNode(k));
-          later(1200 + r() * 500, () => world.startNode(k));
-        }
-        break;
-      case 17:
-      case 18: {
-        const still = r() < 0.7 ? (world.leaderNode() ?? n) : n;
-        world.freezeNode(still, true);
-        later(200 + r() * 15_000, () => world.freezeNode(still, false));
-        break;
-      }
-      case 19:
-      case 20:
-        if (ids.length > 0) {
-          const id = pick(ids);
-          world.mute(id, true);
-          later(5000 + r() * 60_000, () => world.mute(id, false));
-        }
-        break;
-      case 21:
-      case 22:
-        world.lateWrites(0.3 * r());
-        later(5000 + r() * 40_000, () => world.lateWrites(0));
-        break;
-      case 23:
-        world.copies(0.3);
-        later(5000 + r() * 40_000, () => world.copies(0.02));
-        break;
-      case 24:
-      case 25:
-        world.cancelNow(6, r() < 0.5 ? 1000 + r() * 30_000 : 0);
-        break;
-      case 26:
-      case 27:
-        world.cancelAtEnd = r();
-        later(5000 + r() * 40_000, () => (world.cancelAtEnd = 0));
-        break;
-      case 28: {
-        // The store refuses the leader alone; jobs are called off; then it is out for all, for long.
-        const alone = world.leaderNode() ?? n;
-        world.state.outageFor(`node-${alone}`, true);
-        later(r() * 7000, () => world.cancelNow(6, r() < 0.3 ? 20_000 : 0));
-        later(500 + r() * 11_500, () => {
-          if (world.isCalm) return;
-          world.state.outage(true);
-          later(24_000 + r() * 30_000, () => world.state.outage(false));
-        });
-        later(4000 + r() * 20_000, () => world.state.outageFor(`node-${alone}`, false));
-        break;
-      }
-      case 29:
-        world.users.oddRequests();
-        break;
-      case 11:
-        for (const id of ids) if (r() < 0.4) world.cloud.end(id);
-        break;
-      default:
+  for (let step = 0; step < STEPS; step++) {
+    for (let i = 0; i < ARRAYS_PER_STEP; i++) {
+      if (random() < ARRAY_PROBABILITY) submitArray(world);
     }
-    world.users.probeUnknown();
-    await world.run(2500 + r() * 3000);
+    const isUpgraded = build === undefined || step >= UPGRADED_BY_STEP;
+    if (gangs && isUpgraded && random() < GANG_PROBABILITY) submitGang(world);
+    letSomethingHappen(world);
+    world.users.askForUnknownJob();
+    await world.run(2500 + random() * 3000);
   }
   return world;
 }
--- a/test/standin/gang-run.ts
+++ b/test/standin/gang-run.ts
@@ -1,149 +1,178 @@
-import { ms } from '../../src/units/index.js';
-import type { VirtualTime } from './clock.js';
+/** The workers' side of one gang, from the protocol: its tasks find each other by the number of their attempt. */
+import type { TimeSource } from './clock.js';
 
+/** What a gang needs, and how long it takes. */
 export interface GangFacts {
-  readonly entries: number;
+  readonly taskCount: number;
   readonly runMs: number;
-  readonly saveEveryMs: number;
-  readonly saveMs: number;
+  /** How much progress lies between two checkpoints; 0: it never saves by itself. */
+  readonly checkpointIntervalMs: number;
+  /** How long it takes to save when it is stopped. */
+  readonly checkpointMs: number;
+}
+
+/** The times of the protocol for gangs. */
+export interface GangTimes {
+  /** A task waits for so long until all others of its attempt are there. */
+  readonly gatherMs: number;
+  /** The tasks of a gang notice within so long that one of them is gone. */
+  readonly peerMs: number;
+}
+
+/** What is to be known of a gang outside. */
+export interface GangEvents {
+  onCompleted(): void;
+  /** Something happened that must not. */
+  onViolation(detail: string): void;
 }
 
 /** A task of a gang on a worker, from when it has its image. */
-export interface Member {
+export interface GangMember {
   readonly index: number;
   readonly attempt: number;
+  /** Whether its machine hangs. */
   isHung(): boolean;
   /** All tasks are there: it runs. */
   run(): void;
-  saving(): void;
-  exit(cause: string, kept?: boolean): void;
+  /** It was stopped, and the gang writes a checkpoint. */
+  save(): void;
+  exit(cause: string, isSaved?: boolean): void;
 }
 
 /** The tasks of one attempt, and what they do together. */
-class Attempt {
-  readonly members = new Map<number, Member>();
-  readonly told = new Set<Member>();
+class GangAttempt {
+  readonly members = new Map<number, GangMember>();
+  readonly stopped = new Set<GangMember>();
   startedAt: number | undefined;
   stoppedAt: number | undefined;
-  over = false;
+  isOver = false;
+
+  get isRunning(): boolean {
+    return this.startedAt !== undefined && !this.isOver;
+  }
+
+  get hasHungMember(): boolean {
+    return [...this.members.values()].some((member) => member.isHung());
+  }
 }
 
-/** The workers' side of one gang, as the protocol has it: its tasks find each other by attempt number. */
+/** One gang from its first task to its end. */
 export class GangRun {
-  private readonly attempts = new Map<number, Attempt>();
-  /** Progress that the next attempt goes on from. */
-  saved = 0;
-  isDone = false;
+  private readonly attempts = new Map<number, GangAttempt>();
+  /** Progress in milliseconds that the next attempt goes on from. */
+  savedMs = 0;
+  private isDone = false;
   /** How often all tasks began to run. */
   starts = 0;
 
   constructor(
-    private readonly time: VirtualTime,
+    private readonly time: TimeSource,
     private readonly facts: GangFacts,
-    private readonly times: { readonly waitMs: number; readonly peerMs: number },
-    private readonly events: { completed(): void; broken(what: string): void },
+    private readonly times: GangTimes,
+    private readonly events: GangEvents,
   ) {}
 
-  join(member: Member): void {
+  /** A task has its image and is there. */
+  join(member: GangMember): void {
     if (this.isDone) {
       member.exit('done');
       return;
     }
-    const attempt = this.attempts.get(member.attempt) ?? new Attempt();
+    const attempt = this.attempts.get(member.attempt) ?? new GangAttempt();
     this.attempts.set(member.attempt, attempt);
     if (attempt.startedAt !== undefined) {
       // Its attempt has begun, and ended, without it.
-      this.after(this.times.peerMs / 2, () => member.exit('peers'));
+      this.time.after(this.times.peerMs / 2, () => member.exit('peers'));
       return;
     }
     attempt.members.set(member.index, member);
-    this.after(this.times.waitMs, () => {
+    this.time.after(this.times.gatherMs, () => {
       if (attempt.startedAt === undefined && attempt.members.get(member.index) === member) {
         member.exit('incomplete');
       }
     });
-    if (attempt.members.size === this.facts.entries) this.start(attempt);
+    if (attempt.members.size === this.facts.taskCount) this.start(attempt);
   }
 
-  /** It was stopped or vanished, or its machine did. */
-  leave(member: Member): void {
+  /** A task was stopped or has vanished, or its machine has. */
+  leave(member: GangMember): void {
     const attempt = this.attempts.get(member.attempt);
     if (attempt?.members.get(member.index) !== member) return;
     attempt.members.delete(member.index);
-    if (attempt.startedAt !== undefined && !attempt.over) this.fail(attempt);
+    if (attempt.isRunning) this.fail(attempt);
   }
 
-  /** A stop with enough time to save. */
-  stop(member: Member): void {
+  /** A task is stopped with enough time to save. The gang saves once all of its tasks are. */
+  stop(member: GangMember): void {
     const attempt = this.attempts.get(member.attempt);
-    if (attempt?.startedAt === undefined || attempt.over) {
+    if (!attempt?.isRunning) {
       member.exit('halted');
       return;
     }
-    attempt.told.add(member);
-    member.saving();
+    attempt.stopped.add(member);
+    member.save();
     if (attempt.stoppedAt === undefined) {
       attempt.stoppedAt = this.time.now;
-      this.after(this.times.peerMs, () => {
-        if (!attempt.over) this.fail(attempt);
+      this.time.after(this.times.peerMs, () => {
+        if (!attempt.isOver) this.fail(attempt);
       });
     }
-    if (attempt.told.size < this.facts.entries) return;
-    this.after(this.facts.saveMs, () => {
-      if (attempt.over) return;
-      attempt.over = true;
-      this.saved = this.progressOf(attempt);
-      for (const m of attempt.members.values()) m.exit('halted', true);
+    if (attempt.stopped.size < this.facts.taskCount) return;
+    this.time.after(this.facts.checkpointMs, () => {
+      if (attempt.isOver) return;
+      attempt.isOver = true;
+      this.savedMs = this.progressOf(attempt);
+      for (const other of attempt.members.values()) other.exit('halted', true);
     });
   }
 
-  private start(attempt: Attempt): void {
+  private start(attempt: GangAttempt): void {
     for (const other of this.attempts.values()) {
-      if (other !== attempt && other.startedAt !== undefined && !other.over) {
-        this.events.broken('two attempts run at the same time');
+      if (other !== attempt && other.isRunning) {
+        this.events.onViolation('two attempts run at the same time');
       }
     }
     attempt.startedAt = this.time.now;
     this.starts++;
-    for (const m of attempt.members.values()) m.run();
+    for (const member of attempt.members.values()) member.run();
     this.watch(attempt);
-    this.after(this.facts.runMs - this.saved, () => {
-      if (!attempt.over && attempt.stoppedAt === undefined) this.complete(attempt);
+    this.time.after(this.facts.runMs - this.savedMs, () => {
+      if (!attempt.isOver && attempt.stoppedAt === undefined) this.complete(attempt);
     });
   }
 
   /** The others notice when the machine of one hangs. */
-  private watch(attempt: Attempt): void {
-    this.after(this.times.peerMs / 4, () => {
-      if (attempt.over) return;
-      if ([...attempt.members.values()].some((m) => m.isHung())) this.fail(attempt);
+  private watch(attempt: GangAttempt): void {
+    this.time.after(this.times.peerMs / 4, () => {
+      if (attempt.isOver) return;
+      if (attempt.hasHungMember) this.fail(attempt);
       else this.watch(attempt);
     });
   }
 
-  private complete(attempt: Attempt): void {
-    if ([...attempt.members.values()].some((m) => m.isHung())) return;
-    attempt.over = true;
+  private complete(attempt: GangAttempt): void {
+    if (attempt.hasHungMember) return;
+    attempt.isOver = true;
     this.isDone = true;
-    this.events.completed();
-    for (const m of attempt.members.values()) m.exit('done');
+    this.events.onCompleted();
+    for (const member of attempt.members.values()) member.exit('done');
   }
 
-  private fail(attempt: Attempt): void {
-    attempt.over = true;
-    const { saveEveryMs } = this.facts;
+  private fail(attempt: GangAttempt): void {
+    attempt.isOver = true;
+    const { checkpointIntervalMs } = this.facts;
     const progress = this.progressOf(attempt);
-    if (saveEveryMs > 0) this.saved = Math.floor(progress / saveEveryMs) * saveEveryMs;
-    this.after(this.times.peerMs / 2, () => {
-      for (const m of attempt.members.values()) m.exit(attempt.told.has(m) ? 'halted' : 'peers');
+    if (checkpointIntervalMs > 0) {
+      this.savedMs = Math.floor(progress / checkpointIntervalMs) * checkpointIntervalMs;
+    }
+    this.time.after(this.times.peerMs / 2, () => {
+      for (const member of attempt.members.values()) {
+        member.exit(attempt.stopped.has(member) ? 'halted' : 'peers');
+      }
     });
   }
 
-  private progressOf({ startedAt, stoppedAt }: Attempt): number {
-    return this.saved + (stoppedAt ?? this.time.now) - (startedAt ?? this.time.now);
-  }
-
-  private after(delay: number, run: () => void): void {
-    this.time.after(ms(delay), run);
+  private progressOf({ startedAt, stoppedAt }: GangAttempt): number {
+    return this.savedMs + (stoppedAt ?? this.time.now) - (startedAt ?? this.time.now);
   }
 }
--- a/test/standin/hunt.ts
+++ b/test/standin/hunt.ts
@@ -1,8 +1,17 @@
-import { loadOlderBuild } from './older-build.js';
+/**
+ * Plays bad days by hand, for what the few seeds of the tests do not find:
+ *
+ *     node hunt.js FIRST LAST [gangs] [BUILD]
+ *
+ * BUILD is the folder of an older compiled version, from which the controllers are upgraded to this one.
+ * Prints the violations of each broken day. Ends with 1 if there is any.
+ */
 import { badDay, settle } from './day.js';
+import { loadOlderBuild } from './older-build.js';
+
+/** Of a broken day's message, so many lines are printed. */
+const PRINTED_LINES = 6;
 
-/** Days of the stand-ins by hand, for what a few seeds do not find: `node hunt.js FIRST LAST [gangs] [BUILD]`;
- * BUILD: the folder of another version, from which the controllers are upgraded to this one. */
 const first = Number(process.argv[2] ?? 1);
 const last = Number(process.argv[3] ?? first);
 const gangs = process.argv[4] === 'gangs';
@@ -12,14 +21,10 @@
 for (let seed = first; seed <= last; seed++) {
   try {
     await settle(await badDay(seed, { gangs, ...(build ? { build } : {}) }), `seed ${seed}`);
-  } catch (e) {
+  } catch (error) {
     broken++;
-    console.log(
-      String((e as Error).message)
-        .split('\n')
-        .slice(0, 6)
-        .join('\n'),
-    );
+    const message = error instanceof Error ? error.message : String(error);
+    console.log(message.split('\n').slice(0, PRINTED_LINES).join('\n'));
   }
 }
 console.log(`seeds ${first} to ${last}: ${broken} broken`);
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -1,4 +1,9 @@
-import { spawn } from 'node:child_process';
+/**
+ * What a controller costs: one real process among the stand-ins on loopback, with a fleet and a stream of jobs
+ * of a chosen size. Several builds run one after the other and are compared as a ratio, since the times
+ * themselves belong to the machine that measured them.
+ */
+import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -9,12 +14,8 @@
 import { encodeJobSpec, type MachineType, type JobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 import { Loopback } from './loopback.js';
+import type { TaskFacts } from './worker.js';
 
-/**
- * What a controller costs: one real process among the stand-ins on loopback, with a fleet and a
- * stream of jobs of a chosen size. Two builds run one after the other are compared as a ratio, since
- * the times themselves belong to the machine that measured them.
- */
 const options = new Command()
   .option('--main <file...>', 'builds to run, one after the other', ['target/main.js'])
   .option('--machines <n>', 'about how many machines the jobs keep busy', Number, 300)
@@ -24,179 +25,252 @@
   .parse()
   .opts<{ main: string[]; machines: number; warm: number; seconds: number; node: string }>();
 
-const DIR = 'target/load';
-/** How long the controller is away, and how long its machines may take to come back. */
-const AWAY = 5000;
-const MOST_BACK = 30_000;
-const flavor = (name: string, vcpus: number, ram: number, hall: string): MachineType => ({
+const FOLDER = 'target/load';
+const SEED = 20261202;
+/** How long the controller is down, and how long its machines may take to be answered again. */
+const DOWN_MS = 5000;
+const MAX_RECOVERY_MS = 30_000;
+const FIRST_PORT = 21_000;
+const PORTS_PER_BUILD = 8000;
+/** The processors of a machine, on average, and the share of them that jobs are to keep busy. */
+const CPUS_PER_MACHINE = 12;
+const BUSY_SHARE = 0.8;
+const FETCH_MS_PER_GB = 500;
+const SUBMIT_TIMEOUT = ms(5000);
+const SUBMIT_RETRY_INTERVAL = ms(1000);
+const POLL_INTERVAL = ms(5000);
+const POLL_TIMEOUT = ms(2000);
+const RECOVERY_CHECK_INTERVAL = ms(20);
+/** The system counts processor time in hundredths of a second. */
+const MS_PER_TICK = 10;
+
+const machineType = (name: string, cpus: number, memoryGb: number, zone: string): MachineType => ({
   name,
-  cpus: vcpus,
+  cpus,
   gpus: 0,
-  memoryGb: ram,
+  memoryGb,
   cacheGb: 30,
   fetchGbPerSecond: 2,
-  onDemandPrice: vcpus * 0.05,
-  spotPrice: vcpus * 0.015,
+  onDemandPrice: cpus * 0.05,
+  spotPrice: cpus * 0.015,
   bootSeconds: 4,
-  zones: [hall],
+  zones: [zone],
 });
 
-/** Three kinds of jobs, as shares of the processors and how they look. */
-const KINDS: readonly { share: number; runMs: number; tasks: number; change: Partial<JobSpec> }[] =
-  [
-    {
-      share: 0.2,
-      runMs: 18_000,
-      tasks: 20,
-      change: {
-        jobClass: 'urgent',
-        priority: 'high',
-        cpus: 1,
-        memoryGb: 1,
-        expectedRuntimeSeconds: 18,
-        deadlineSeconds: 50,
-      },
+/** A kind of job: its share of the processors, and what each is like. */
+interface JobStream {
+  readonly share: number;
+  readonly runMs: number;
+  readonly spec: Partial<JobSpec> & Pick<JobSpec, 'jobClass' | 'cpus' | 'taskCount'>;
+}
+
+const STREAMS: readonly JobStream[] = [
+  {
+    share: 0.2,
+    runMs: 18_000,
+    spec: {
+      jobClass: 'urgent',
+      priority: 'high',
+      taskCount: 20,
+      cpus: 1,
+      memoryGb: 1,
+      expectedRuntimeSeconds: 18,
+      deadlineSeconds: 50,
     },
-    {
-      share: 0.4,
-      runMs: 28_000,
-      tasks: 18,
-      change: {
-        jobClass: 'batch',
-        cpus: 4,
-        memoryGb: 4,
-        expectedRuntimeSeconds: 28,
-        deadlineSeconds: null,
-      },
+  },
+  {
+    share: 0.4,
+    runMs: 28_000,
+    spec: {
+      jobClass: 'batch',
+      taskCount: 18,
+      cpus: 4,
+      memoryGb: 4,
+      expectedRuntimeSeconds: 28,
+      deadlineSeconds: null,
     },
-    {
-      share: 0.4,
-      runMs: 45_000,
-      tasks: 15,
-      change: {
-        jobClass: 'sweep',
-        cpus: 16,
-        memoryGb: 22,
-        expectedRuntimeSeconds: 45,
-        deadlineSeconds: 110,
-      },
+  },
+  {
+    share: 0.4,
+    runMs: 45_000,
+    spec: {
+      jobClass: 'sweep',
+      taskCount: 15,
+      cpus: 16,
+      memoryGb: 22,
+      expectedRuntimeSeconds: 45,
+      deadlineSeconds: 110,
     },
-  ];
-
-async function measure(main: string, turn: number): Promise<number> {
-  const random = xoroshiro128plus(20261202);
-  const specs = new Map<string, { spec: JobSpec; runMs: number }>();
-  const completed = new Set<string>();
-  const base = 21_000 + turn * 8000;
-  const ports = { state: base, cloud: base + 1, api: base + 2, cluster: base + 3, workers: base };
-  let started = 0;
-  const loopback = new Loopback({
-    ports: { ...ports, workers: base + 10 },
-    flavors: [flavor('small', 8, 32, 'a'), flavor('large', 32, 64, 'b')],
-    capacity: options.machines,
-    state: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
-    cloudRps: 2,
-    jobs: {
-      facts: (entry) => {
-        const job = specs.get(entry.split('/')[0] ?? '');
-        if (!job) return undefined;
-        const { cpus, memoryGb, image, imageSizeGb } = job.spec;
-        const fetchMs = imageSizeGb * 500;
-        return { vcpus: cpus, ramGb: memoryGb, runMs: job.runMs, fetchMs, image };
+  },
+];
+
+/** One build among its stand-ins. */
+class LoadRun {
+  private readonly random = xoroshiro128plus(SEED);
+  private readonly jobs = new Map<string, { readonly spec: JobSpec; readonly runMs: number }>();
+  private readonly completed = new Set<string>();
+  private readonly client = new NodeHttpClient(64, 64, 64);
+  private readonly endpoint: Endpoint;
+  private readonly settingsPath: string;
+  private readonly loopback: Loopback;
+  private child: ChildProcess;
+  private startedCount = 0;
+  private isOver = false;
+
+  constructor(
+    private readonly main: string,
+    turn: number,
+  ) {
+    const state = FIRST_PORT + turn * PORTS_PER_BUILD;
+    const ports = { state, cloud: state + 1, api: state + 2, cluster: state + 3 };
+    this.endpoint = Endpoint(`127.0.0.1:${ports.api}`);
+    this.settingsPath = `${FOLDER}/node-${turn}.json`;
+    this.loopback = new Loopback({
+      ports: { ...ports, workers: state + 10 },
+      machineTypes: [machineType('small', 8, 32, 'a'), machineType('large', 32, 64, 'b')],
+      capacity: options.machines,
+      state: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
+      cloudRate: 2,
+      tasks: {
+        facts: (task) => this.factsOf(task),
+        onTaskStarted: () => this.startedCount++,
+        onTaskLeft: () => undefined,
+        onTaskCompleted: (task) => this.completed.add(task),
+        isCompleted: (task) => this.completed.has(task),
       },
-      started: () => started++,
-      left: () => undefined,
-      completed: (entry) => completed.add(entry),
-      isCompleted: (entry) => completed.has(entry),
-    },
-  });
-  mkdirSync(DIR, { recursive: true });
-  writeFileSync(`${DIR}/node-${turn}.json`, JSON.stringify(loopback.settings()));
-  const start = () =>
-    spawn(
-      process.execPath,
-      [...options.node.split(' ').filter(Boolean), main, '--config', `${DIR}/node-${turn}.json`],
-      { stdio: ['ignore', 'ignore', 'inherit'], env: { ...process.env, LOG_LEVEL: 'error' } },
+    });
+    mkdirSync(FOLDER, { recursive: true });
+    writeFileSync(this.settingsPath, JSON.stringify(this.loopback.settingsFile()));
+    this.child = this.startController();
+  }
+
+  /** Measures the build. Resolves with the milliseconds of processor time that it took in a second. */
+  async measure(): Promise<number> {
+    const feeding = STREAMS.map((stream) => this.feed(stream));
+    const spent = await this.measureSteadyLoad();
+    await this.measureRestart();
+    this.isOver = true;
+    this.child.kill('SIGKILL');
+    this.loopback.killWorkers();
+    await Promise.all(feeding);
+    return spent;
+  }
+
+  private async measureSteadyLoad(): Promise<number> {
+    const { seconds, warm } = options;
+    await sleep(systemClock, ms(warm * 1000));
+    const before = {
+      ticks: this.ticks(),
+      heartbeats: this.heartbeatCount(),
+      started: this.startedCount,
+    };
+    await sleep(systemClock, ms(seconds * 1000));
+    const spent = ((this.ticks() - before.ticks) * MS_PER_TICK) / seconds;
+    const heartbeats = (this.heartbeatCount() - before.heartbeats) / seconds;
+    const starts = (this.startedCount - before.started) / seconds;
+    console.log(
+      `${this.main}: ${this.loopback.workers.size} machines, ${heartbeats.toFixed(0)} heartbeats/s, ` +
+        `${starts.toFixed(1)} starts/s, ${spent.toFixed(0)} ms of processor time a second`,
+    );
+    return spent;
+  }
+
+  /** All machines come back at once after a change of leader: what it costs until each is answered. */
+  private async measureRestart(): Promise<void> {
+    const { workers } = this.loopback;
+    this.child.kill('SIGKILL');
+    await sleep(systemClock, ms(DOWN_MS));
+    const before = new Map([...workers].map(([id, { worker }]) => [id, worker.renewalCount]));
+    const startedAt = systemClock.steady();
+    this.child = this.startController();
+    const areAllAnswered = (): boolean =>
+      [...workers].every(([id, { worker }]) => worker.renewalCount > (before.get(id) ?? 0));
+    while (!areAllAnswered() && systemClock.steady() - startedAt < MAX_RECOVERY_MS) {
+      await sleep(systemClock, RECOVERY_CHECK_INTERVAL);
+    }
+    const seconds = (systemClock.steady() - startedAt) / 1000;
+    console.log(
+      `${this.main}: after a restart all are answered within ${seconds.toFixed(2)} s, ` +
+        `for ${this.ticks() * MS_PER_TICK} ms of processor time`,
     );
-  let child = start();
-  let over = false;
-  // Processor time, in hundredths of a second, as the system counts it.
-  const ticks = (): number => {
-    const stat = readFileSync(`/proc/${child.pid}/stat`, 'utf8');
+  }
+
+  private startController(): ChildProcess {
+    const flags = options.node.split(' ').filter(Boolean);
+    return spawn(process.execPath, [...flags, this.main, '--config', this.settingsPath], {
+      stdio: ['ignore', 'ignore', 'inherit'],
+      env: { ...process.env, LOG_LEVEL: 'error' },
+    });
+  }
+
+  /** The processor time that the controller has taken, in ticks of the system. */
+  private ticks(): number {
+    const stat = readFileSync(`/proc/${this.child.pid ?? 0}/stat`, 'utf8');
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     return Number(fields[11]) + Number(fields[12]);
-  };
-  const client = new NodeHttpClient(64, 64, 64);
-  const endpoint = Endpoint(`127.0.0.1:${ports.api}`);
-  let n = 0;
-  const submit = async (kind: (typeof KINDS)[number]): Promise<void> => {
-    const id = `run-${String(++n).padStart(6, '0')}`;
-    const change = { ...kind.change, id, taskCount: kind.tasks };
-    const image = `${kind.change.jobClass}-${n % 4}`;
-    const job = spec({ ...change, image, imageSizeGb: 1 });
+  }
+
+  private heartbeatCount(): number {
+    return [...this.loopback.workers.values()].reduce((sum, r) => sum + r.worker.sentCount, 0);
+  }
+
+  private factsOf(task: string): TaskFacts | undefined {
+    const job = this.jobs.get(task.split('/')[0] ?? '');
+    if (!job) return undefined;
+    const { cpus, image, imageSizeGb } = job.spec;
+    return { cpus, runMs: job.runMs, fetchMs: imageSizeGb * FETCH_MS_PER_GB, image };
+  }
+
+  /** Submits jobs of a stream as fast as its share of the processors runs them. */
+  private async feed(stream: JobStream): Promise<void> {
+    const { taskCount, cpus } = stream.spec;
+    const cpuSecondsPerJob = (taskCount * cpus * stream.runMs) / 1000;
+    const busyCpus = options.machines * CPUS_PER_MACHINE * stream.share * BUSY_SHARE;
+    const intervalMs = (1000 * cpuSecondsPerJob) / busyCpus;
+    while (!this.isOver) {
+      void this.follow(stream);
+      await sleep(systemClock, ms(intervalMs * (0.5 + uniformFloat64(this.random))));
+    }
+  }
+
+  /** Submits a job and polls it to its end. */
+  private async follow(stream: JobStream): Promise<void> {
+    const { endpoint, client } = this;
+    const number = this.jobs.size + 1;
+    const id = `run-${String(number).padStart(6, '0')}`;
+    const image = `${stream.spec.jobClass}-${number % 4}`;
+    const job = spec({ ...stream.spec, id, image, imageSizeGb: 1 });
     const body = encodeJobSpec(job);
-    specs.set(id, { spec: job, runMs: kind.runMs });
     const path = '/v1/jobs';
-    while (!over) {
-      const o = await client.send({ endpoint, method: 'POST', path, body, timeout: ms(5000) });
-      if (o.kind === 'answer' && o.status < 300) break;
-      await sleep(systemClock, ms(1000));
+    this.jobs.set(id, { spec: job, runMs: stream.runMs });
+    while (!this.isOver) {
+      const submission = { endpoint, method: 'POST' as const, path, body, timeout: SUBMIT_TIMEOUT };
+      const outcome = await client.send(submission);
+      if (outcome.kind === 'answer' && outcome.status < 300) break;
+      await sleep(systemClock, SUBMIT_RETRY_INTERVAL);
     }
-    while (!over) {
-      await sleep(systemClock, ms(5000));
-      const poll = { endpoint, method: 'GET' as const, path: `${path}/${id}`, timeout: ms(2000) };
-      const o = await client.send(poll);
-      if (o.kind === 'answer' && (o.body as { status?: string }).status === 'done') return;
+    while (!this.isOver) {
+      await sleep(systemClock, POLL_INTERVAL);
+      const poll = {
+        endpoint,
+        method: 'GET' as const,
+        path: `${path}/${id}`,
+        timeout: POLL_TIMEOUT,
+      };
+      const outcome = await client.send(poll);
+      if (outcome.kind !== 'answer') continue;
+      if ((outcome.body as { status?: string }).status === 'done') return;
     }
-  };
-  const cpus = options.machines * 12;
-  const feeding = KINDS.map(async (kind) => {
-    const perJob = (kind.tasks * (kind.change.cpus ?? 1) * kind.runMs) / 1000;
-    const every = (1000 * perJob) / (cpus * kind.share * 0.8);
-    while (!over) {
-      void submit(kind);
-      await sleep(systemClock, ms(every * (0.5 + uniformFloat64(random))));
-    }
-  });
-  await sleep(systemClock, ms(options.warm * 1000));
-  const reports = (): number =>
-    [...loopback.running.values()].reduce((k, r) => k + r.worker.sent, 0);
-  const before = { ticks: ticks(), reports: reports(), started };
-  await sleep(systemClock, ms(options.seconds * 1000));
-  const spent = ((ticks() - before.ticks) * 10) / options.seconds;
-  const heard = (reports() - before.reports) / options.seconds;
-  const begun = (started - before.started) / options.seconds;
-  console.log(
-    `${main}: ${loopback.running.size} machines, ${heard.toFixed(0)} reports/s, ${begun.toFixed(1)} starts/s, ` +
-      `${spent.toFixed(0)} ms of processor time a second`,
-  );
-  // The leader changes, and all machines come back at once: what that costs until each is answered.
-  child.kill('SIGKILL');
-  await sleep(systemClock, ms(AWAY));
-  const renewed = new Map([...loopback.running].map(([id, r]) => [id, r.worker.renewed]));
-  const back = systemClock.steady();
-  child = start();
-  const answered = (): boolean =>
-    [...loopback.running].every(([id, r]) => r.worker.renewed > (renewed.get(id) ?? 0));
-  while (!answered() && systemClock.steady() - back < MOST_BACK) {
-    await sleep(systemClock, ms(20));
   }
-  const took = (systemClock.steady() - back) / 1000;
-  console.log(
-    `${main}: after a restart all are answered within ${took.toFixed(2)} s, ` +
-      `for ${ticks() * 10} ms of processor time`,
-  );
-  over = true;
-  child.kill('SIGKILL');
-  for (const r of loopback.running.values()) r.worker.kill();
-  await Promise.all(feeding);
-  return spent;
 }
 
 const spent: number[] = [];
-for (const [turn, main] of options.main.entries()) spent.push(await measure(main, turn));
+for (const [turn, main] of options.main.entries()) {
+  spent.push(await new LoadRun(main, turn).measure());
+}
 const [first = 0] = spent;
-for (const [turn, s] of spent.entries()) {
-  if (turn > 0) console.log(`${options.main[turn]}: ${(s / first).toFixed(2)} of the first`);
+for (const [turn, time] of spent.entries()) {
+  if (turn > 0)
+    console.log(`${options.main[turn] ?? ''}: ${(time / first).toFixed(2)} of the first`);
 }
 process.exit(0);
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -1,82 +1,107 @@
+/** The stand-ins on loopback, in real time, for one controller that runs as a process of its own. */
 import http from 'node:http';
 import { NodeHttpClient, readBody } from '../../src/net/http.js';
 import { systemClock } from '../../src/units/system.js';
 import { ms } from '../../src/units/index.js';
 import { MAX_BODY, decode, encode, type MachineType } from '../../src/wire/index.js';
 import { settingsFile } from '../support/settings.js';
-import { Cloud, type Rented } from './cloud.js';
+import type { TimeSource } from './clock.js';
+import { Cloud, type RentedMachine } from './cloud.js';
 import type { Handler } from './network.js';
 import { StateService, type StateLimits } from './state.js';
 import { Worker, type WorkerWorld } from './worker.js';
 
-/** The stand-ins on loopback, in real time, for one controller. */
+/** What the stand-ins are to be like. */
 export interface LoopbackOptions {
+  /** `workers`: those of machines count up from this one. */
   readonly ports: { state: number; cloud: number; api: number; cluster: number; workers: number };
-  readonly flavors: readonly MachineType[];
-  /** Machines that may be rented of each type, zone and kind. */
+  readonly machineTypes: readonly MachineType[];
+  /** Machines that may be rented of each type, zone and price model. */
   readonly capacity: number;
   readonly state: StateLimits;
-  readonly cloudRps: number;
-  readonly jobs: WorkerWorld;
-  readonly came?: (m: Rented) => void;
-  readonly went?: (m: Rented) => void;
+  /** The requests to the cloud that the settings allow, per second. */
+  readonly cloudRate: number;
+  readonly tasks: WorkerWorld;
+  readonly onMachineUp?: (machine: RentedMachine) => void;
+  readonly onMachineGone?: (machine: RentedMachine) => void;
 }
 
-const time = {
+/** A worker and the server that takes its requests. */
+export interface ServedWorker {
+  readonly worker: Worker;
+  readonly server: http.Server;
+}
+
+const HEARTBEAT_MS = 3000;
+const LEASE_MS = 24_000;
+const LIST_LAG_MS = 3000;
+/** Longer than any pause between the requests of a controller. */
+const KEEP_ALIVE_MS = 120_000;
+
+const realTime: TimeSource = {
   get now() {
     return performance.now();
   },
-  after: (delay: number, run: () => void) => systemClock.after(ms(delay), run),
+  after: (delay, run) => systemClock.after(ms(delay), run),
 };
 
+async function answer(
+  handler: Handler,
+  request: http.IncomingMessage,
+  response: http.ServerResponse,
+): Promise<void> {
+  const body = await readBody(request, MAX_BODY);
+  const { status, body: answered } = await handler(
+    request.method ?? 'GET',
+    request.url ?? '/',
+    body && body.length > 0 ? decode(body) : undefined,
+    'node-0',
+  );
+  response.writeHead(status, { 'content-type': 'application/cbor' });
+  response.end(encode(answered ?? {}));
+}
+
 function serve(port: number, handler: Handler): http.Server {
-  const server = http.createServer({ keepAliveTimeout: 120_000 }, (req, res) => {
-    void readBody(req, MAX_BODY)
-      .then(async (body) => {
-        const a = await handler(
-          req.method ?? 'GET',
-          req.url ?? '/',
-          body && body.length > 0 ? decode(body) : undefined,
-          'node-0',
-        );
-        res.writeHead(a.status, { 'content-type': 'application/cbor' });
-        res.end(encode(a.body ?? {}));
-      })
-      .catch((e: Error) => {
-        process.stderr.write(`${e.message}\n`);
-        res.writeHead(500).end();
-      });
+  const server = http.createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
+    answer(handler, request, response).catch((error: unknown) => {
+      process.stderr.write(`${String(error)}\n`);
+      response.writeHead(500).end();
+    });
   });
   return server.listen(port, '127.0.0.1');
 }
 
+/** State service, cloud and workers. */
 export class Loopback {
   readonly state: StateService;
   readonly cloud: Cloud;
-  readonly running = new Map<string, { worker: Worker; server: http.Server }>();
+  /** The workers that are up, by the ids of their machines. */
+  readonly workers = new Map<string, ServedWorker>();
   private readonly client = new NodeHttpClient(4000, 4, 4);
 
   constructor(private readonly options: LoopbackOptions) {
-    const { ports } = options;
-    this.state = new StateService(time, options.state);
-    this.cloud = new Cloud(
-      time,
-      Math.random,
-      options.flavors,
-      3000,
-      (m) => this.boot(m),
-      (m) => this.gone(m),
-      (n) => `127.0.0.1:${ports.workers + n}`,
-    );
-    this.cloud.capacity = options.capacity;
+    const { ports, machineTypes, capacity } = options;
+    this.state = new StateService(realTime, options.state);
+    this.cloud = new Cloud({
+      time: realTime,
+      random: Math.random,
+      machineTypes,
+      listLagMs: LIST_LAG_MS,
+      lifecycle: {
+        onBoot: (machine) => this.boot(machine),
+        onEnd: (machine) => this.end(machine),
+      },
+      addressOf: (n) => `127.0.0.1:${ports.workers + n}`,
+    });
+    this.cloud.capacity = capacity;
     serve(ports.state, (method, path, body, from) => this.state.handle(method, path, body, from));
     serve(ports.cloud, (method, path, body) => this.cloud.handle(method, path, body));
   }
 
-  /** The settings of the controller that these stand-ins are for. */
-  settings(): unknown {
-    const { ports, state, flavors, cloudRps } = this.options;
-    const file = settingsFile(0, [...new Set(flavors.flatMap((f) => f.zones))]);
+  /** The settings file of the controller that these stand-ins are for. */
+  settingsFile(): object {
+    const { ports, state, machineTypes, cloudRate } = this.options;
+    const file = settingsFile(0, [...new Set(machineTypes.flatMap(({ zones }) => zones))]);
     return {
       ...file,
       api_addr: `127.0.0.1:${ports.api}`,
@@ -93,34 +118,39 @@
           value_kb: state.valueBytes / 1024,
           txn_ops: state.transactionOps,
         },
-        cloud: { rps: cloudRps, list_lag_s: 3 },
+        cloud: { rps: cloudRate, list_lag_s: LIST_LAG_MS / 1000 },
       },
     };
   }
 
-  private boot(m: Rented): void {
-    const { ports, jobs } = this.options;
-    const worker = new Worker(
-      m,
-      this.cloud.flavor(m.build)?.cpus ?? 0,
-      [{ name: 'node-0', addr: `127.0.0.1:${ports.api}` }],
-      this.client,
-      systemClock,
-      Math.random,
-      { reportMs: 3000, leaseMs: 24_000 },
-      jobs,
-    );
-    const port = Number(m.addr.split(':')[1]);
+  /** Ends all workers, so that nothing is sent any more. */
+  killWorkers(): void {
+    for (const { worker } of this.workers.values()) worker.kill();
+  }
+
+  private boot(machine: RentedMachine): void {
+    const { ports, tasks } = this.options;
+    const worker = new Worker({
+      machine,
+      cpus: this.cloud.machineType(machine.machineType)?.cpus ?? 0,
+      controllers: [{ name: 'node-0', address: `127.0.0.1:${ports.api}` }],
+      http: this.client,
+      clock: systemClock,
+      random: Math.random,
+      times: { heartbeatMs: HEARTBEAT_MS, leaseMs: LEASE_MS },
+      world: tasks,
+    });
+    const port = Number(machine.address.split(':')[1]);
     const server = serve(port, (method, path, body) => worker.handle(method, path, body));
-    this.running.set(m.id, { worker, server });
-    this.options.came?.(m);
+    this.workers.set(machine.id, { worker, server });
+    this.options.onMachineUp?.(machine);
   }
 
-  private gone(m: Rented): void {
-    const r = this.running.get(m.id);
-    r?.worker.kill();
-    r?.server.close();
-    this.running.delete(m.id);
-    this.options.went?.(m);
+  private end(machine: RentedMachine): void {
+    const served = this.workers.get(machine.id);
+    served?.worker.kill();
+    served?.server.close();
+    this.workers.delete(machine.id);
+    this.options.onMachineGone?.(machine);
   }
 }
--- a/test/standin/serve.ts
+++ b/test/standin/serve.ts
@@ -1,13 +1,13 @@
+/** The quick start: the stand-ins on loopback, and a settings file for one controller. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { Loopback } from './loopback.js';
 
-/** The quick start: the stand-ins on loopback and a settings file for one controller. */
-const DIR = 'target/quickstart';
+const FOLDER = 'target/quickstart';
 const completed = new Set<string>();
 
 const loopback = new Loopback({
   ports: { state: 12379, cloud: 18443, api: 18080, cluster: 18081, workers: 19000 },
-  flavors: [
+  machineTypes: [
     {
       name: 'small',
       cpus: 8,
@@ -23,19 +23,19 @@
   ],
   capacity: 8,
   state: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
-  cloudRps: 2,
-  jobs: {
+  cloudRate: 2,
+  tasks: {
     // The stand-in workers run every task for three seconds, whatever it asks for.
-    facts: () => ({ vcpus: 0, ramGb: 0, runMs: 3000, fetchMs: 1000, image: 'any' }),
-    started: (machine, entry) => console.log(`${machine}: ${entry} runs`),
-    left: (machine, entry) => console.log(`${machine}: ${entry} has ended`),
-    completed: (entry) => completed.add(entry),
-    isCompleted: (entry) => completed.has(entry),
+    facts: () => ({ cpus: 0, runMs: 3000, fetchMs: 1000, image: 'any' }),
+    onTaskStarted: (machine, task) => console.log(`${machine}: ${task} runs`),
+    onTaskLeft: (machine, task) => console.log(`${machine}: ${task} has ended`),
+    onTaskCompleted: (task) => completed.add(task),
+    isCompleted: (task) => completed.has(task),
   },
-  came: (m) => console.log(`${m.id} is up`),
-  went: (m) => console.log(`${m.id} is gone`),
+  onMachineUp: ({ id }) => console.log(`${id} is up`),
+  onMachineGone: ({ id }) => console.log(`${id} is gone`),
 });
 
-mkdirSync(DIR, { recursive: true });
-writeFileSync(`${DIR}/node-0.json`, JSON.stringify(loopback.settings(), null, 2));
-console.log(`stand-ins are up; settings for a controller are in ${DIR}/node-0.json`);
+mkdirSync(FOLDER, { recursive: true });
+writeFileSync(`${FOLDER}/node-0.json`, JSON.stringify(loopback.settingsFile(), null, 2));
+console.log(`stand-ins are up; settings for a controller are in ${FOLDER}/node-0.json`);
--- a/test/standin/state.ts
+++ b/test/standin/state.ts
@@ -1,25 +1,46 @@
-import type { Answered } from './network.js';
-import type { VirtualTime } from './clock.js';
+/** The state service, from the protocol: revisions, transactions, leases, watches, limits, outages. */
+import type { TimeSource } from './clock.js';
+import type { Answer } from './network.js';
 
-interface Stored {
-  data: unknown;
-  stamp: number;
-  tenure: number | undefined;
+interface StoredValue {
+  readonly data: unknown;
+  readonly revision: number;
+  readonly lease: number | undefined;
 }
 
+/** A change as watches tell it. */
 interface Change {
-  put?: string;
-  delete?: string;
-  data?: unknown;
-  stamp: number;
+  readonly put?: string;
+  readonly delete?: string;
+  readonly data?: unknown;
+  readonly stamp: number;
 }
 
 interface Watcher {
-  prefix: string;
-  from: number;
-  done: (a: Answered) => void;
+  readonly prefix: string;
+  readonly from: number;
+  readonly resolve: (answer: Answer) => void;
+}
+
+interface Lease {
+  readonly ttl: number;
+  endsAt: number;
+}
+
+/** A transaction as it is sent. */
+interface Transaction {
+  readonly if?: readonly { readonly key: string; readonly stamp: number }[];
+  readonly writes?: readonly Write[];
 }
 
+interface Write {
+  readonly put?: string;
+  readonly delete?: string;
+  readonly data?: unknown;
+  readonly tenure?: number;
+}
+
+/** What the service takes. Rates are per second. */
 export interface StateLimits {
   readonly requestRate: number;
   readonly writeRate: number;
@@ -27,196 +48,222 @@
   readonly transactionOps: number;
 }
 
-interface Multi {
-  if?: { key: string; stamp: number }[];
-  writes?: { put?: string; delete?: string; data?: unknown; tenure?: number }[];
+const SWEEP_INTERVAL = 50;
+/** A lease ends by so much later than it was due. */
+const LEASE_SLACK = 50;
+const MAX_PAGE = 1000;
+/** Conditions that a transaction may have, as a multiple of its operations. */
+const CONDITIONS_PER_OP = 4;
+
+/** A bucket of tokens that holds at most one second's. */
+class RateLimit {
+  private tokens: number;
+  private filledAt = 0;
+
+  constructor(
+    private readonly time: TimeSource,
+    rate: number,
+  ) {
+    this.tokens = rate;
+  }
+
+  /** Takes tokens, all or none; false if there are not enough. */
+  take(count: number, rate: number): boolean {
+    const { now } = this.time;
+    this.tokens = Math.min(rate, this.tokens + ((now - this.filledAt) / 1000) * rate);
+    this.filledAt = now;
+    if (this.tokens < count) return false;
+    this.tokens -= count;
+    return true;
+  }
 }
 
-/** The state service, from the protocol: revisions, transactions, leases, watches, limits, outages. */
+const TOO_MANY: Answer = { status: 429, body: {} };
+
+/** The state service. */
 export class StateService {
-  readonly keys = new Map<string, Stored>();
-  readonly sizes: number[] = [];
-  revision = 0;
-  refused = 0;
+  private readonly values = new Map<string, StoredValue>();
+  private revision = 0;
   private nextLease = 1;
-  private readonly leases = new Map<number, { ttl: number; ends: number }>();
-  private log: Change[] = [];
+  private readonly leases = new Map<number, Lease>();
+  /** The last changes, for watches. */
+  private changes: Change[] = [];
+  /** Watches from an earlier revision are answered with 410: some changes since are forgotten. */
+  private oldestWatchable = 0;
   private watchers: Watcher[] = [];
-  private out = false;
-  private readonly outFor = new Set<string>();
-  private requests: { tokens: number; at: number };
-  private writes: { tokens: number; at: number };
+  private isOut = false;
+  private readonly refusedNodes = new Set<string>();
+  private readonly requestRate: RateLimit;
+  private readonly writeRate: RateLimit;
+
+  /** The sizes of all values that were sent to it, in bytes. */
+  readonly valueSizes: number[] = [];
+  /** How many changes it keeps for watches. */
+  maxChanges = 10_000;
+  /** How many watches it was asked for so far. */
+  watchCount = 0;
+  /** How many transactions it refused as too large so far. */
+  tooLarge = 0;
+  /** Lists of keys that begin like this are refused, while all else is served. */
+  refusedPrefix: string | undefined;
 
   constructor(
-    private readonly time: Pick<VirtualTime, 'now' | 'after'>,
+    private readonly time: TimeSource,
     private limits: StateLimits,
   ) {
-    this.requests = { tokens: limits.requestRate, at: 0 };
-    this.writes = { tokens: limits.writeRate, at: 0 };
-    this.sweep();
+    this.requestRate = new RateLimit(time, limits.requestRate);
+    this.writeRate = new RateLimit(time, limits.writeRate);
+    this.sweepLeases();
   }
 
-  /** While it is out nothing is carried out and no lease ends; then all have their full time. */
-  /** How many changes it keeps for watches, and from which revision on it still knows them all. */
-  keeps = 10_000;
-  private oldest = 0;
-  /** Watches asked for so far. */
-  watched = 0;
-
-  /** Transactions refused as too large. */
-  tooLarge = 0;
-
-  /** From now on it takes less, without notice. */
+  /** Changes its limits without notice. */
   lower(limits: StateLimits): void {
     this.limits = limits;
   }
 
-  outage(on: boolean): void {
-    this.out = on;
-    if (!on) for (const l of this.leases.values()) l.ends = this.time.now + l.ttl;
+  /** While it is out nothing is carried out and no lease ends. Afterwards each lease has its full time again. */
+  outage(isOut: boolean): void {
+    this.isOut = isOut;
+    if (isOut) return;
+    for (const lease of this.leases.values()) lease.endsAt = this.time.now + lease.ttl;
   }
 
-  /** Lists of keys that begin like this are refused, while all else is served. */
-  hides: string | undefined;
+  /** Answers 503 to one node alone, whose leases run out meanwhile. */
+  outageFor(node: string, isOut: boolean): void {
+    if (isOut) this.refusedNodes.add(node);
+    else this.refusedNodes.delete(node);
+  }
+
+  handle(method: string, target: string, body: unknown, from: string): Answer | Promise<Answer> {
+    if (this.isOut || this.refusedNodes.has(from)) return { status: 503, body: { error: 'out' } };
+    if (!this.requestRate.take(1, this.limits.requestRate)) return TOO_MANY;
+    const { pathname, searchParams } = new URL(target, 'http://state');
+    if (pathname === '/multi') return this.transact(body as Transaction);
+    if (pathname === '/follow') return this.watch(searchParams);
+    if (pathname === '/store') return this.list(searchParams);
+    if (pathname.startsWith('/store/')) return this.read(pathname.slice('/store/'.length));
+    if (pathname === '/leases') return this.grantLease((body as { ttl_ms: number }).ttl_ms);
+    return this.changeLease(method, Number(pathname.split('/')[2]));
+  }
 
-  /** Answers 503 to one node only, whose leases run out meanwhile. */
-  outageFor(node: string, on: boolean): void {
-    if (on) this.outFor.add(node);
-    else this.outFor.delete(node);
+  private read(key: string): Answer {
+    const value = this.values.get(key);
+    if (!value) return { status: 404, body: { ledger_rev: this.revision } };
+    const { data, revision, lease } = value;
+    return { status: 200, body: { key, data, stamp: revision, tenure: lease ?? null } };
+  }
+
+  // --- leases -------------------------------------------------------------------------------------
+
+  private grantLease(ttl: number): Answer {
+    const id = this.nextLease++;
+    this.leases.set(id, { ttl, endsAt: this.time.now + ttl });
+    return { status: 200, body: { tenure: id } };
+  }
+
+  /** Renews a lease, or ends it. */
+  private changeLease(method: string, id: number): Answer {
+    const lease = this.leases.get(id);
+    if (!lease) return { status: 404, body: {} };
+    if (method === 'DELETE') this.endLease(id);
+    else lease.endsAt = this.time.now + lease.ttl;
+    return { status: 200, body: { tenure: id } };
   }
 
-  private sweep(): void {
-    if (!this.out) {
-      for (const [id, l] of this.leases) if (l.ends + 50 < this.time.now) this.end(id);
+  private sweepLeases(): void {
+    if (!this.isOut) {
+      for (const [id, lease] of this.leases) {
+        if (lease.endsAt + LEASE_SLACK < this.time.now) this.endLease(id);
+      }
     }
-    this.time.after(50, () => this.sweep());
+    this.time.after(SWEEP_INTERVAL, () => this.sweepLeases());
   }
 
-  private end(id: number): void {
+  /** Ends a lease, and with it the keys that hang on it. */
+  private endLease(id: number): void {
     this.leases.delete(id);
-    const keys = [...this.keys].filter(([, s]) => s.tenure === id).map(([k]) => k);
+    const keys = [...this.values].filter(([, { lease }]) => lease === id).map(([key]) => key);
     if (keys.length === 0) return;
     this.revision++;
     for (const key of keys) {
-      this.keys.delete(key);
-      this.log.push({ delete: key, stamp: this.revision });
-    }
-    this.wake();
-  }
-
-  private wake(): void {
-    for (const w of [...this.watchers]) {
-      const changes = this.changes(w.prefix, w.from);
-      if (changes.length === 0) continue;
-      this.watchers = this.watchers.filter((x) => x !== w);
-      w.done({ status: 200, body: { ledger_rev: this.revision, log: changes } });
+      this.values.delete(key);
+      this.changes.push({ delete: key, stamp: this.revision });
     }
+    this.notifyWatchers();
   }
 
-  private changes(prefix: string, from: number): Change[] {
-    return this.log.filter((c) => c.stamp > from && (c.put ?? c.delete ?? '').startsWith(prefix));
-  }
-
-  private take(b: { tokens: number; at: number }, rate: number, n: number): boolean {
-    b.tokens = Math.min(rate, b.tokens + ((this.time.now - b.at) / 1000) * rate);
-    b.at = this.time.now;
-    if (b.tokens < n) return false;
-    b.tokens -= n;
-    return true;
-  }
+  // --- transactions -------------------------------------------------------------------------------
 
-  handle(
-    method: string,
-    target: string,
-    body: unknown,
-    from: string,
-  ): Answered | Promise<Answered> {
-    if (this.out || this.outFor.has(from)) return { status: 503, body: { error: 'out' } };
-    if (!this.take(this.requests, this.limits.requestRate, 1)) {
-      this.refused++;
-      return { status: 429, body: {} };
-    }
-    const url = new URL(target, 'http://state');
-    const path = url.pathname;
-    if (path === '/multi') return this.multi(body as Multi);
-    if (path === '/follow') return this.follow(url.searchParams);
-    if (path === '/store') return this.list(url.searchParams);
-    if (path.startsWith('/store/')) {
-      const key = path.slice('/store/'.length);
-      const s = this.keys.get(key);
-      if (!s) return { status: 404, body: { ledger_rev: this.revision } };
-      return { status: 200, body: { key, data: s.data, stamp: s.stamp, tenure: s.tenure ?? null } };
-    }
-    if (path === '/leases') {
-      const id = this.nextLease++;
-      const ttl = (body as { ttl_ms: number }).ttl_ms;
-      this.leases.set(id, { ttl, ends: this.time.now + ttl });
-      return { status: 200, body: { tenure: id } };
+  private transact({ if: conditions = [], writes = [] }: Transaction): Answer {
+    if (!this.writeRate.take(writes.length, this.limits.writeRate)) return TOO_MANY;
+    const refusal = this.refusalOf(conditions.length, writes);
+    if (refusal !== undefined) return { status: 400, body: { error: refusal } };
+    const failed = conditions.filter(
+      ({ key, stamp }) => (this.values.get(key)?.revision ?? 0) !== stamp,
+    );
+    if (failed.length > 0) {
+      const keys = failed.map(({ key }) => key);
+      return { status: 409, body: { failed: keys, ledger_rev: this.revision } };
     }
-    const id = Number(path.split('/')[2]);
-    const lease = this.leases.get(id);
-    if (!lease) return { status: 404, body: {} };
-    if (method === 'DELETE') this.end(id);
-    else lease.ends = this.time.now + lease.ttl;
-    return { status: 200, body: { tenure: id } };
+    if (writes.length > 0) this.apply(writes);
+    return { status: 200, body: { ledger_rev: this.revision } };
   }
 
-  private multi(m: Multi): Answered {
-    const writes = m.writes ?? [];
-    if (!this.take(this.writes, this.limits.writeRate, writes.length)) {
-      this.refused++;
-      return { status: 429, body: {} };
-    }
-    const sizes = writes.map((w) => Buffer.byteLength(JSON.stringify(w.data ?? null)));
-    this.sizes.push(...sizes);
+  /** Why a transaction is refused whatever the store holds; undefined if it is not. */
+  private refusalOf(conditionCount: number, writes: readonly Write[]): string | undefined {
+    const { transactionOps, valueBytes } = this.limits;
+    const sizes = writes.map(({ data }) => Buffer.byteLength(JSON.stringify(data ?? null)));
+    this.valueSizes.push(...sizes);
     if (
-      writes.length > this.limits.transactionOps ||
-      (m.if?.length ?? 0) > 4 * this.limits.transactionOps ||
-      sizes.some((s) => s > this.limits.valueBytes)
+      writes.length > transactionOps ||
+      conditionCount > CONDITIONS_PER_OP * transactionOps ||
+      sizes.some((size) => size > valueBytes)
     ) {
       this.tooLarge++;
-      return { status: 400, body: { error: 'too large' } };
-    }
-    if (writes.some((w) => typeof w.tenure === 'number' && !this.leases.has(w.tenure))) {
-      return { status: 400, body: { error: 'no such lease' } };
+      return 'too large';
     }
-    const failed = (m.if ?? []).filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp);
-    if (failed.length > 0) {
-      return {
-        status: 409,
-        body: { failed: failed.map((c) => c.key), ledger_rev: this.revision },
-      };
-    }
-    if (writes.length === 0) return { status: 200, body: { ledger_rev: this.revision } };
+    const endedLease = writes.some(
+      ({ tenure }) => typeof tenure === 'number' && !this.leases.has(tenure),
+    );
+    return endedLease ? 'no such lease' : undefined;
+  }
+
+  private apply(writes: readonly Write[]): void {
     this.revision++;
-    for (const w of writes) {
-      if (w.put !== undefined) {
-        this.keys.set(w.put, { data: w.data, stamp: this.revision, tenure: w.tenure });
-        this.log.push({ put: w.put, data: w.data, stamp: this.revision });
-      } else if (w.delete !== undefined && this.keys.delete(w.delete)) {
-        this.log.push({ delete: w.delete, stamp: this.revision });
+    const stamp = this.revision;
+    for (const { put, delete: deleted, data, tenure } of writes) {
+      if (put !== undefined) {
+        this.values.set(put, { data, revision: stamp, lease: tenure });
+        this.changes.push({ put, data, stamp });
+      } else if (deleted !== undefined && this.values.delete(deleted)) {
+        this.changes.push({ delete: deleted, stamp });
       }
     }
-    this.forget();
-    this.wake();
-    return { status: 200, body: { ledger_rev: this.revision } };
+    this.forgetOldChanges();
+    this.notifyWatchers();
   }
 
-  private forget(): void {
-    if (this.log.length <= this.keeps) return;
-    this.log = this.log.slice(-this.keeps);
-    this.oldest = (this.log[0]?.stamp ?? 1) - 1;
+  private forgetOldChanges(): void {
+    if (this.changes.length <= this.maxChanges) return;
+    this.changes = this.changes.slice(-this.maxChanges);
+    this.oldestWatchable = (this.changes[0]?.stamp ?? 1) - 1;
   }
 
-  private list(q: URLSearchParams): Answered {
-    const prefix = q.get('starts') ?? '';
-    if (this.hides !== undefined && prefix.startsWith(this.hides)) return { status: 503, body: {} };
-    const from = q.get('from') ?? '';
-    const limit = Math.min(1000, Number(q.get('limit') ?? 1000));
-    const keys = [...this.keys.keys()].filter((k) => k.startsWith(prefix) && k > from).sort();
+  // --- lists and watches --------------------------------------------------------------------------
+
+  private list(query: URLSearchParams): Answer {
+    const prefix = query.get('starts') ?? '';
+    if (this.refusedPrefix !== undefined && prefix.startsWith(this.refusedPrefix)) {
+      return { status: 503, body: {} };
+    }
+    const from = query.get('from') ?? '';
+    const limit = Math.min(MAX_PAGE, Number(query.get('limit') ?? MAX_PAGE));
+    const keys = [...this.values.keys()]
+      .filter((key) => key.startsWith(prefix) && key > from)
+      .sort();
     const items = keys.slice(0, limit).map((key) => {
-      const s = this.keys.get(key)!;
-      return { key, data: s.data, stamp: s.stamp };
+      const { data, revision } = this.values.get(key)!;
+      return { key, data, stamp: revision };
     });
     return {
       status: 200,
@@ -224,23 +271,44 @@
     };
   }
 
-  private follow(q: URLSearchParams): Answered | Promise<Answered> {
-    const prefix = q.get('starts') ?? '';
-    const from = Number(q.get('from') ?? 0);
-    this.watched++;
-    if (from < this.oldest) return { status: 410, body: {} };
-    const changes = this.changes(prefix, from);
-    if (changes.length > 0) {
-      return { status: 200, body: { ledger_rev: this.revision, log: changes } };
-    }
-    return new Promise((done) => {
-      const w: Watcher = { prefix, from, done };
-      this.watchers.push(w);
-      this.time.after(Number(q.get('wait_ms') ?? 0), () => {
-        if (!this.watchers.includes(w)) return;
-        this.watchers = this.watchers.filter((x) => x !== w);
-        done({ status: 200, body: { ledger_rev: this.revision, log: [] } });
+  private watch(query: URLSearchParams): Answer | Promise<Answer> {
+    const prefix = query.get('starts') ?? '';
+    const from = Number(query.get('from') ?? 0);
+    this.watchCount++;
+    if (from < this.oldestWatchable) return { status: 410, body: {} };
+    const changes = this.changesSince(prefix, from);
+    if (changes.length > 0) return this.watchAnswer(changes);
+    return new Promise((resolve) => {
+      const watcher: Watcher = { prefix, from, resolve };
+      this.watchers.push(watcher);
+      this.time.after(Number(query.get('wait_ms') ?? 0), () => {
+        if (!this.watchers.includes(watcher)) return;
+        this.remove(watcher);
+        resolve(this.watchAnswer([]));
       });
     });
   }
+
+  private watchAnswer(changes: readonly Change[]): Answer {
+    return { status: 200, body: { ledger_rev: this.revision, log: changes } };
+  }
+
+  private notifyWatchers(): void {
+    for (const watcher of [...this.watchers]) {
+      const changes = this.changesSince(watcher.prefix, watcher.from);
+      if (changes.length === 0) continue;
+      this.remove(watcher);
+      watcher.resolve(this.watchAnswer(changes));
+    }
+  }
+
+  private remove(watcher: Watcher): void {
+    this.watchers = this.watchers.filter((other) => other !== watcher);
+  }
+
+  private changesSince(prefix: string, from: number): Change[] {
+    return this.changes.filter(
+      (change) => change.stamp > from && (change.put ?? change.delete ?? '').startsWith(prefix),
+    );
+  }
 }
--- a/test/standin/submit.ts
+++ b/test/standin/submit.ts
@@ -1,29 +1,38 @@
+/** The quick start's user: submits a job of so many tasks and follows it to its end. */
 import { NodeHttpClient } from '../../src/net/http.js';
 import { Endpoint, ms, sleep } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import { encodeJobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 
-/** The quick start's user: submits a job of so many tasks and follows it to its end. */
-const entries = Number(process.argv[2] ?? 3);
+const TIMEOUT = ms(5000);
+const RETRY_INTERVAL = ms(1000);
+
+const taskCount = Number(process.argv[2] ?? 3);
+const endpoint = Endpoint('127.0.0.1:18080');
 const client = new NodeHttpClient(1, 1, 1);
 const id = `run-${String(Date.now() % 1_000_000).padStart(6, '0')}`;
-const ask = (method: 'GET' | 'POST', path: string, body?: unknown) =>
-  client.send({ endpoint: Endpoint('127.0.0.1:18080'), method, path, body, timeout: ms(5000) });
+const body = encodeJobSpec(spec({ id, taskCount, allowSpot: false }));
 
-const submission = encodeJobSpec(spec({ id, taskCount: entries, allowSpot: false }));
 for (;;) {
-  const o = await ask('POST', '/v1/jobs', submission);
-  console.log(o.kind === 'answer' ? `submitted: ${o.status}` : `submitted: ${o.why}`);
-  if (o.kind === 'answer' && o.status < 300) break;
-  if (o.kind === 'answer' && o.status < 500) process.exit(1);
-  await sleep(systemClock, ms(1000));
+  const outcome = await client.send({
+    endpoint,
+    method: 'POST',
+    path: '/v1/jobs',
+    body,
+    timeout: TIMEOUT,
+  });
+  console.log(`submitted: ${outcome.kind === 'answer' ? outcome.status : outcome.why}`);
+  if (outcome.kind === 'answer' && outcome.status < 300) break;
+  if (outcome.kind === 'answer' && outcome.status < 500) process.exit(1);
+  await sleep(systemClock, RETRY_INTERVAL);
 }
 for (;;) {
-  const o = await ask('GET', `/v1/jobs/${id}`);
-  if (o.kind === 'answer' && o.status === 200) {
-    console.log(JSON.stringify(o.body));
-    if ((o.body as { status: string }).status === 'done') process.exit(0);
+  const path = `/v1/jobs/${id}`;
+  const outcome = await client.send({ endpoint, method: 'GET', path, timeout: TIMEOUT });
+  if (outcome.kind === 'answer' && outcome.status === 200) {
+    console.log(JSON.stringify(outcome.body));
+    if ((outcome.body as { status: string }).status === 'done') process.exit(0);
   }
-  await sleep(systemClock, ms(1000));
+  await sleep(systemClock, RETRY_INTERVAL);
 }
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -1,5 +1,9 @@
-import type { Random } from '../../src/units/index.js';
-import { Endpoint, ms } from '../../src/units/index.js';
+/**
+ * Users, from the protocol: they submit, ask, cancel and repeat, and remember each answer, so that one which
+ * contradicts an earlier one is noticed.
+ */
+import type { Outcome } from '../../src/net/http.js';
+import { Endpoint, ms, type Random } from '../../src/units/index.js';
 import {
   JobKind,
   encodeJobSpec,
@@ -14,229 +18,286 @@
 import { REGION, type Network } from './network.js';
 
 /** A job as its user knows it, and as the workers carry it out. */
-export interface Known {
+export interface UserJob {
   readonly spec: JobSpec;
   readonly runMs: number;
-  accepted: boolean;
-  told: string;
-  abortAsked: boolean;
-  /** When the user was told that it is cancelled. */
-  abortedAt: number | undefined;
+  isAccepted: boolean;
+  /** The status that its user was last answered, as the protocol names it. */
+  lastStatus: string;
+  isCancelRequested: boolean;
+  /** When its user was answered that it is cancelled. */
+  cancelledAt: number | undefined;
+  /** The indexes of the tasks that the workers have completed. */
   readonly completed: Set<number>;
   /** What its tasks do together, if it is a gang. */
   readonly gang: GangRun | undefined;
   /** When a question about it was last answered. */
   answeredAt: number;
-  /** Since when it has waited beside a machine that has room for it. */
-  besideRoomSince: number | undefined;
-  /** The process that its user's connection is open to. */
-  connection: { n: number; process: object } | undefined;
+  /** Since when it has waited though some machine can take it. */
+  placeableSince: number | undefined;
+  /** The controller process that its user's connection is open to. */
+  connection: Connection | undefined;
 }
 
-/** What users see of the world around them. */
+interface Connection {
+  readonly node: number;
+  readonly process: object;
+}
+
+/** What users need of the world around them. */
 export interface UsersWorld {
   readonly time: VirtualTime;
   readonly random: Random;
   readonly network: Network;
   readonly balancer: Balancer;
   readonly zones: readonly string[];
+  /** All jobs by their ids; users add those that they submit. */
+  readonly jobs: Map<string, UserJob>;
   /** The process that a controller runs as at this moment. */
-  process(n: number): object | undefined;
-  completed(entry: string): void;
-  rule(name: string, what: string): void;
+  processOf(node: number): object | undefined;
+  onTaskCompleted(task: string): void;
+  onViolation(rule: string, detail: string): void;
 }
 
-/** Users, from the protocol: they submit, ask, cancel and repeat, and remember what they were told. */
+type HttpAnswer = Outcome & { readonly kind: 'answer' };
+
+const POST_TIMEOUT = 5000;
+const POLL_TIMEOUT = 2000;
+const RETRY_INTERVAL = 1000;
+const MAX_CONNECT_TRIES = 3;
+
+/** Whether the last answer to a job's user was a final one. */
+export const isOver = ({ lastStatus }: UserJob): boolean =>
+  lastStatus === 'done' || lastStatus === 'aborted';
+
+/** All users. */
 export class Users {
-  readonly jobs = new Map<string, Known>();
-  /** Of the last questions: when, and whether they were answered. */
-  asked: { at: number; ok: boolean }[] = [];
-  private jobCounter = 0;
+  /** The last polls: when, and whether they were answered. */
+  private polls: { readonly at: number; readonly isAnswered: boolean }[] = [];
+  private jobCount = 0;
   private readonly clock: ProcessClock;
 
   constructor(private readonly world: UsersWorld) {
     this.clock = new ProcessClock(world.time, 0, 0);
   }
 
-  /** Over the job's connection as long as that stands, else over a new one. */
+  /** Submits a job, and polls it to its end and beyond. Cancels it after `cancelAfter`, if that is given. */
+  submit(change: Partial<JobSpec>, runMs: number, cancelAfter?: number): string {
+    const id = `run-${String(++this.jobCount).padStart(6, '0')}`;
+    const submitted = spec({ ...change, id });
+    const job: UserJob = {
+      spec: submitted,
+      gang: submitted.kind === JobKind.gang ? this.createGang(submitted, runMs) : undefined,
+      runMs,
+      isAccepted: false,
+      lastStatus: 'pending',
+      isCancelRequested: false,
+      cancelledAt: undefined,
+      completed: new Set(),
+      answeredAt: this.world.time.now,
+      placeableSince: undefined,
+      connection: undefined,
+    };
+    this.world.jobs.set(id, job);
+    this.submitUntilAccepted(job);
+    if (cancelAfter !== undefined) this.world.time.after(cancelAfter, () => this.cancel(id));
+    return id;
+  }
+
+  /** The user of a job cancels it. */
+  cancel(id: string): void {
+    const job = this.world.jobs.get(id);
+    if (!job || job.isCancelRequested) return;
+    job.isCancelRequested = true;
+    this.cancelUntilConfirmed(job);
+  }
+
+  /** Jobs that have not come to their end, each with its last status. */
+  unfinished(): string[] {
+    return [...this.world.jobs]
+      .filter(([, job]) => !isOver(job))
+      .map(([id, job]) => `${id} ${job.lastStatus}`);
+  }
+
+  /** Whether most polls were answered within the last so many milliseconds. Older ones are forgotten. */
+  areMostPollsAnswered(withinMs: number): boolean {
+    const { now } = this.world.time;
+    this.polls = this.polls.filter(({ at }) => now - at < withinMs);
+    return this.polls.filter(({ isAnswered }) => isAnswered).length * 2 > this.polls.length;
+  }
+
+  /**
+   * What users do that makes no sense: repeat the submission of a running job, cancel one that is done, and
+   * submit jobs that can't run (422) or that lack a field (400).
+   */
+  sendOddRequests(): void {
+    for (const [id, job] of this.world.jobs) {
+      if (job.isAccepted && this.world.random() < 0.2) this.repeatSomething(id, job);
+    }
+    const tooLarge = encodeJobSpec(spec({ cpus: 1000 }));
+    const incomplete: Partial<SubmissionMessage> = encodeJobSpec(spec({}));
+    delete incomplete.entries;
+    const suffix = String(this.jobCount).padStart(5, '0');
+    this.submitInvalid({ ...tooLarge, name_id: `run-9${suffix}` }, 422);
+    this.submitInvalid({ ...incomplete, name_id: `run-8${suffix}` }, 400);
+  }
+
+  /** Asks for a job that nobody submitted. */
+  askForUnknownJob(): void {
+    void this.ask('GET', '/v1/jobs/run-999999', undefined, POLL_TIMEOUT).then((answer) => {
+      if (answer?.status === 200) this.world.onViolation('invented', 'run-999999');
+    });
+  }
+
+  // --- connections --------------------------------------------------------------------------------
+
+  /**
+   * Asks over the job's connection as long as that is open, else over a new one. Resolves with undefined
+   * if there was no answer.
+   */
   private async ask(
     method: 'GET' | 'POST',
     path: string,
     body: unknown,
     timeout: number,
-    job?: Known,
-  ) {
-    const open = job?.connection;
-    let n =
-      open && this.world.process(open.n) === open.process && !this.world.balancer.resets(open.n)
-        ? open.n
-        : undefined;
-    const refused = new Set<number>();
-    for (let tries = 0; n === undefined && tries < 3; tries++) {
-      const chosen = this.world.balancer.choose(refused);
-      if (chosen === undefined) break;
-      if (this.world.process(chosen)) n = chosen;
-      else refused.add(chosen);
-    }
-    const process = n === undefined ? undefined : this.world.process(n);
-    if (job) job.connection = n === undefined || !process ? undefined : { n, process };
-    if (n === undefined) return undefined;
-    const endpoint = Endpoint(settingsFile(n, this.world.zones).api_addr);
+    job?: UserJob,
+  ): Promise<HttpAnswer | undefined> {
+    const connection = this.openConnection(job?.connection) ?? this.connect();
+    if (job) job.connection = connection;
+    if (!connection) return undefined;
+    const endpoint = Endpoint(settingsFile(connection.node, this.world.zones).api_addr);
     const client = this.world.network.client('user', REGION, this.clock);
-    const o = await client.send({ endpoint, method, path, body, timeout: ms(timeout) });
-    if (o.kind === 'answer') return o;
+    const outcome = await client.send({ endpoint, method, path, body, timeout: ms(timeout) });
+    if (outcome.kind === 'answer') return outcome;
     if (job) job.connection = undefined;
     return undefined;
   }
 
-  /** A user's job from its submission to its end; `abortAfter`: cancels it then. */
-  submit(change: Partial<JobSpec>, runMs: number, abortAfter?: number): string {
-    const id = `run-${String(++this.jobCounter).padStart(6, '0')}`;
-    const submitted = spec({ ...change, id });
-    const job: Known = {
-      spec: submitted,
-      gang: submitted.kind === JobKind.gang ? this.gangOf(submitted, runMs) : undefined,
-      runMs,
-      accepted: false,
-      told: 'pending',
-      abortAsked: false,
-      abortedAt: undefined,
-      completed: new Set(),
-      answeredAt: this.world.time.now,
-      besideRoomSince: undefined,
-      connection: undefined,
-    };
-    this.jobs.set(id, job);
-    this.keepSubmitting(id, job);
-    if (abortAfter !== undefined) {
-      this.world.time.after(abortAfter, () => this.cancel(id, job));
-    }
-    return id;
+  /** A connection, unless its process has ended or the balancer has reset it. */
+  private openConnection(connection: Connection | undefined): Connection | undefined {
+    if (!connection) return undefined;
+    const { node, process } = connection;
+    const isOpen = this.world.processOf(node) === process && !this.world.balancer.hasReset(node);
+    return isOpen ? connection : undefined;
   }
 
-  /** Its user calls the job off. */
-  cancel(id: string, job = this.jobs.get(id)): void {
-    if (!job || job.abortAsked) return;
-    job.abortAsked = true;
-    this.keepAborting(id, job);
+  private connect(): Connection | undefined {
+    const refused = new Set<number>();
+    for (let tries = 0; tries < MAX_CONNECT_TRIES; tries++) {
+      const node = this.world.balancer.choose(refused);
+      if (node === undefined) return undefined;
+      const process = this.world.processOf(node);
+      if (process) return { node, process };
+      refused.add(node);
+    }
+    return undefined;
   }
 
-  private gangOf(s: JobSpec, runMs: number): GangRun {
-    const facts = {
-      entries: s.taskCount,
-      runMs,
-      saveEveryMs: s.checkpointIntervalSeconds * 1000,
-      saveMs: s.checkpointSeconds * 1000,
-    };
-    const { gang_wait_s: wait, gang_peer_s: peer } = settingsFile(0).params.workers;
+  // --- one job ------------------------------------------------------------------------------------
+
+  private createGang(job: JobSpec, runMs: number): GangRun {
+    const { gang_wait_s: gatherSeconds, gang_peer_s: peerSeconds } = settingsFile(0).params.workers;
     return new GangRun(
       this.world.time,
-      facts,
-      { waitMs: wait * 1000, peerMs: peer * 1000 },
       {
-        completed: () => {
-          for (let i = 0; i < s.taskCount; i++) this.world.completed(`${s.id}/${i}`);
+        taskCount: job.taskCount,
+        runMs,
+        checkpointIntervalMs: job.checkpointIntervalSeconds * 1000,
+        checkpointMs: job.checkpointSeconds * 1000,
+      },
+      { gatherMs: gatherSeconds * 1000, peerMs: peerSeconds * 1000 },
+      {
+        onCompleted: () => {
+          for (let i = 0; i < job.taskCount; i++) this.world.onTaskCompleted(`${job.id}/${i}`);
         },
-        broken: (what) => this.world.rule('gang', `${s.id}: ${what}`),
+        onViolation: (detail) => this.world.onViolation('gang', `${job.id}: ${detail}`),
       },
     );
   }
 
-  private keepSubmitting(id: string, job: Known): void {
-    void this.ask('POST', '/v1/jobs', encodeJobSpec(job.spec), 5000, job).then((o) => {
-      if (o?.status === 201 || o?.status === 200) {
-        job.accepted = true;
-        job.answeredAt = this.world.time.now;
-        this.tell(id, job, o.body);
-        this.world.time.after(2000, () => this.keepPolling(id, job));
-      } else {
-        if (o?.status === 400 || o?.status === 422)
-          this.world.rule('forgotten', `${id} got ${o.status}`);
-        this.world.time.after(1000, () => this.keepSubmitting(id, job));
+  private submitUntilAccepted(job: UserJob): void {
+    const { time } = this.world;
+    const body = encodeJobSpec(job.spec);
+    void this.ask('POST', '/v1/jobs', body, POST_TIMEOUT, job).then((answer) => {
+      if (answer?.status === 201 || answer?.status === 200) {
+        job.isAccepted = true;
+        job.answeredAt = time.now;
+        this.noteStatus(job, answer.body);
+        time.after(2000, () => this.poll(job));
+        return;
+      }
+      if (answer?.status === 400 || answer?.status === 422) {
+        this.world.onViolation('forgotten', `${job.spec.id} got ${answer.status}`);
       }
+      time.after(RETRY_INTERVAL, () => this.submitUntilAccepted(job));
     });
   }
 
-  private keepAborting(id: string, job: Known): void {
-    void this.ask('POST', `/v1/jobs/${id}/abort`, undefined, 5000, job).then((o) => {
-      if (o?.status === 200) this.tell(id, job, o.body);
-      else this.world.time.after(1000, () => this.keepAborting(id, job));
+  private cancelUntilConfirmed(job: UserJob): void {
+    const path = `/v1/jobs/${job.spec.id}/abort`;
+    void this.ask('POST', path, undefined, POST_TIMEOUT, job).then((answer) => {
+      if (answer?.status === 200) this.noteStatus(job, answer.body);
+      else this.world.time.after(RETRY_INTERVAL, () => this.cancelUntilConfirmed(job));
     });
   }
 
-  private keepPolling(id: string, job: Known): void {
-    void this.ask('GET', `/v1/jobs/${id}`, undefined, 2000, job).then((o) => {
-      const ok = o?.status === 200 || o?.status === 404;
-      if (ok) job.answeredAt = this.world.time.now;
-      this.asked.push({ at: this.world.time.now, ok });
-      if (o?.status === 404) this.world.rule('forgotten', id);
-      if (o?.status === 200) this.tell(id, job, o.body);
+  private poll(job: UserJob): void {
+    const { time } = this.world;
+    const { id } = job.spec;
+    void this.ask('GET', `/v1/jobs/${id}`, undefined, POLL_TIMEOUT, job).then((answer) => {
+      const isAnswered = answer?.status === 200 || answer?.status === 404;
+      if (isAnswered) job.answeredAt = time.now;
+      this.polls.push({ at: time.now, isAnswered });
+      if (answer?.status === 404) this.world.onViolation('forgotten', id);
+      if (answer?.status === 200) this.noteStatus(job, answer.body);
       // Also after its end: the answer must stay.
-      this.world.time.after(this.isOver(job) ? 6000 : 3000, () => this.keepPolling(id, job));
+      time.after(isOver(job) ? 6000 : 3000, () => this.poll(job));
     });
   }
 
-  private tell(id: string, job: Known, body: unknown): void {
-    const status = (body as { status: string }).status;
-    if (job.told === 'done' || job.told === 'aborted') {
-      if (status !== job.told) this.world.rule('went_back', `${id} was ${job.told}, is ${status}`);
+  /** Compares the status in an answer with what is known of the job, and remembers it. */
+  private noteStatus(job: UserJob, body: unknown): void {
+    const { status } = body as { status: string };
+    const { id, taskCount } = job.spec;
+    if (isOver(job)) {
+      if (status !== job.lastStatus) {
+        this.world.onViolation('went_back', `${id} was ${job.lastStatus}, is ${status}`);
+      }
       return;
     }
-    if (status === 'done' && job.completed.size < job.spec.taskCount) {
-      this.world.rule('not_done', `${id}: ${job.completed.size} of ${job.spec.taskCount}`);
+    if (status === 'done' && job.completed.size < taskCount) {
+      this.world.onViolation('not_done', `${id}: ${job.completed.size} of ${taskCount}`);
     }
     if (status === 'aborted') {
-      if (!job.abortAsked) this.world.rule('went_back', `${id} was not cancelled by its user`);
-      job.abortedAt = this.world.time.now;
+      if (!job.isCancelRequested) {
+        this.world.onViolation('went_back', `${id} was not cancelled by its user`);
+      }
+      job.cancelledAt = this.world.time.now;
     }
-    job.told = status;
-  }
-
-  isOver(job: Known): boolean {
-    return job.told === 'done' || job.told === 'aborted';
+    job.lastStatus = status;
   }
 
-  /** Jobs that have not come to their end. */
-  unfinished(): string[] {
-    return [...this.jobs].filter(([, j]) => !this.isOver(j)).map(([id, j]) => `${id} ${j.told}`);
-  }
+  // --- odd requests -------------------------------------------------------------------------------
 
-  /**
-   * What users do that makes no sense: repeat the submission of a job that runs, cancel one that is done,
-   * and submit jobs that can't run (422) or that lack a field (400).
-   */
-  oddRequests(): void {
-    for (const [id, job] of this.jobs) {
-      if (job.accepted && this.world.random() < 0.2) {
-        const cancels = job.told === 'done' && this.world.random() < 0.5;
-        const path = cancels ? `/v1/jobs/${id}/abort` : '/v1/jobs';
-        void this.ask('POST', path, cancels ? undefined : encodeJobSpec(job.spec), 5000).then(
-          (o) => {
-            if (o?.status === 200) this.tell(id, job, o.body);
-            if (o?.status === 400 || o?.status === 422 || o?.status === 404)
-              this.world.rule('forgotten', `${id} got ${o.status} for ${path}`);
-          },
-        );
+  /** Submits a job again, or cancels it though it is done. */
+  private repeatSomething(id: string, job: UserJob): void {
+    const cancels = job.lastStatus === 'done' && this.world.random() < 0.5;
+    const path = cancels ? `/v1/jobs/${id}/abort` : '/v1/jobs';
+    const body = cancels ? undefined : encodeJobSpec(job.spec);
+    void this.ask('POST', path, body, POST_TIMEOUT).then((answer) => {
+      if (answer?.status === 200) this.noteStatus(job, answer.body);
+      if (answer?.status === 400 || answer?.status === 422 || answer?.status === 404) {
+        this.world.onViolation('forgotten', `${id} got ${answer.status} for ${path}`);
       }
-    }
-    const large = encodeJobSpec(spec({ cpus: 1000 }));
-    const lacking: Partial<SubmissionMessage> = encodeJobSpec(spec({}));
-    delete lacking.entries;
-    for (const [body, status] of [
-      [{ ...large, name_id: `run-9${String(this.jobCounter).padStart(5, '0')}` }, 422],
-      [{ ...lacking, name_id: `run-8${String(this.jobCounter).padStart(5, '0')}` }, 400],
-    ] as const) {
-      void this.ask('POST', '/v1/jobs', body, 5000).then((o) => {
-        if (o === undefined || o.status === 503 || o.status === 429 || o.status === status) return;
-        this.world.rule('accepted', `${body.name_id} got ${o.status} instead of ${status}`);
-      });
-    }
+    });
   }
 
-  /** Asks for a job that nobody submitted. */
-  probeUnknown(): void {
-    void this.ask('GET', '/v1/jobs/run-999999', undefined, 2000).then((o) => {
-      if (o?.status === 200) this.world.rule('invented', 'run-999999');
+  private submitInvalid(body: Partial<SubmissionMessage>, expected: number): void {
+    void this.ask('POST', '/v1/jobs', body, POST_TIMEOUT).then((answer) => {
+      if (answer === undefined || answer.status === 503 || answer.status === 429) return;
+      if (answer.status === expected) return;
+      const detail = `${body.name_id ?? ''} got ${answer.status} instead of ${expected}`;
+      this.world.onViolation('accepted', detail);
     });
   }
 }
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -12,7 +12,7 @@
 import { HeartbeatRelay } from '../../src/relay/heartbeat-relay.js';
 import { Epoch, JobId, NodeId } from '../../src/units/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
-import { flavors } from '../standin/world.js';
+import { machineTypes } from '../standin/machine-types.js';
 import { settingsFile } from './settings.js';
 
 export const JOB = JobId('run-000001');
@@ -40,7 +40,7 @@
   };
   const peers = new Map<NodeId, Peer>();
   const catalog = new MachineCatalog();
-  catalog.update(flavors);
+  catalog.update(machineTypes);
   const leadership = new Leadership(
     { authority: () => epoch, leader: () => NodeId('node-0') },
     peers,
--- a/test/support/jobs.ts
+++ b/test/support/jobs.ts
@@ -1,6 +1,7 @@
+/** Jobs for tests that need one that is valid. */
 import type { JobSpec } from '../../src/wire/index.js';
 
-/** A valid submission, with what a case changes. */
+/** A valid job, with what a case changes of it. */
 export function spec(change: Partial<JobSpec>): JobSpec {
   return {
     id: 'run-000001',
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -7,7 +7,7 @@
 import type { JobAnswer } from '../../src/leader/term.js';
 import { Revision, WallMs, ms, sleep } from '../../src/units/index.js';
 import { encode, encodeJobSpec, parseSubmission, type JobSpec } from '../../src/wire/index.js';
-import { flavors } from '../standin/world.js';
+import { machineTypes } from '../standin/machine-types.js';
 import { JOB, leadingNode } from '../support/api.js';
 import { spec } from '../support/jobs.js';
 import { settingsFile } from '../support/settings.js';
@@ -39,9 +39,9 @@
 void test('submissions that can not run, or lack something, are refused by every node alike', () => {
   const settings = parseSettings(settingsFile(0));
   const catalog = new MachineCatalog();
-  catalog.update(flavors);
+  catalog.update(machineTypes);
   const one = new MachineCatalog();
-  one.update(flavors.map((f) => ({ ...f, zones: ['a'] })));
+  one.update(machineTypes.map((f) => ({ ...f, zones: ['a'] })));
   const submission = (change: Partial<JobSpec>) => encodeJobSpec(spec(change));
   const ok = submission({});
   const cases: [string, unknown, number][] = [
