--- a/test/sim/meetings.test.ts
+++ b/test/sim/combined-faults.test.ts
@@ -1,20 +1,20 @@
-/** Worlds in which two or more faults meet; `docs/meetings.md` says what each has shown. */
+/** Worlds with several faults at the same time or in close sequence; `docs/meetings.md` says what each has shown. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { TINY_CPU, settle } from '../standin/day.js';
+import { REGION } from '../standin/network.js';
+import { NODES } from '../standin/platform.js';
 import { World } from '../standin/world.js';
 
-/** What meets what, as one world plays it; the rules are checked as it runs and after all has healed. */
-interface Meeting {
+/** A combination of faults. The rules are checked while it is played and after all faults are over. */
+interface Combination {
   readonly name: string;
   readonly seeds: readonly number[];
-  /** Its team's limit: none unless the meeting is about it. */
+  /** The quota of its team; without it, the usual one. */
   readonly maxCpus?: number;
   readonly play: (world: World, seed: number) => Promise<void>;
 }
 
-const NODES = [0, 1, 2] as const;
-
 /** Jobs that run for long, each on its own machines, and a fleet that has been up for a while. */
 async function longJobs(world: World, count: number, runMs = 200_000): Promise<string[]> {
   const ids: string[] = [];
@@ -25,18 +25,20 @@
   return ids;
 }
 
-/** The leader ends, and is back after `back` ms. */
-function endLeader(world: World, back: number): void {
+/** Ends the leader, and starts its node again after so many milliseconds. */
+function endLeader(world: World, downMs: number): void {
   const leader = world.leaderNode();
   if (leader === undefined) return;
   world.killNode(leader);
-  world.time.after(back, () => world.startNode(leader));
+  world.time.after(downMs, () => world.startNode(leader));
 }
 
-const after = (world: World, ms: number, run: () => void): unknown => world.time.after(ms, run);
+function after(world: World, delay: number, run: () => void): void {
+  world.time.after(delay, run);
+}
 
-/** Refused alone for a while, and then the state service is out for all. */
-function gap(world: World, outageAfter: number, outageFor: number): void {
+/** The leader is refused alone for a while, and then the state service is out for all. */
+function refuseLeaderThenAll(world: World, outageAfter: number, outageFor: number): void {
   const leader = world.leaderNode() ?? 0;
   world.state.outageFor(`node-${leader}`, true);
   after(world, 14_000, () => world.state.outageFor(`node-${leader}`, false));
@@ -44,21 +46,21 @@
   after(world, outageAfter + outageFor, () => world.state.outage(false));
 }
 
-const meetings: readonly Meeting[] = [
+const combinations: readonly Combination[] = [
   // From refusal to outage: before, while and after the leader key runs out.
-  ...[500, 2000, 3800, 4300, 5000, 8000, 12_000].map((outageAfter): Meeting => ({
+  ...[500, 2000, 3800, 4300, 5000, 8000, 12_000].map((outageAfter): Combination => ({
     name: `the leader is refused alone, and ${outageAfter} ms later all are for longer than cancel_s`,
     seeds: [1, 2, 3, 4, 5],
     maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 6);
-      gap(world, outageAfter, seed % 2 === 0 ? 53_000 : 26_000);
+      refuseLeaderThenAll(world, outageAfter, seed % 2 === 0 ? 53_000 : 26_000);
       const leader = world.leaderNode() ?? 0;
       if (seed === 3) {
         world.freezeNode(leader, true);
         after(world, 9000, () => world.freezeNode(leader, false));
       }
-      // Some workers don't hear a new leader.
+      // Some workers get no answers from a new leader.
       if (seed >= 4)
         for (const id of [...world.workers.keys()].slice(0, 2)) world.dropIncoming(id, true);
       for (let at = 0; at <= outageAfter + 1000; at += 700) {
@@ -68,12 +70,12 @@
     },
   })),
   {
-    name: 'jobs are called off as the leader is refused, on machines that hang, and then all are refused',
+    name: 'jobs are cancelled as the leader is refused, on machines that hang, and then all are refused',
     seeds: [1, 2, 3, 4],
     maxCpus: 0,
     play: async (world, seed) => {
       await longJobs(world, 6);
-      gap(world, 1000, 53_000);
+      refuseLeaderThenAll(world, 1000, 53_000);
       world.cancelRunning(4, seed * 8000);
       await world.run(75_000);
     },
@@ -99,13 +101,13 @@
     },
   },
   {
-    name: 'new leaders end before they know the records, while jobs are called off',
+    name: 'new leaders end before they know the records, while jobs are cancelled',
     seeds: [1, 2, 3],
     maxCpus: 0,
     play: async (world) => {
       await longJobs(world, 4);
       world.cancelRunning(4, 0);
-      // The cancellations are in the store, and nobody has told the workers.
+      // The cancellations are in the store, and the workers have no commands yet.
       world.network.hold('/commands');
       await world.run(250);
       world.state.refusedPrefix = 'live/';
@@ -136,13 +138,13 @@
       await longJobs(world, 4, 60_000);
       world.cancelRunning(2, 0);
       await world.run(seed * 150);
-      for (const n of NODES) world.killNode(n);
-      for (const n of NODES) after(world, 30_000, () => world.startNode(n));
+      for (const node of NODES) world.killNode(node);
+      for (const node of NODES) after(world, 30_000, () => world.startNode(node));
       await world.run(45_000);
     },
   },
   {
-    name: 'a leader ends while machines with long tasks can not be reached or do not hear the next one',
+    name: 'a leader ends while machines with long tasks can not be reached or get no answers from the next one',
     seeds: [1, 2, 3, 4],
     maxCpus: 0,
     play: async (world, seed) => {
@@ -177,7 +179,7 @@
     },
   },
   {
-    name: 'jobs are called off, asked for and submitted again at the moment of their end',
+    name: 'jobs are cancelled, asked for and submitted again at the moment of their end',
     seeds: [1, 2, 3],
     play: async (world) => {
       await world.run(2500);
@@ -191,7 +193,7 @@
     },
   },
   {
-    name: 'copies of reports and commands come late, also of earlier sessions, at any controller',
+    name: 'copies of heartbeats and commands arrive late, also of earlier sessions, at any controller',
     seeds: [1, 2, 3, 4],
     play: async (world, seed) => {
       await world.run(2500);
@@ -206,7 +208,7 @@
     },
   },
   {
-    name: 'a leader is cut from the store and the others, not from workers, while jobs are called off',
+    name: 'a leader is cut off from the store and the others, not from workers, while jobs are cancelled',
     seeds: [1, 2, 3, 4],
     maxCpus: 0,
     play: async (world, seed) => {
@@ -229,14 +231,14 @@
         seed === 1 ? ['a', 'b', 'c'] : seed === 2 ? ['b', 'a', 'c'] : ['c', 'a', 'b'];
       world.network.cut(cut, b, true);
       world.network.cut(cut, c, true);
-      world.network.cut(cut, '.region', true);
+      world.network.cut(cut, REGION, true);
       world.cancelRunning(2, 0);
       await world.run(50_000);
-      world.network.cut(cut, '.region', false);
+      world.network.cut(cut, REGION, false);
     },
   },
   {
-    name: 'a team at its limit, a new leader, machines that can not be asked, and a cancellation',
+    name: 'a team at its quota, a new leader, machines that can not be reached, and a cancellation',
     seeds: [1, 2, 3, 4],
     maxCpus: 24,
     play: async (world, seed) => {
@@ -284,15 +286,15 @@
       for (let i = 0; i < 6; i++) {
         endLeader(world, 400);
         await world.run(5000);
-        for (const n of NODES) world.killNode(n);
+        for (const node of NODES) world.killNode(node);
         after(world, 100 + 250 * seed, () => world.startNode(i % 3));
-        for (const n of NODES) after(world, 5000, () => world.startNode(n));
+        for (const node of NODES) after(world, 5000, () => world.startNode(node));
         await world.run(7000);
       }
     },
   },
   {
-    name: 'jobs bound to one zone, in one piece or spread, lose their machines',
+    name: 'jobs that are bound to one zone, in a single zone or spread lose their machines',
     seeds: [1, 2, 3],
     play: async (world, seed) => {
       await world.run(2500);
@@ -312,7 +314,7 @@
     },
   },
   {
-    name: 'more work than room, urgent and not, over slow links',
+    name: 'more work than the machines can take, urgent and not, over slow links',
     seeds: [1, 2],
     maxCpus: 0,
     play: async (world) => {
@@ -330,7 +332,7 @@
     },
   },
   {
-    name: 'workers reach no controller while commands reach them, and their jobs are called off',
+    name: 'workers reach no controller while commands reach them, and their jobs are cancelled',
     seeds: [1, 2, 3],
     maxCpus: 0,
     play: async (world, seed) => {
@@ -343,7 +345,7 @@
     },
   },
   {
-    name: 'reports are held back until a new leader has acted, and then arrive there',
+    name: 'heartbeats are held back until a new leader has acted, and then arrive there',
     seeds: [1, 2, 3],
     maxCpus: 0,
     play: async (world, seed) => {
@@ -359,15 +361,15 @@
   },
 ];
 
-for (const m of meetings) {
-  void test(m.name, async () => {
-    for (const seed of m.seeds) {
-      // With the last seed, the leader sends the workers that report to it to the other nodes.
-      const small = seed === m.seeds.at(-1) ? { controllerCpu: TINY_CPU } : {};
-      const world = new World({ seed: 5000 + seed, maxCpus: m.maxCpus ?? 24, ...small });
+for (const { name, seeds, maxCpus = 24, play } of combinations) {
+  void test(name, async () => {
+    for (const seed of seeds) {
+      // With the last seed, the leader redirects the workers that report to it to the other nodes.
+      const small = seed === seeds.at(-1) ? { controllerCpu: TINY_CPU } : {};
+      const world = new World({ seed: 5000 + seed, maxCpus, ...small });
       world.cloud.bootFailureShare = 0;
-      await m.play(world, seed);
-      await settle(world, `${m.name}, seed ${seed}`);
+      await play(world, seed);
+      await settle(world, `${name}, seed ${seed}`);
     }
   });
 }
--- a/test/sim/fleet.test.ts
+++ b/test/sim/fleet.test.ts
@@ -4,18 +4,20 @@
 import { Endpoint, ms } from '../../src/units/index.js';
 import { encodeJobSpec } from '../../src/wire/index.js';
 import { ProcessClock } from '../standin/clock.js';
+import { REGION } from '../standin/network.js';
+import { NODES } from '../standin/platform.js';
 import { World } from '../standin/world.js';
 
-/** A world whose machines all come up, so that a test finds the fleet that it counts on. */
-function sure(seed: number): World {
+/** A world whose machines all boot, so that a test finds the fleet that it counts on. */
+function reliableWorld(seed: number): World {
   const world = new World({ seed });
   world.cloud.bootFailureShare = 0;
   return world;
 }
 
 /** A world in which a long job runs and the fleet has been up for longer than any boot takes. */
-async function working(seed: number): Promise<{ world: World; fleet: string[] }> {
-  const world = sure(seed);
+async function worldWithFleet(seed: number): Promise<{ world: World; fleet: string[] }> {
+  const world = reliableWorld(seed);
   await world.run(3000);
   world.users.submit({ taskCount: 8, cpus: 3 }, 200_000);
   await world.run(70_000);
@@ -24,8 +26,8 @@
   return { world, fleet };
 }
 
-void test('a takeover keeps the fleet: listed as running and not yet heard from is no lost boot', async () => {
-  const { world, fleet } = await working(11);
+void test('a failover keeps the fleet: a machine that is listed as running and has not reported yet has not failed to boot', async () => {
+  const { world, fleet } = await worldWithFleet(11);
   const leader = world.leaderNode() ?? 0;
   world.killNode(leader);
   world.time.after(5000, () => world.startNode(leader));
@@ -37,14 +39,14 @@
   assert.deepEqual(world.violations, []);
 });
 
-void test('a machine that comes back late after a takeover is not given up because others were faster', async () => {
-  const { world, fleet } = await working(54);
+void test('a machine that reports late after a failover is not given up because others were faster', async () => {
+  const { world, fleet } = await worldWithFleet(54);
   const leader = world.leaderNode() ?? 0;
   const slow = fleet[0] ?? '';
   world.hangWorker(slow, true);
   world.killNode(leader);
   world.time.after(5000, () => world.startNode(leader));
-  // Longer than a machine that was heard before may be silent, and within its lease.
+  // Longer than a machine that has reported before may be silent, and within its lease.
   await world.run(17_000);
   world.hangWorker(slow, false);
   await world.run(30_000);
@@ -52,8 +54,8 @@
   assert.deepEqual(world.violations, []);
 });
 
-void test('an outage of the state service keeps the fleet: unanswered reports are no silence', async () => {
-  const { world, fleet } = await working(12);
+void test('an outage of the state service keeps the fleet: a machine whose heartbeats stay unanswered is not silent', async () => {
+  const { world, fleet } = await worldWithFleet(12);
   world.state.outage(true);
   await world.run(34_000);
   world.state.outage(false);
@@ -71,9 +73,9 @@
     [21, 150],
     [22, 8000],
   ] as const) {
-    const world = sure(seed);
+    const world = reliableWorld(seed);
     await world.run(3000);
-    // Its machine holds the image, has room, and is not given back meanwhile.
+    // Its machine holds the image, has free resources, and is not released meanwhile.
     const other = world.users.submit({ taskCount: 1 }, 300_000);
     await world.run(25_000);
     assert.equal(world.workers.size, 1);
@@ -95,7 +97,7 @@
 });
 
 void test('a job of very many tasks keeps its record within a value of the store', async () => {
-  const world = sure(31);
+  const world = reliableWorld(31);
   await world.run(3000);
   world.users.submit({ taskCount: 100_000, cpus: 0.1, memoryGb: 0.1 }, 2000, 60_000);
   await world.run(100_000);
@@ -105,8 +107,8 @@
   assert.deepEqual(world.users.unfinished(), []);
 });
 
-void test('a finish stays with its worker until it is in the store', async () => {
-  const world = sure(41);
+void test('a completion stays on its worker until it is in the store', async () => {
+  const world = reliableWorld(41);
   await world.run(3000);
   const other = world.users.submit({ taskCount: 1 }, 300_000);
   await world.run(25_000);
@@ -115,40 +117,40 @@
   await world.run(5000);
   const leader = world.leaderNode() ?? 0;
   world.state.outage(true);
-  // It ends while nothing can be written and the leader still answers reports; then that one dies.
+  // It completes while nothing can be written and the leader still answers heartbeats; then the leader ends.
   await world.run(3500);
   world.killNode(leader);
   world.state.outage(false);
   world.time.after(3000, () => world.startNode(leader));
   await world.run(30_000);
   assert.deepEqual(world.users.unfinished(), [`${other} running`]);
-  assert.equal(world.starts - before, 1, 'what was finished is not run again');
+  assert.equal(world.starts - before, 1, 'what was completed is not run again');
   assert.deepEqual(world.violations, []);
 });
 
-void test('a machine whose reports arrive while answers do not: its tasks go elsewhere, and then it goes', async () => {
-  const { world, fleet } = await working(51);
-  const deaf = fleet[0] ?? '';
-  // Alone, the leader hears it often enough not to miss it: each try at a dead node ends at once.
+void test('a machine whose heartbeats arrive while answers do not: its tasks run elsewhere, and it is released', async () => {
+  const { world, fleet } = await worldWithFleet(51);
+  const unreachable = fleet[0] ?? '';
+  // Alone, the leader gets its heartbeats often enough not to miss it: each try at a dead node ends at once.
   const leader = world.leaderNode();
-  for (const n of [0, 1, 2]) if (n !== leader) world.killNode(n);
-  world.dropIncoming(deaf, true);
-  const began = world.time.now;
+  for (const node of NODES) if (node !== leader) world.killNode(node);
+  world.dropIncoming(unreachable, true);
+  const beganAt = world.time.now;
   for (let i = 0; i < 6; i++) world.users.submit({ taskCount: 2, cpus: 1 }, 4000);
   await world.run(75_000);
   assert.deepEqual(
-    world.users.unfinished().filter((u) => !u.startsWith('run-000001')),
+    world.users.unfinished().filter((job) => !job.startsWith('run-000001')),
     [],
-    `after ${world.time.now - began} ms`,
+    `after ${world.time.now - beganAt} ms`,
   );
-  assert.ok(!world.workers.has(deaf));
+  assert.ok(!world.workers.has(unreachable));
   await world.run(340_000);
   assert.deepEqual(world.users.unfinished(), []);
   assert.deepEqual(world.violations, []);
 });
 
-void test('a late copy of the report of a machine that is long gone does not hold work up', async () => {
-  const world = sure(52);
+void test('a late copy of the heartbeat of a machine that is long gone delays no start', async () => {
+  const world = reliableWorld(52);
   await world.run(20_000);
   const leader = world.leaderNode() ?? 0;
   const copy = {
@@ -180,8 +182,8 @@
   assert.deepEqual(world.violations, []);
 });
 
-void test('a machine that is back at once and counts from the start again is of use again', async () => {
-  const { world, fleet } = await working(53);
+void test('a worker that restarts and numbers its heartbeats from the start is used again', async () => {
+  const { world, fleet } = await worldWithFleet(53);
   for (const id of fleet) world.restartWorker(id);
   await world.run(20_000);
   assert.deepEqual(
@@ -194,49 +196,49 @@
   assert.deepEqual(world.violations, []);
 });
 
-void test('what others may read in the store of an end is never answered older, to any question', async () => {
+void test('no request is answered with an older status than the store may already show of an end', async () => {
   // The write was carried out and its answer got lost, or it is still under way and may yet be.
-  for (const held of [false, true]) {
-    const world = sure(61);
+  for (const isHeld of [false, true]) {
+    const world = reliableWorld(61);
     await world.run(3000);
     const id = world.users.submit({ taskCount: 1 }, 300_000);
     await world.run(25_000);
     const endpoint = Endpoint(`10.0.0.${(world.leaderNode() ?? 0) + 1}:8080`);
-    const client = world.network.client('user', '.region', new ProcessClock(world.time, 0, 0));
+    const client = world.network.client('user', REGION, new ProcessClock(world.time, 0, 0));
     const ask = (path: string, body?: unknown) =>
       client.send({ endpoint, method: 'POST', path, body, timeout: ms(5000) });
-    if (held) world.network.hold('/multi');
+    if (isHeld) world.network.hold('/multi');
     else world.network.losesAnswer = (path) => path === '/multi';
     void ask(`/v1/jobs/${id}/abort`);
     // Under way, the store is asked what it holds, and the write is not repeated at once.
-    await world.run(held ? 2060 : 400);
+    await world.run(isHeld ? 2060 : 400);
     const known = world.jobs.get(id);
     assert.ok(known);
     const again = ask('/v1/jobs', encodeJobSpec(known.spec));
     await world.run(4000);
     world.network.losesAnswer = undefined;
     world.network.hold(undefined);
-    const o = await again;
-    assert.ok(o.kind === 'answer');
-    const status = (o.body as { status?: string } | undefined)?.status;
-    assert.ok(o.status === 503 || status === 'aborted', `${o.status} ${status ?? ''}`);
+    const outcome = await again;
+    assert.ok(outcome.kind === 'answer');
+    const status = (outcome.body as { status?: string } | undefined)?.status;
+    assert.ok(outcome.status === 503 || status === 'aborted', `${outcome.status} ${status ?? ''}`);
   }
 });
 
-void test('over a thousand machines: all come back to a new leader, and none is given up', async () => {
+void test('over a thousand machines: all report to a new leader, and none is given up', async () => {
   const world = new World({ seed: 71, maxCpus: 0 });
   world.cloud.bootFailureShare = 0;
   world.provideMachines(1050);
-  // All have been kept busy for longer than the shortest time a machine is paid for.
+  // All have been busy for longer than the shortest time that a machine is paid for.
   for (let i = 0; i < 20; i++)
     world.users.submit({ taskCount: 100, cpus: 4, expectedRuntimeSeconds: 60 }, 60_000);
   await world.run(24_000);
   const fleet = [...world.workers.keys()];
   assert.ok(fleet.length >= 1050);
-  const busy = world.starts;
-  assert.ok(busy >= 1900, `${busy} started`);
-  for (const n of [0, 1, 2]) world.killNode(n);
-  for (const n of [0, 1, 2]) world.time.after(5000, () => world.startNode(n));
+  const { starts } = world;
+  assert.ok(starts >= 1900, `${starts} started`);
+  for (const node of NODES) world.killNode(node);
+  for (const node of NODES) world.time.after(5000, () => world.startNode(node));
   await world.run(22_000);
   assert.deepEqual(
     fleet.filter((id) => !world.workers.has(id)),
@@ -248,8 +250,8 @@
   assert.deepEqual(world.violations, []);
 });
 
-void test('a leader of long standing: its key is older than what the store keeps, and watches stay few', async () => {
-  const world = sure(81);
+void test('a leader whose key is older than the changes that the store keeps starts few watches', async () => {
+  const world = reliableWorld(81);
   world.state.maxChanges = 10;
   await world.run(3000);
   for (let i = 0; i < 10; i++) world.users.submit({ taskCount: 2, cpus: 1 }, 3000);
--- a/test/sim/gangs.test.ts
+++ b/test/sim/gangs.test.ts
@@ -21,7 +21,7 @@
   return gang;
 }
 
-/** A world in which one gang runs; `fetchS`: how long its image takes. */
+/** A world in which one gang is submitted. */
 async function worldWithGang(seed: number, change: Partial<JobSpec>, runMs: number) {
   const world = new World({ seed });
   await world.run(2500);
@@ -77,7 +77,7 @@
   await settle(world, 'lost before it ran');
 });
 
-void test('a gang whose machine is taken with notice saves as a whole', async () => {
+void test('a gang whose machine is reclaimed with notice saves as a whole', async () => {
   const { world, id, gang } = await worldWithGang(41, {}, 40_000);
   await untilRunning(world, gang);
   await world.run(2500);
@@ -126,7 +126,7 @@
   }
 });
 
-void test('the state service lowers its limits while wide jobs and gangs come and the leader ends', async () => {
+void test('the state service lowers its limits while wide jobs and gangs are submitted and the leader ends', async () => {
   for (const seed of [71, 72, 73, 74]) {
     const nextStateLimits = { value_kb: 2, txn_ops: 4, write_rps: 12 };
     const world = new World({ seed, maxCpus: 0, nextStateLimits });
--- a/test/sim/rules.test.ts
+++ b/test/sim/rules.test.ts
@@ -5,7 +5,7 @@
 import { World } from '../standin/world.js';
 
 /** Does something to the leader as its nth message leaves. */
-function atMessage(world: World, n: number, act: (leader: number) => void): void {
+function atLeaderMessage(world: World, n: number, act: (leader: number) => void): void {
   let left = n;
   world.network.onSend = (from) => {
     const leader = world.leaderNode();
@@ -30,10 +30,10 @@
 
 void test('the leader is killed at every step', async () => {
   // The nth message of the leader is the last thing it does; what was sent before still arrives.
-  for (let step = 1; step <= 60; step += 1) {
+  for (let step = 1; step <= 60; step++) {
     const world = new World({ seed: 100 + step });
     await world.run(2000);
-    atMessage(world, step, (leader) => {
+    atLeaderMessage(world, step, (leader) => {
       world.killNode(leader);
       world.time.after(step % 3 === 0 ? 200 : 5000, () => world.startNode(leader));
     });
@@ -78,19 +78,19 @@
   }
 });
 
-void test('the leader stands still at every step, for a moment or for several leases', async () => {
-  for (let step = 1; step <= 45; step += 1) {
+void test('the leader is frozen at every step, for a moment or for several leases', async () => {
+  for (let step = 1; step <= 45; step++) {
     const world = new World({ seed: 400 + step });
     await world.run(2000);
-    atMessage(world, step, (leader) => {
+    atLeaderMessage(world, step, (leader) => {
       world.freezeNode(leader, true);
-      const still = [200, 3000, 5000, 13_000][step % 4] ?? 0;
-      world.time.after(still, () => world.freezeNode(leader, false));
+      const frozenMs = [200, 3000, 5000, 13_000][step % 4] ?? 0;
+      world.time.after(frozenMs, () => world.freezeNode(leader, false));
     });
     world.users.submit({ taskCount: 3 }, 3000);
     world.users.submit({ taskCount: 2, cpus: 4 }, 6000, step % 2 === 0 ? 9000 : undefined);
     await world.run(30_000);
-    await settle(world, `still at step ${step}`);
+    await settle(world, `frozen at step ${step}`);
   }
 });
 
