--- a/test/standin/judge.ts
+++ b/test/standin/judge.ts
@@ -166,7 +166,7 @@
     const { spec } = job;
     let used = 0;
     for (const { worker } of this.world.workers.values()) {
-      for (const task of worker.tasks()) {
+      for (const task of worker.taskNames()) {
         if (task.startsWith(`${id}/`)) return false;
         used += this.world.tasks.cpusOf(task);
       }
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -14,7 +14,7 @@
 import { encodeJobSpec, type MachineType, type JobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 import { Loopback } from './loopback.js';
-import type { TaskFacts } from './worker.js';
+import type { TaskFacts } from './worker-tasks.js';
 
 const options = new Command()
   .option('--main <file...>', 'builds to run, one after the other', ['target/main.js'])
@@ -211,7 +211,10 @@
   }
 
   private heartbeatCount(): number {
-    return [...this.loopback.workers.values()].reduce((sum, r) => sum + r.worker.sentCount, 0);
+    return [...this.loopback.workers.values()].reduce(
+      (sum, { worker }) => sum + worker.sentCount,
+      0,
+    );
   }
 
   private factsOf(task: string): TaskFacts | undefined {
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -9,7 +9,8 @@
 import { Cloud, type RentedMachine } from './cloud.js';
 import type { Handler } from './network.js';
 import { StateService, type StateLimits } from './state.js';
-import { Worker, type WorkerWorld } from './worker.js';
+import type { WorkerWorld } from './worker-tasks.js';
+import { Worker } from './worker.js';
 
 /** What the stand-ins are to be like. */
 export interface LoopbackOptions {
--- a/test/standin/machines.ts
+++ b/test/standin/machines.ts
@@ -5,7 +5,8 @@
 import { machineTypes } from './machine-types.js';
 import type { Network } from './network.js';
 import type { Platform } from './platform.js';
-import { Worker, type WorkerWorld } from './worker.js';
+import type { WorkerWorld } from './worker-tasks.js';
+import { Worker } from './worker.js';
 
 /** What machines need of the world around them. */
 export interface MachinesWorld {
--- a/test/standin/tasks.ts
+++ b/test/standin/tasks.ts
@@ -1,6 +1,6 @@
 /** What workers see of the jobs that users submitted, and where each task is at every moment. */
 import type { UserJob } from './users.js';
-import type { TaskFacts, WorkerWorld } from './worker.js';
+import type { TaskFacts, WorkerWorld } from './worker-tasks.js';
 
 /** One task of a job. */
 export interface Task {
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -1,55 +1,9 @@
-/** A worker, from the protocol: heartbeats, sessions, fencing tokens, its lease, and commands. */
+/** A worker, from the protocol: heartbeats, sessions, fencing tokens, its lease, and who may command it. */
 import type { HttpClient, Outcome } from '../../src/net/http.js';
 import { Endpoint, ms, type Clock, type Random } from '../../src/units/index.js';
 import type { RentedMachine } from './cloud.js';
-import type { GangMember, GangRun } from './gang-run.js';
 import type { Answer } from './network.js';
-
-/** A command as it is sent. */
-interface CommandMessage {
-  readonly verb: 'launch' | 'kill' | 'clear';
-  readonly entry: string;
-  readonly try: number;
-  readonly wind_down_s?: number;
-}
-
-/** One attempt of a task on this worker. */
-interface HeldTask {
-  readonly task: string;
-  readonly attempt: number;
-  readonly cpus: number;
-  /** As the protocol names it. */
-  state: 'fetching' | 'gathering' | 'running' | 'flushing' | 'exited';
-  /** Why it exited, as the protocol names it. */
-  cause: string | undefined;
-  isSaved: boolean;
-  /** Its part in a gang, from when it has its image. */
-  member: GangMember | undefined;
-}
-
-/** What a worker fetches of a task. */
-export interface TaskFacts {
-  readonly cpus: number;
-  readonly runMs: number;
-  /** How long its image takes to fetch. */
-  readonly fetchMs: number;
-  readonly image: string;
-  /** How long it takes to save when it is stopped; undefined if it can't. */
-  readonly checkpointMs?: number | undefined;
-  readonly gang?: GangRun | undefined;
-}
-
-/** What a worker shares with the world around it. Tasks are named `<job>/<index>`. */
-export interface WorkerWorld {
-  /** Undefined if the task was never submitted. */
-  facts(task: string): TaskFacts | undefined;
-  /** The task has its image and is on the machine from now on. */
-  onTaskStarted(machine: string, task: string): void;
-  /** It no longer is. */
-  onTaskLeft(machine: string, task: string): void;
-  onTaskCompleted(task: string): void;
-  isCompleted(task: string): boolean;
-}
+import { WorkerTasks, type CommandMessage, type WorkerWorld } from './worker-tasks.js';
 
 /** A controller as workers know it. */
 export interface ControllerAddress {
@@ -77,18 +31,12 @@
 /** Heartbeats that report a change, or follow a failed one, keep this distance. */
 const MIN_HEARTBEAT_INTERVAL = 500;
 
-const occupiesMachine = ({ state }: HeldTask): boolean =>
-  state !== 'fetching' && state !== 'exited';
-
-const keyOf = (task: string, attempt: number): string => `${task}#${attempt}`;
-
 /** The worker on one machine. */
 export class Worker {
   private session = 1;
   private sequence = 0;
   private fencingToken = 0;
-  private readonly held = new Map<string, HeldTask>();
-  private readonly images = new Set<string>();
+  private readonly tasks: WorkerTasks;
   /** Index of the controller that it reports to, counted on past the end. */
   private controller: number;
   private leaseFrom: number;
@@ -109,38 +57,39 @@
   constructor(private readonly options: WorkerOptions) {
     this.controller = Math.floor(options.random() * options.controllers.length);
     this.leaseFrom = options.clock.steady();
+    this.tasks = new WorkerTasks({
+      machine: options.machine.id,
+      cpus: options.cpus,
+      world: options.world,
+      isHung: () => this.isHung,
+      after: (delay, run) => this.after(delay, run),
+      onChanged: () => {
+        this.wantsHeartbeat = true;
+      },
+    });
     this.loop();
     this.watchLease();
   }
 
-  /** The tasks that are on it, or for which it fetches the image. */
-  tasks(): string[] {
-    return [...this.held.values()]
-      .filter(({ state }) => state !== 'exited')
-      .map(({ task }) => task);
+  /** The names of the tasks that are on it, or for which it fetches the image. */
+  taskNames(): string[] {
+    return this.tasks.names();
   }
 
+  /** The processors that its tasks leave. */
   freeCpus(): number {
-    return this.options.cpus - this.usedCpus(0);
-  }
-
-  /** The processors that its tasks take beside `others`. */
-  private usedCpus(others: number): number {
-    let used = others;
-    for (const { state, cpus } of this.held.values()) if (state !== 'exited') used += cpus;
-    return used;
+    return this.tasks.freeCpus();
   }
 
   /** Ends it for good, with its machine. */
   kill(): void {
     this.isDead = true;
-    this.dropAll();
+    this.tasks.dropAll();
   }
 
   /** It is gone and back at once, with nothing of what it knew. */
   restart(): void {
-    this.dropAll();
-    this.images.clear();
+    this.tasks.reset();
     this.session = 1;
     this.sequence = 0;
     this.fencingToken = 0;
@@ -161,7 +110,7 @@
       return { status: 409, body: this.heartbeat() };
     }
     this.noteToken(baton);
-    for (const command of orders) this.execute(command);
+    for (const command of orders) this.tasks.execute(command);
     return { status: 200, body: this.heartbeat() };
   }
 
@@ -174,18 +123,6 @@
     });
   }
 
-  private dropAll(): void {
-    for (const held of this.held.values()) this.release(held);
-    this.held.clear();
-  }
-
-  /** A task is no longer on the machine, and no longer part of its gang. */
-  private release(held: HeldTask): void {
-    const { machine, world } = this.options;
-    if (occupiesMachine(held)) world.onTaskLeft(machine.id, held.task);
-    if (held.member) world.facts(held.task)?.gang?.leave(held.member);
-  }
-
   // --- heartbeats ---------------------------------------------------------------------------------
 
   /** Runs while the machine hangs too: one that hangs may go on within its lease, and no later. */
@@ -194,7 +131,7 @@
     clock.after(LEASE_CHECK_INTERVAL, () => {
       if (this.isDead) return;
       if (clock.steady() - this.leaseFrom > times.leaseMs) {
-        this.dropAll();
+        this.tasks.dropAll();
         this.session++;
         this.leaseFrom = clock.steady();
         this.wantsHeartbeat = true;
@@ -231,13 +168,7 @@
         this.reclaimedAt === undefined
           ? null
           : Math.max(0, (this.reclaimedAt - clock.steady()) / 1000),
-      entries: [...this.held.values()].map(({ task, attempt, state, cause, isSaved }) => ({
-        entry: task,
-        try: attempt,
-        status: state,
-        ...(cause === undefined ? {} : { cause }),
-        ...(isSaved ? { kept: true } : {}),
-      })),
+      entries: this.tasks.statuses(),
     };
   }
 
@@ -272,7 +203,7 @@
     this.noteToken(baton);
     this.leaseFrom = sentAt;
     this.renewalCount++;
-    for (const command of orders) this.execute(command);
+    for (const command of orders) this.tasks.execute(command);
   }
 
   /** Turns to the controller that a 421 names, or else to the next one after a pause. */
@@ -301,110 +232,4 @@
       this.wantsHeartbeat = true;
     }
   }
-
-  // --- tasks --------------------------------------------------------------------------------------
-
-  private execute(command: CommandMessage): void {
-    const key = keyOf(command.entry, command.try);
-    const held = this.held.get(key);
-    if (command.verb === 'launch') {
-      if (!held) this.launch(command.entry, command.try);
-    } else if (command.verb === 'kill') {
-      if (held && held.state !== 'exited') this.stop(held, (command.wind_down_s ?? 0) * 1000);
-    } else if (held?.state === 'exited') this.held.delete(key);
-  }
-
-  private launch(task: string, attempt: number): void {
-    const facts = this.options.world.facts(task);
-    const refusal = this.refusalOf(task, facts);
-    const held: HeldTask = {
-      task,
-      attempt,
-      state: 'fetching',
-      cause: undefined,
-      isSaved: false,
-      member: undefined,
-      cpus: facts?.cpus ?? 0,
-    };
-    this.wantsHeartbeat = true;
-    this.held.set(keyOf(task, attempt), held);
-    if (!facts || refusal !== undefined) {
-      this.exit(held, refusal ?? 'no_such');
-      return;
-    }
-    const fetchMs = this.images.has(facts.image) ? 0 : facts.fetchMs;
-    this.after(fetchMs, () => {
-      if (this.isCurrent(held)) this.start(held, facts);
-    });
-  }
-
-  /** Why a start is refused, as the protocol names it; undefined if it is not. */
-  private refusalOf(task: string, facts: TaskFacts | undefined): string | undefined {
-    if (!facts) return 'no_such';
-    if (this.tasks().includes(task)) return 'in_use';
-    return this.usedCpus(facts.cpus) > this.options.cpus ? 'full' : undefined;
-  }
-
-  private start(held: HeldTask, facts: TaskFacts): void {
-    const { machine, world } = this.options;
-    const { task } = held;
-    this.images.add(facts.image);
-    world.onTaskStarted(machine.id, task);
-    if (facts.gang) {
-      this.join(held, facts.gang);
-      return;
-    }
-    held.state = 'running';
-    this.wantsHeartbeat = true;
-    this.after(world.isCompleted(task) ? 0 : facts.runMs, () => {
-      if (!this.isCurrent(held)) return;
-      world.onTaskCompleted(task);
-      this.exit(held, 'done');
-    });
-  }
-
-  /** Whether a task is still held and has not exited. */
-  private isCurrent(held: HeldTask): boolean {
-    return this.held.get(keyOf(held.task, held.attempt)) === held && held.state !== 'exited';
-  }
-
-  /** The task of a gang has its image: from now on it does what its gang does. */
-  private join(held: HeldTask, gang: GangRun): void {
-    const changeLater = (change: () => void): void => {
-      this.after(0, () => {
-        if (this.isCurrent(held)) change();
-      });
-    };
-    const setState = (state: HeldTask['state']): void => {
-      held.state = state;
-      this.wantsHeartbeat = true;
-    };
-    held.member = {
-      index: Number(held.task.split('/')[1]),
-      attempt: held.attempt,
-      isHung: () => this.isHung,
-      run: () => changeLater(() => setState('running')),
-      save: () => setState('flushing'),
-      exit: (cause, isSaved) => changeLater(() => this.exit(held, cause, isSaved)),
-    };
-    setState('gathering');
-    gang.join(held.member);
-  }
-
-  /** Stops a task. The task of a gang saves first if there is enough time. */
-  private stop(held: HeldTask, graceMs: number): void {
-    const facts = this.options.world.facts(held.task);
-    const canSave = facts?.checkpointMs !== undefined && graceMs >= facts.checkpointMs;
-    if (held.state === 'flushing' && graceMs > 0) return;
-    if (held.state === 'running' && held.member && canSave) facts.gang?.stop(held.member);
-    else this.exit(held, 'halted');
-  }
-
-  private exit(held: HeldTask, cause: string, isSaved = false): void {
-    this.release(held);
-    held.state = 'exited';
-    held.cause = cause;
-    if (isSaved) held.isSaved = true;
-    this.wantsHeartbeat = true;
-  }
 }
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -164,7 +164,7 @@
   /** The machines that hold a task of a job, with its image or not yet. */
   machinesHolding(job: string): string[] {
     return [...this.workers]
-      .filter(([, { worker }]) => worker.tasks().some((task) => task.startsWith(`${job}/`)))
+      .filter(([, { worker }]) => worker.taskNames().some((task) => task.startsWith(`${job}/`)))
       .map(([id]) => id);
   }
 
