--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,18 +1,78 @@
+/** The command line: what the process is to do, by its arguments and the files that they name. */
 import { Command, CommanderError } from 'commander';
 import { defaultsFor, type OperatorSettings } from '../config/operator.js';
 import { SettingsError, readSettings, type Settings } from '../config/settings.js';
 
-export const VERSION = '0.1.0';
+/** That of package.json. */
+const VERSION = '0.1.0';
 
-export type Start =
-  | { kind: 'run'; settings: Settings; operator: OperatorSettings }
-  | { kind: 'exit'; code: number; out?: string; err?: string };
+/** The status of a process whose arguments are wrong, and of one whose settings are. */
+const USAGE_STATUS = 2;
+const SETTINGS_STATUS = 1;
 
-/** What the command line asks for: to run, or to end with a word and a status. */
-export async function parseCommandLine(argv: readonly string[]): Promise<Start> {
-  let out = '';
-  let err = '';
-  const command = new Command('topazpin')
+/** To run, or to print something and end. */
+export type CommandLine =
+  | { readonly kind: 'run'; readonly settings: Settings; readonly operator: OperatorSettings }
+  | {
+      readonly kind: 'exit';
+      readonly exitCode: number;
+      /** Texts to print, mostly empty. */
+      readonly stdout: string;
+      readonly stderr: string;
+    };
+
+interface Options {
+  readonly config?: string;
+  readonly operator?: string;
+  readonly check?: boolean;
+}
+
+const printed = (stdout: string): CommandLine => ({
+  kind: 'exit',
+  exitCode: 0,
+  stdout,
+  stderr: '',
+});
+
+const failed = (exitCode: number, reason: string): CommandLine => ({
+  kind: 'exit',
+  exitCode,
+  stdout: '',
+  stderr: `topazpin: ${reason}\n`,
+});
+
+/** What the arguments ask for. Wrong arguments and settings are outcomes; anything else is thrown. */
+export async function parseCommandLine(argv: readonly string[]): Promise<CommandLine> {
+  let stdout = '';
+  let stderr = '';
+  const command = createCommand().configureOutput({
+    writeOut: (text) => (stdout += text),
+    writeErr: (text) => (stderr += text),
+  });
+  const misused = (reason: string): CommandLine =>
+    failed(USAGE_STATUS, `${reason}\nusage: topazpin ${command.usage()}`);
+  try {
+    command.parse(argv, { from: 'user' });
+  } catch (error) {
+    if (!(error instanceof CommanderError)) throw error;
+    if (error.exitCode === 0) return printed(stdout);
+    return misused(stderr.trim().replace(/^error: /, ''));
+  }
+  const { config, operator, check } = command.opts<Options>();
+  if (config === undefined) return misused('--config is missing');
+  try {
+    const settings = readSettings(config);
+    const operatorSettings = await readOperatorSettings(settings, operator);
+    if (check) return printed('settings are valid\n');
+    return { kind: 'run', settings, operator: operatorSettings };
+  } catch (error) {
+    if (error instanceof SettingsError) return failed(SETTINGS_STATUS, error.message);
+    throw error;
+  }
+}
+
+const createCommand = (): Command =>
+  new Command('topazpin')
     .description('A cluster scheduler: rents machines, commands workers, answers for every job')
     .usage('--config FILE [--operator FILE] [--check]')
     .option('--config <file>', 'settings that the platform hands over (JSON)')
@@ -21,36 +81,16 @@
     .version(VERSION, '--version', 'print the version')
     .helpOption('--help', 'print this help')
     .allowExcessArguments(false)
-    .exitOverride()
-    .configureOutput({ writeOut: (s) => (out += s), writeErr: (s) => (err += s) });
-  const usage = (why: string): Start => ({
-    kind: 'exit',
-    code: 2,
-    err: `topazpin: ${why}\nusage: topazpin ${command.usage()}\n`,
-  });
-  try {
-    command.parse(argv, { from: 'user' });
-  } catch (e) {
-    if (!(e instanceof CommanderError)) throw e;
-    if (e.exitCode === 0) return { kind: 'exit', code: 0, out };
-    return usage(err.trim().replace(/^error: /, ''));
-  }
-  const opts = command.opts<{ config?: string; operator?: string; check?: boolean }>();
-  if (opts.config === undefined) return usage('--config is missing');
-  try {
-    const settings = readSettings(opts.config);
-    let operator = defaultsFor(settings.workers);
-    if (opts.operator !== undefined) {
-      // Loaded only where it is used: start-up counts on small machines.
-      const config = await import('../config/operator-file.js');
-      operator = config.readOperator(opts.operator);
-      config.checkTogether(settings, operator);
-    }
-    if (opts.check) return { kind: 'exit', code: 0, out: 'settings are valid\n' };
-    return { kind: 'run', settings, operator };
-  } catch (e) {
-    if (e instanceof SettingsError)
-      return { kind: 'exit', code: 1, err: `topazpin: ${e.message}\n` };
-    throw e;
-  }
+    .exitOverride();
+
+async function readOperatorSettings(
+  settings: Settings,
+  file: string | undefined,
+): Promise<OperatorSettings> {
+  if (file === undefined) return defaultsFor(settings.workers);
+  // Loaded only where it is used: start-up counts on small machines.
+  const { checkTogether, readOperator } = await import('../config/operator-file.js');
+  const operator = readOperator(file);
+  checkTogether(settings, operator);
+  return operator;
 }
--- a/test/unit/config.test.ts
+++ b/test/unit/config.test.ts
@@ -114,11 +114,10 @@
       [['--config', join(dir, 'none.json')], 1, /cannot read/],
     ];
     for (const [argv, code, text] of cases) {
-      const start = await parseCommandLine(argv);
-      assert.equal(start.kind, 'exit', argv.join(' '));
-      if (start.kind !== 'exit') continue;
-      assert.equal(start.code, code, argv.join(' '));
-      assert.match(`${start.out ?? ''}${start.err ?? ''}`, text);
+      const commandLine = await parseCommandLine(argv);
+      assert.ok(commandLine.kind === 'exit', argv.join(' '));
+      assert.equal(commandLine.exitCode, code, argv.join(' '));
+      assert.match(`${commandLine.stdout}${commandLine.stderr}`, text);
     }
     assert.equal((await parseCommandLine(['--config', good])).kind, 'run');
     // What is deployed is a bundle of all this: it must find every library that it is made of.
