--- a/src/api/app.ts
+++ b/src/api/app.ts
@@ -3,10 +3,13 @@
 import type { Logger } from 'pino';
 import { readBody } from '../net/http.js';
 import { CONTENT_TYPE, MAX_BODY, encode } from '../wire/index.js';
-import { METHOD_NOT_ALLOWED, TRY_AGAIN, type Reply } from './reply.js';
+import { BODY_TOO_LONG, METHOD_NOT_ALLOWED, TRY_AGAIN, type Reply } from './reply.js';
 import type { UserRequests } from './user-requests.js';
 import type { WorkerHeartbeats } from './worker-heartbeats.js';
 
+const HEALTH_PATH = '/up';
+const HEARTBEAT_PATH = '/agent/beat';
+
 /** What answers the requests of each kind. */
 export interface RequestHandlers {
   readonly userRequests: Pick<UserRequests, 'handle'>;
@@ -14,11 +17,12 @@
   health(): Reply;
 }
 
-export function createApp(endpoints: RequestHandlers, log: Logger): Koa {
+/** The application that reads each request, has it answered and encodes the reply. */
+export function createApp(handlers: RequestHandlers, log: Logger): Koa {
   const app = new Koa();
-  app.on('error', (e: Error) => log.debug({ err: e.message }, 'connection error'));
+  app.on('error', (error: Error) => log.debug({ err: error.message }, 'connection error'));
   app.use(async (ctx) => {
-    const reply = await answer(endpoints, ctx, log);
+    const reply = await answer(handlers, ctx, log);
     ctx.status = reply.status;
     if (reply.retryAfter !== undefined) ctx.set('Retry-After', String(reply.retryAfter));
     if (reply.close) ctx.set('Connection', 'close');
@@ -28,19 +32,21 @@
   return app;
 }
 
-async function answer(endpoints: RequestHandlers, ctx: Koa.Context, log: Logger): Promise<Reply> {
+async function answer(handlers: RequestHandlers, ctx: Koa.Context, log: Logger): Promise<Reply> {
   try {
-    if (ctx.path === '/up') return ctx.method === 'GET' ? endpoints.health() : METHOD_NOT_ALLOWED;
+    if (ctx.path === HEALTH_PATH) {
+      return ctx.method === 'GET' ? handlers.health() : METHOD_NOT_ALLOWED;
+    }
     const body = await readBody(ctx.req, MAX_BODY);
-    if (!body) return { status: 400, body: { error: 'body over 64 KiB' } };
-    if (ctx.path === '/agent/beat') {
+    if (!body) return BODY_TOO_LONG;
+    if (ctx.path === HEARTBEAT_PATH) {
       return ctx.method === 'POST'
-        ? await endpoints.workerHeartbeats.handle(body)
+        ? await handlers.workerHeartbeats.handle(body)
         : METHOD_NOT_ALLOWED;
     }
-    return await endpoints.userRequests.handle(ctx.method, ctx.path, body);
-  } catch (e) {
-    log.error({ err: e }, 'request failed');
+    return await handlers.userRequests.handle(ctx.method, ctx.path, body);
+  } catch (error) {
+    log.error({ err: error }, 'request failed');
     return TRY_AGAIN;
   }
 }
--- /dev/null
+++ b/src/api/job-queries.ts
@@ -0,0 +1,94 @@
+/** Questions about a job, and cancellations: answered by the leader, or else by what the store holds. */
+import type { JobRecords } from '../ledger/job-records.js';
+import type { JobAnswer } from '../leader/job-requests.js';
+import type { Term } from '../leader/term.js';
+import { JobId, later, ms, since, sleep, type Clock } from '../units/index.js';
+import { JOB_ID } from '../wire/index.js';
+import { STORE_ANSWER_TTL, jobAnswerReply, storedJobReply } from './job-replies.js';
+import { askLeader } from './leader-call.js';
+import type { Leadership, Relaying } from './leadership.js';
+import { NO_SUCH_JOB, TRY_AGAIN, type Reply } from './reply.js';
+
+const READ_TIMEOUT = ms(1200);
+const CANCEL_TIMEOUT = ms(1500);
+/** How long, and how often, a cancellation asked for through the store is looked for there. */
+const CANCEL_WATCH_TIME = ms(1500);
+const CANCEL_POLL_INTERVAL = ms(300);
+
+/** Reads and cancels jobs that exist. */
+export class JobQueries {
+  constructor(
+    private readonly leadership: Leadership,
+    private readonly jobRecords: JobRecords,
+    private readonly clock: Clock,
+  ) {}
+
+  /** The state of a job; `TRY_AGAIN` if that is not certain. */
+  async read(id: string, relaying: Relaying): Promise<Reply> {
+    if (!JOB_ID.test(id)) return NO_SUCH_JOB;
+    const responder = this.leadership.responder(relaying);
+    if (responder.kind === 'term') {
+      const { term } = responder;
+      return this.replyUnder(term, id, await term.findJob(JobId(id)), NO_SUCH_JOB);
+    }
+    if (responder.kind === 'leader') {
+      const response = await askLeader(responder.peer, { type: 'readJob', job: id }, READ_TIMEOUT);
+      if (response.kind === 'answered') return response.reply;
+    }
+    return this.readFromStore(id);
+  }
+
+  private async readFromStore(id: string): Promise<Reply> {
+    const askedAt = this.clock.steady();
+    const stored = await this.jobRecords.lookup(JobId(id));
+    // What is not final may have changed while a late answer was under way, and its user may know that.
+    const isLate = since(askedAt, this.clock.steady()) > STORE_ANSWER_TTL;
+    return isLate && stored.kind !== 'final' ? TRY_AGAIN : storedJobReply(id, stored);
+  }
+
+  /** Cancels a job and answers with its state once that is committed; `TRY_AGAIN` if that is not known. */
+  async cancel(id: string, relaying: Relaying): Promise<Reply> {
+    if (!JOB_ID.test(id)) return NO_SUCH_JOB;
+    const responder = this.leadership.responder(relaying);
+    if (responder.kind === 'term') {
+      const { term } = responder;
+      return this.replyUnder(term, id, await term.cancelJob(JobId(id)), NO_SUCH_JOB);
+    }
+    if (responder.kind === 'leader') {
+      const request = { type: 'cancelJob', job: id } as const;
+      const response = await askLeader(responder.peer, request, CANCEL_TIMEOUT);
+      if (response.kind === 'answered') return response.reply;
+    }
+    return this.cancelInStore(id, relaying);
+  }
+
+  private async cancelInStore(id: string, relaying: Relaying): Promise<Reply> {
+    const stored = await this.jobRecords.cancel(JobId(id));
+    if (stored.kind !== 'unknown') return storedJobReply(id, stored);
+    // There is a leader that we can't reach: it is asked through the store, where it will answer.
+    if (relaying === 'answerHere' || !(await this.jobRecords.requestCancellation(JobId(id)))) {
+      return TRY_AGAIN;
+    }
+    return this.awaitCancellation(id);
+  }
+
+  private async awaitCancellation(id: string): Promise<Reply> {
+    const until = later(this.clock.steady(), CANCEL_WATCH_TIME);
+    while (this.clock.steady() < until) {
+      await sleep(this.clock, CANCEL_POLL_INTERVAL);
+      const stored = await this.jobRecords.lookup(JobId(id));
+      if (stored.kind === 'final' || (stored.kind === 'live' && stored.job.cancelled)) {
+        return storedJobReply(id, stored);
+      }
+    }
+    return TRY_AGAIN;
+  }
+
+  /** The reply that an answer of our term allows; `absent` is the reply if there is no such job. */
+  replyUnder(term: Term, id: string, answer: JobAnswer, absent: Reply): Reply {
+    // While this process waited, or stood still, another node may have begun to lead and have answered
+    // users with a later state than the one known here. What is final stays as it is.
+    const isAuthorised = answer.kind === 'final' || this.leadership.authorisedTerm() === term;
+    return isAuthorised ? jobAnswerReply(id, answer, absent) : TRY_AGAIN;
+  }
+}
--- /dev/null
+++ b/src/api/leader-call.ts
@@ -0,0 +1,31 @@
+/** A user's request that this node passes on to the leader. */
+import type { Peer } from '../peer/channel.js';
+import type { UserPeerRequest } from '../peer/messages.js';
+import type { DurationMs } from '../units/index.js';
+import type { Reply } from './reply.js';
+
+/** How a request to the leader ended. */
+export type LeaderResponse =
+  | { readonly kind: 'answered'; readonly reply: Reply }
+  /** No response, or one that settles nothing: the request may still be carried out. */
+  | { readonly kind: 'unanswered' };
+
+const UNANSWERED: LeaderResponse = { kind: 'unanswered' };
+
+/** Asks a node that is taken for the leader. */
+export async function askLeader(
+  leader: Peer,
+  request: UserPeerRequest,
+  timeout: DurationMs,
+): Promise<LeaderResponse> {
+  const response = await leader.request(request, timeout);
+  if (response?.type !== 'userResponse') return UNANSWERED;
+  // A 503 of the node we took for the leader says no more than that it is not ready.
+  if (response.status === 503) return UNANSWERED;
+  const reply: Reply = {
+    status: response.status,
+    ...(response.body.length > 0 ? { body: response.body } : {}),
+    ...(response.retryAfter > 0 ? { retryAfter: response.retryAfter } : {}),
+  };
+  return { kind: 'answered', reply };
+}
--- a/src/api/leadership.ts
+++ b/src/api/leadership.ts
@@ -1,9 +1,22 @@
-/** Who leads, as far as a request is concerned: this node, another that can be reached, or nobody. */
+/** Who leads, as far as a request is concerned: this node, another that can be reached, or none. */
 import type { Election } from '../leader/election.js';
 import type { Term } from '../leader/term.js';
 import type { Peer } from '../peer/channel.js';
 import type { NodeId } from '../units/index.js';
 
+/** Whether a request may be passed on to the leader: one that another node passed on to us may not. */
+export type Relaying = 'relay' | 'answerHere';
+
+/** What a user's request is answered by. */
+export type Responder =
+  /** This node leads and knows the records. */
+  | { readonly kind: 'term'; readonly term: Term }
+  /** Another node leads and answers us. */
+  | { readonly kind: 'leader'; readonly peer: Peer }
+  /** No leader can be asked: the store is all there is. */
+  | { readonly kind: 'store' };
+
+/** The node's own term, and its way to the leader if that is another node. */
 export class Leadership {
   /** The term that this node leads, whether or not its authority stands at this moment. */
   term: Term | undefined;
@@ -20,6 +33,15 @@
     return epoch !== undefined && term?.epoch === epoch && !term.isClosed ? term : undefined;
   }
 
+  /** What a user's request is answered by at this moment. */
+  responder(relaying: Relaying): Responder {
+    const term = this.authorisedTerm();
+    if (term?.isReady) return { kind: 'term', term };
+    // A leader that still reads the records has no other to ask, and requests must not go in circles.
+    const peer = term || relaying === 'answerHere' ? undefined : this.leaderPeer();
+    return peer ? { kind: 'leader', peer } : { kind: 'store' };
+  }
+
   /** Who holds the leader key, as far as this node knows. */
   leaderNode(): NodeId | undefined {
     return this.election.leader();
--- a/src/api/peer-requests.ts
+++ b/src/api/peer-requests.ts
@@ -12,47 +12,55 @@
 /** What the rest of the node does with what peers say. */
 export interface PeerEvents {
   onImageHints(machines: readonly MachineImages[]): void;
+  /** Takes a peer's status in, and returns our own. */
   onHeartbeat(status: PeerStatus): PeerStatus;
 }
 
+/** What peers' requests need of the rest of the node. */
+export interface PeerRequestDependencies {
+  readonly leadership: Leadership;
+  readonly userRequests: UserRequests;
+  readonly workerHeartbeats: WorkerHeartbeats;
+  readonly http: HttpClient;
+  readonly events: PeerEvents;
+}
+
+/** Answers the other controllers. */
 export class PeerRequests {
-  constructor(
-    private readonly leadership: Leadership,
-    private readonly users: UserRequests,
-    private readonly workerHeartbeats: WorkerHeartbeats,
-    private readonly http: HttpClient,
-    private readonly events: PeerEvents,
-  ) {}
+  constructor(private readonly deps: PeerRequestDependencies) {}
 
+  /** The response to a request, by its type. */
   async handle(request: PeerRequest): Promise<PeerResponse> {
+    const { events, http, userRequests, workerHeartbeats } = this.deps;
     switch (request.type) {
       case 'peerHeartbeat':
-        return { type: 'peerStatus', status: this.events.onHeartbeat(request.status) };
+        return { type: 'peerStatus', status: events.onHeartbeat(request.status) };
       case 'imageHints':
-        this.events.onImageHints(request.machines);
+        events.onImageHints(request.machines);
         return { type: 'acknowledged', ok: true };
       case 'jobNotice':
-        return { type: 'acknowledged', ok: await this.findJob(request.job) };
+        return { type: 'acknowledged', ok: await this.adoptJob(JobId(request.job)) };
       case 'workerHeartbeats':
-        return this.workerHeartbeats.handleRelayed(request.node, request.epoch, request.heartbeats);
+        return workerHeartbeats.handleRelayed(request.node, request.epoch, request.heartbeats);
       case 'sendCommands':
-        return callWorker(this.http, request);
+        return callWorker(http, request);
       case 'submitJob':
       case 'readJob':
       case 'cancelJob':
-        return userResponse(await this.users.handleRelayed(request));
+        return toUserResponse(await userRequests.handleRelayed(request));
     }
   }
 
-  private async findJob(id: string): Promise<boolean> {
-    const term = this.leadership.authorisedTerm();
+  /** Reads a job that the peer wrote into the store; false if this node does not lead. */
+  private async adoptJob(id: JobId): Promise<boolean> {
+    const term = this.deps.leadership.authorisedTerm();
     if (!term?.isReady) return false;
-    await term.findJob(JobId(id));
+    await term.findJob(id);
     return true;
   }
 }
 
-const userResponse = ({ status, retryAfter, body }: Reply): PeerResponse => ({
+const toUserResponse = ({ status, retryAfter, body }: Reply): PeerResponse => ({
   type: 'userResponse',
   status,
   retryAfter: retryAfter ?? 0,
--- a/src/api/worker-heartbeats.ts
+++ b/src/api/worker-heartbeats.ts
@@ -1,8 +1,7 @@
 /**
- * Workers' reports: answered by the leader under its authority, passed on to it by the other nodes.
+ * Workers' heartbeats: answered by the leader under its authority, passed on to it by the other nodes.
  * Only the leader causes a 200, since that renews the lease of all tasks on a machine.
  */
-import type { Settings } from '../config/settings.js';
 import type { Term } from '../leader/term.js';
 import type { PeerResponse, RelayedHeartbeat, HeartbeatResponse } from '../peer/messages.js';
 import type { HeartbeatRelay } from '../relay/heartbeat-relay.js';
@@ -26,25 +25,31 @@
   type Heartbeat,
 } from '../wire/index.js';
 import type { Leadership } from './leadership.js';
-import { NOT_AUTHORISED, type Reply } from './reply.js';
+import { NOT_A_HEARTBEAT, NOT_AUTHORISED, type Reply } from './reply.js';
 
-/** A leader that ended is known to have after about its lease: one that is silent for longer is cut off. */
-const LEADER_CUT_OFF = seconds(5);
 /**
- * So many relayed reports are taken in one go. A leader that has just taken over has hundreds of them to
- * take, by code that is not compiled yet, and must get to the renewal of its lease meanwhile.
+ * A leader that has ended is replaced after about its lease. One that has not answered us for longer
+ * than this still leads, and only we can't reach it.
+ */
+const LEADER_UNREACHABLE_AFTER = seconds(5);
+/**
+ * So many relayed heartbeats are handled in one turn. A leader that has just taken over has hundreds of
+ * them to handle, by code that is not compiled yet, and must get to the renewal of its lease meanwhile.
  */
 const HEARTBEATS_PER_TURN = 20;
-/** What goes beyond these orders waits for another batch, so that the response fits a frame. */
+/** Heartbeats beyond so many commands wait for another batch, so that the response fits a frame. */
 const MAX_COMMANDS_PER_BATCH = 2000;
 /** A worker that was redirected and is back this soon can't reach the node that it was sent to. */
 const BOUNCE_WINDOW = seconds(9);
 /** For so long such a worker is served here. */
 const BOUNCED_SERVICE_TIME = seconds(20);
+/** After this a redirect is forgotten. */
 const REDIRECT_TTL = seconds(60);
 
+/** A worker that was sent to another node. */
 interface Redirect {
   readonly at: SteadyMs;
+  /** Set once it came back so soon that it is served here. */
   servedUntil: SteadyMs | undefined;
 }
 
@@ -55,55 +60,67 @@
   commands: [],
 };
 
+/** What heartbeats need of the rest of the node. */
+export interface WorkerHeartbeatDependencies {
+  /** This node. */
+  readonly node: NodeId;
+  readonly leadership: Leadership;
+  readonly relay: HeartbeatRelay;
+  readonly clock: Clock;
+  /** Whether this node alone is cut off from the store and the other nodes. */
+  readonly isIsolated: () => boolean;
+}
+
+/** Answers workers, whether they report to this node or to another that passes their heartbeats on. */
 export class WorkerHeartbeats {
   private readonly redirects = new ExpiringMap<MachineId, Redirect>(REDIRECT_TTL);
   /** Since when the leader that we know of has not answered us. */
-  private leaderSilentSince: SteadyMs | undefined;
+  private leaderUnreachableSince: SteadyMs | undefined;
+  private readonly leadership: Leadership;
+  private readonly clock: Clock;
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly leadership: Leadership,
-    private readonly relay: HeartbeatRelay,
-    private readonly clock: Clock,
-    private readonly isIsolated: () => boolean,
-  ) {}
+  constructor(private readonly deps: WorkerHeartbeatDependencies) {
+    this.leadership = deps.leadership;
+    this.clock = deps.clock;
+  }
 
-  /** A report that came straight from its worker. */
+  /** A heartbeat that came straight from its worker. */
   async handle(body: Buffer): Promise<Reply> {
-    const report = parseHeartbeat(body);
-    if (!report) return { status: 400, body: { error: 'not a report' } };
+    const heartbeat = parseHeartbeat(body);
+    if (!heartbeat) return NOT_A_HEARTBEAT;
     const term = this.leadership.authorisedTerm();
-    if (term) return this.answerHere(report, term);
+    if (term) return this.answerHere(heartbeat, term);
     // The node that we take for the leader may be gone for long.
-    if (this.isIsolated()) return NOT_AUTHORISED;
-    const leader = this.leaderCutOff();
+    if (this.deps.isIsolated()) return NOT_AUTHORISED;
+    const leader = this.unreachableLeader();
     // The worker may reach the leader where we don't.
-    if (leader !== undefined && !this.isBounced(report.machine)) return redirectTo(leader);
-    const reply = await this.relay.send(report, body.length);
+    if (leader !== undefined && !this.isBounced(heartbeat.machine)) return redirectTo(leader);
+    const reply = await this.deps.relay.send(heartbeat, body.length);
     if (reply) return { status: 200, body: encodeHeartbeatReply(reply) };
+    // This node may have come to lead while it waited for the leader.
     const own = this.leadership.authorisedTerm();
-    return own ? this.answerHere(report, own) : NOT_AUTHORISED;
+    return own ? this.answerHere(heartbeat, own) : NOT_AUTHORISED;
   }
 
-  /** The leader, if it is another node that we have not reached for longer than a dead one would stand. */
-  private leaderCutOff(): NodeId | undefined {
+  /** The leader, if it is another node that we have not reached for longer than a failover takes. */
+  private unreachableLeader(): NodeId | undefined {
     const leader = this.leadership.leaderNode();
-    if (leader === undefined || leader === this.settings.node || this.leadership.leaderPeer()) {
-      this.leaderSilentSince = undefined;
+    if (leader === undefined || leader === this.deps.node || this.leadership.leaderPeer()) {
+      this.leaderUnreachableSince = undefined;
       return undefined;
     }
     const now = this.clock.steady();
-    this.leaderSilentSince ??= now;
-    return since(this.leaderSilentSince, now) > LEADER_CUT_OFF ? leader : undefined;
+    this.leaderUnreachableSince ??= now;
+    return since(this.leaderUnreachableSince, now) > LEADER_UNREACHABLE_AFTER ? leader : undefined;
   }
 
-  private async answerHere(report: Heartbeat, term: Term): Promise<Reply> {
+  private async answerHere(heartbeat: Heartbeat, term: Term): Promise<Reply> {
     // It has seen a newer token than ours: we have no right to act any more.
-    if (report.fencingToken > term.epoch) return NOT_AUTHORISED;
-    const follower = term.redirectsWorkers ? this.followerFor(report.machine) : undefined;
-    if (follower !== undefined && !this.isBounced(report.machine)) return redirectTo(follower);
+    if (heartbeat.fencingToken > term.epoch) return NOT_AUTHORISED;
+    const follower = term.redirectsWorkers ? this.followerFor(heartbeat.machine) : undefined;
+    if (follower !== undefined && !this.isBounced(heartbeat.machine)) return redirectTo(follower);
     if (!(await this.isRebuilt(term))) return NOT_AUTHORISED;
-    const reply = term.handleHeartbeat(report);
+    const reply = term.handleHeartbeat(heartbeat);
     return this.leadership.authorisedTerm() === term
       ? { status: 200, body: encodeHeartbeatReply(reply) }
       : NOT_AUTHORISED;
@@ -118,7 +135,7 @@
     return term.isReady && this.leadership.authorisedTerm() === term;
   }
 
-  /** Reports that another node passed on. */
+  /** Heartbeats that another node passed on: one response for each, in their order. */
   async handleRelayed(
     sender: NodeId,
     epoch: number,
@@ -133,17 +150,17 @@
         await sleep(this.clock, ms(0));
         if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
       }
-      const full = commandCount >= MAX_COMMANDS_PER_BATCH;
-      const response = full ? REFUSED : this.takeRelayed(term, sender, epoch, relayed);
+      const isFull = commandCount >= MAX_COMMANDS_PER_BATCH;
+      const response = isFull ? REFUSED : this.answerRelayed(term, sender, epoch, relayed);
       commandCount += response.commands.length;
       responses.push(response);
     }
-    // A 200 may follow from this response only if authority stands now that all of them are taken.
+    // A 200 may follow from this response only if authority stands now that all of them are handled.
     if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
     return { type: 'heartbeatResponses', epoch: term.epoch, responses };
   }
 
-  private takeRelayed(
+  private answerRelayed(
     term: Term,
     sender: NodeId,
     epoch: number,
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -1,20 +1,20 @@
+/** One controller: everything but the sockets it listens on, so that tests can drive it. */
 import type { Logger } from 'pino';
-import type { OperatorSettings } from './config/operator.js';
-import type { Settings } from './config/settings.js';
 import { Leadership } from './api/leadership.js';
 import { PeerRequests } from './api/peer-requests.js';
-import type { Reply } from './api/reply.js';
-import { TRY_AGAIN, ISOLATED } from './api/reply.js';
+import { ISOLATED, TRY_AGAIN, type Reply } from './api/reply.js';
 import { UserRequests } from './api/user-requests.js';
 import { WorkerHeartbeats } from './api/worker-heartbeats.js';
-import { MachineCatalog } from './cloud/machine-catalog.js';
 import { CloudClient } from './cloud/client.js';
+import { MachineCatalog } from './cloud/machine-catalog.js';
+import type { OperatorSettings } from './config/operator.js';
+import type { Settings } from './config/settings.js';
 import { AdmissionControl } from './ledger/admission.js';
 import { JobRecords } from './ledger/job-records.js';
 import { RecordLimits } from './ledger/record-limits.js';
 import { Election } from './leader/election.js';
 import { ImageHints } from './leader/image-hints.js';
-import type { TermDependencies } from './leader/dependencies.js';
+import { StoredCatalog } from './leader/stored-catalog.js';
 import { Term } from './leader/term.js';
 import type { HttpClient } from './net/http.js';
 import type { Peer } from './peer/channel.js';
@@ -22,13 +22,12 @@
 import type { MachineImages, PeerStatus } from './peer/messages.js';
 import { HeartbeatRelay } from './relay/heartbeat-relay.js';
 import { StoreClient } from './store/client.js';
-import { NodeId, ms, seconds, sleep, type Clock, type Epoch, type Random } from './units/index.js';
+import { detach } from './units/detach.js';
+import { NodeId, ms, type Clock, type Epoch, type Random } from './units/index.js';
 
-const CATALOG_KEY = 'catalog';
-const CATALOG_INTERVAL = seconds(60);
-const STORE_TIMEOUT = ms(2000);
 const IMAGE_HINTS_TIMEOUT = ms(1000);
 
+/** What a controller takes from its process: time, chance, the network and the log. */
 export interface ControllerEnvironment {
   readonly clock: Clock;
   readonly random: Random;
@@ -39,26 +38,29 @@
   readonly processId: string;
 }
 
-/** One controller: everything but the sockets it listens on, so that tests can drive it. */
+/** Takes part in the election, leads terms, and answers users, workers and the other controllers. */
 export class Controller {
   readonly userRequests: UserRequests;
   readonly workerHeartbeats: WorkerHeartbeats;
   readonly peerRequests: PeerRequests;
   readonly election: Election;
   private readonly store: StoreClient;
+  private readonly recordLimits: RecordLimits;
+  private readonly jobRecords: JobRecords;
+  private readonly cloud: CloudClient;
   private readonly catalog = new MachineCatalog();
+  private readonly storedCatalog: StoredCatalog;
   private readonly peerLiveness: PeerLiveness;
   private readonly leadership: Leadership;
   private readonly imageHints = new ImageHints();
   private hasSeenLeader = false;
-  private stopped = false;
 
   constructor(
     private readonly settings: Settings,
-    operator: OperatorSettings,
+    private readonly operator: OperatorSettings,
     private readonly environment: ControllerEnvironment,
   ) {
-    const { clock, random, http, log } = environment;
+    const { clock, random, http, log, peers } = environment;
     this.store = new StoreClient(
       http,
       settings.storeEndpoint,
@@ -67,91 +69,120 @@
       settings.state,
       settings.nodes,
     );
-    const recordLimits = new RecordLimits(settings.state, () => {
+    this.recordLimits = new RecordLimits(settings.state, () => {
       log.info('the state service has lowered its limits');
       this.store.lowerRates();
     });
-    const jobRecords = new JobRecords(this.store, clock, recordLimits);
-    const cloud = new CloudClient(http, settings.cloudEndpoint, clock, settings.cloud.rps);
-    this.election = new Election(
-      this.store,
-      settings.node,
-      environment.processId,
-      { duration: operator.lease, renewInterval: operator.renewInterval },
+    this.jobRecords = new JobRecords(this.store, clock, this.recordLimits);
+    this.cloud = new CloudClient(http, settings.cloudEndpoint, clock, settings.cloud.rps);
+    this.election = this.createElection();
+    this.leadership = new Leadership(this.election, peers);
+    this.storedCatalog = new StoredCatalog({
+      store: this.store,
+      catalog: this.catalog,
       clock,
-      random,
-      log,
-      {
-        onGained: (epoch) => this.beginTerm(epoch, operator, { jobRecords, recordLimits, cloud }),
-        onLost: () => {
-          this.leadership.term?.close();
-          this.leadership.term = undefined;
-        },
-      },
-    );
-    this.leadership = new Leadership(this.election, environment.peers);
+      isLeading: () => this.leadership.term !== undefined,
+    });
     this.peerLiveness = new PeerLiveness(
-      environment.peers,
+      peers,
       clock,
       () => this.ownStatus(),
       ({ leader, epoch }) => {
         if (leader !== '') this.election.noteLeader(NodeId(leader), epoch);
       },
     );
-    const isIsolated = (): boolean => this.peerLiveness.isIsolated(this.store.servedAt);
-    this.userRequests = new UserRequests(
-      new AdmissionControl(this.catalog, settings.teams, recordLimits),
-      this.leadership,
+    this.userRequests = this.createUserRequests();
+    this.workerHeartbeats = this.createWorkerHeartbeats();
+    this.peerRequests = this.createPeerRequests();
+  }
+
+  private createElection(): Election {
+    const { clock, random, log, processId } = this.environment;
+    return new Election({
+      store: this.store,
+      node: this.settings.node,
+      processId,
+      timing: { duration: this.operator.lease, renewInterval: this.operator.renewInterval },
+      clock,
+      random,
+      log,
+      events: {
+        onGained: (epoch) => this.beginTerm(epoch),
+        onLost: () => this.endTerm(),
+      },
+    });
+  }
+
+  private createUserRequests(): UserRequests {
+    const { catalog, jobRecords, leadership, recordLimits } = this;
+    const { clock, log } = this.environment;
+    return new UserRequests({
+      admission: new AdmissionControl(catalog, this.settings.teams, recordLimits),
+      leadership,
       jobRecords,
       clock,
       log,
-      isIsolated,
-    );
-    const relay = new HeartbeatRelay(settings.node, clock, () => this.leadership.leaderPeer());
-    this.workerHeartbeats = new WorkerHeartbeats(
-      settings,
-      this.leadership,
-      relay,
+      isIsolated: () => this.isIsolated(),
+    });
+  }
+
+  private createWorkerHeartbeats(): WorkerHeartbeats {
+    const { leadership } = this;
+    const { node } = this.settings;
+    const { clock } = this.environment;
+    return new WorkerHeartbeats({
+      node,
+      leadership,
+      relay: new HeartbeatRelay(node, clock, () => leadership.leaderPeer()),
       clock,
-      isIsolated,
-    );
-    this.peerRequests = new PeerRequests(
-      this.leadership,
-      this.userRequests,
-      this.workerHeartbeats,
+      isIsolated: () => this.isIsolated(),
+    });
+  }
+
+  private createPeerRequests(): PeerRequests {
+    const { clock, http } = this.environment;
+    return new PeerRequests({
+      leadership: this.leadership,
+      userRequests: this.userRequests,
+      workerHeartbeats: this.workerHeartbeats,
       http,
-      {
+      events: {
         onImageHints: (machines) => this.imageHints.record(machines, clock.steady()),
         onHeartbeat: (status) => this.peerLiveness.respond(status),
       },
-    );
+    });
   }
 
-  private beginTerm(
-    epoch: Epoch,
-    operator: OperatorSettings,
-    shared: Pick<TermDependencies, 'jobRecords' | 'recordLimits' | 'cloud'>,
-  ): void {
+  private beginTerm(epoch: Epoch): void {
     const { clock, random, http, log, peers } = this.environment;
+    const { catalog, cloud, imageHints, jobRecords, operator, recordLimits, settings, store } =
+      this;
     const term = new Term(epoch, {
-      ...shared,
-      settings: this.settings,
+      settings,
       operator,
-      store: this.store,
+      store,
+      jobRecords,
+      recordLimits,
+      cloud,
       http,
-      catalog: this.catalog,
+      catalog,
       clock,
       random,
       log: log.child({ epoch }),
       authority: () => this.election.authority(),
-      onDeposed: (e) => this.election.noteDeposed(e),
-      imageHints: this.imageHints,
+      onDeposed: (deposed) => this.election.noteDeposed(deposed),
+      onMachineTypesChanged: () => detach(this.storedCatalog.save(), log, 'saving machine types'),
+      imageHints,
       broadcastImageHints: (machines) => this.broadcastImageHints(machines),
       peers,
     });
-    term.autoscaler.onMachineTypesChanged = () => void this.keepCatalog();
     this.leadership.term = term;
-    void term.start().catch((e: unknown) => log.error({ err: e }, 'rebuild failed'));
+    detach(term.start(), log, 'rebuild');
+  }
+
+  private endTerm(): void {
+    this.leadership.term?.close();
+    this.leadership.term = undefined;
   }
 
   private ownStatus(): PeerStatus {
@@ -162,6 +193,20 @@
     };
   }
 
+  private isIsolated(): boolean {
+    return this.peerLiveness.isIsolated(this.store.servedAt);
+  }
+
+  private broadcastImageHints(machines: readonly MachineImages[]): void {
+    const { clock, log, peers } = this.environment;
+    this.imageHints.record(machines, clock.steady());
+    for (const peer of peers.values()) {
+      if (!peer.responsive) continue;
+      const sent = peer.request({ type: 'imageHints', machines }, IMAGE_HINTS_TIMEOUT);
+      detach(sent, log, 'sending image hints');
+    }
+  }
+
   /**
    * Healthy once it has been in touch with the store or a leader. It stays so when the store is out
    * for all: a node that says "come back" at once serves users better than one taken off the balancer,
@@ -171,56 +216,22 @@
   health(): Reply {
     this.hasSeenLeader ||= this.election.leader() !== undefined;
     if (!this.hasSeenLeader) return TRY_AGAIN;
-    if (this.peerLiveness.isIsolated(this.store.servedAt)) return ISOLATED;
+    if (this.isIsolated()) return ISOLATED;
     return { status: 200, body: { node: this.settings.node } };
   }
 
-  private broadcastImageHints(machines: readonly MachineImages[]): void {
-    this.imageHints.record(machines, this.environment.clock.steady());
-    for (const peer of this.environment.peers.values()) {
-      if (peer.responsive) void peer.request({ type: 'imageHints', machines }, IMAGE_HINTS_TIMEOUT);
-    }
-  }
-
+  /** Begins to take part in the election. Requests are answered before, as far as that goes. */
   start(): void {
-    void this.election.run();
-    void this.readCatalog();
-    void this.probeStore();
+    this.election.start();
+    detach(this.storedCatalog.run(), this.environment.log, 'reading machine types');
     this.peerLiveness.start();
   }
 
   /** For tests: what a killed process no longer does. */
   stop(): void {
-    this.stopped = true;
+    this.storedCatalog.stop();
     this.election.stop();
     this.peerLiveness.stop();
     this.leadership.term?.close();
   }
-
-  private async probeStore(): Promise<void> {
-    while (!this.stopped) {
-      await this.election.probe();
-      await sleep(this.environment.clock, ms(1000));
-    }
-  }
-
-  /** The types as the leader last kept them, so that this node can judge submissions. */
-  private async readCatalog(): Promise<void> {
-    while (!this.stopped) {
-      const pause = this.catalog.isKnown ? CATALOG_INTERVAL : ms(1000);
-      if (!this.leadership.term) {
-        const read = await this.store.get(CATALOG_KEY, STORE_TIMEOUT);
-        if (read.kind === 'found' && !this.leadership.term) this.catalog.restore(read.data);
-      }
-      await sleep(this.environment.clock, pause);
-    }
-  }
-
-  private async keepCatalog(): Promise<void> {
-    await this.store.transact(
-      [],
-      [{ put: CATALOG_KEY, data: this.catalog.encode() }],
-      STORE_TIMEOUT,
-    );
-  }
 }
--- /dev/null
+++ b/src/leader/fleet-log.ts
@@ -0,0 +1,69 @@
+/** A log line now and then for those on call: what there is, what is in use, and what waits. */
+import type { Logger } from 'pino';
+import type { MachineCatalog } from '../cloud/machine-catalog.js';
+import type { Fleet } from '../fleet/fleet.js';
+import type { Ledger } from '../ledger/ledger.js';
+import { seconds, since, type SteadyMs } from '../units/index.js';
+
+const LOG_INTERVAL = seconds(10);
+
+/** The machines of one type, spot or not. */
+interface MachineSummary {
+  up: number;
+  booting: number;
+  /** Processors of the machines that are up, and how many of them are in use. */
+  cpus: number;
+  used: number;
+}
+
+/** What the log line is made of. */
+export interface FleetLogDependencies {
+  readonly fleet: Fleet;
+  readonly ledger: Pick<Ledger, 'jobs'>;
+  readonly catalog: MachineCatalog;
+  readonly log: Logger;
+}
+
+/** Logs the state of the fleet at intervals. */
+export class FleetLog {
+  constructor(
+    private readonly deps: FleetLogDependencies,
+    private loggedAt: SteadyMs,
+  ) {}
+
+  /** Logs if the interval has passed. */
+  tick(now: SteadyMs): void {
+    if (since(this.loggedAt, now) < LOG_INTERVAL) return;
+    this.loggedAt = now;
+    const { ledger, log } = this.deps;
+    const machines = this.machinesByType();
+    log.info({ machines, jobs: ledger.jobs.size, waiting: this.waitingTasksByClass() }, 'fleet');
+  }
+
+  private machinesByType(): Record<string, MachineSummary> {
+    const { catalog, fleet } = this.deps;
+    const summaries: Record<string, MachineSummary> = {};
+    for (const machine of fleet.machines.values()) {
+      const { machineType, spot } = machine.kind;
+      const type = catalog.machineType(machineType);
+      if (!type) continue;
+      const key = `${machineType} ${spot ? 'spot' : 'plain'}`;
+      const summary = (summaries[key] ??= { up: 0, booting: 0, cpus: 0, used: 0 });
+      if (machine.isUp) {
+        summary.up++;
+        summary.cpus += type.cpus;
+        summary.used += Math.round(fleet.load(machine).used.cpus);
+      } else if (machine.bootingSince !== undefined) summary.booting++;
+    }
+    return summaries;
+  }
+
+  private waitingTasksByClass(): Record<string, number> {
+    const waiting: Record<string, number> = {};
+    for (const job of this.deps.ledger.jobs.values()) {
+      if (job.cancelled || job.waiting.size === 0) continue;
+      waiting[job.spec.jobClass] = (waiting[job.spec.jobClass] ?? 0) + job.waiting.size;
+    }
+    return waiting;
+  }
+}
--- /dev/null
+++ b/src/leader/notice-watcher.ts
@@ -0,0 +1,47 @@
+/** Notices: what other nodes did and ask for, through the store, while they could not reach a leader. */
+import type { JobRecords, Notice } from '../ledger/job-records.js';
+import type { Ledger } from '../ledger/ledger.js';
+import { seconds, sleep, type Clock } from '../units/index.js';
+import type { JobRequests } from './job-requests.js';
+
+const RETRY_PAUSE = seconds(1);
+
+/** Carries out notices as they appear, and deletes each that is settled. */
+export class NoticeWatcher {
+  private closed = false;
+
+  constructor(
+    private readonly jobRecords: Pick<JobRecords, 'notices' | 'watchNotices'>,
+    private readonly jobs: Pick<JobRequests, 'find' | 'cancel'>,
+    private readonly ledger: Pick<Ledger, 'deleteNotice'>,
+    private readonly clock: Clock,
+  ) {}
+
+  /** Ends only after `close`. */
+  async run(): Promise<void> {
+    while (!this.closed) {
+      const listed = await this.jobRecords.notices();
+      if (this.closed) return;
+      if (listed) {
+        for (const notice of listed.notices) {
+          await this.carryOut(notice);
+          if (this.closed) return;
+        }
+        if (await this.jobRecords.watchNotices(listed.revision)) continue;
+      }
+      await sleep(this.clock, RETRY_PAUSE);
+    }
+  }
+
+  private async carryOut({ key, id, cancels }: Notice): Promise<void> {
+    const answer = cancels ? await this.jobs.cancel(id) : await this.jobs.find(id);
+    if (this.closed) return;
+    // One that is written again while it is being deleted asks for nothing that has not been done.
+    if (answer.kind !== 'unknown') this.ledger.deleteNotice(key);
+  }
+
+  /** What is under way comes to nothing. */
+  close(): void {
+    this.closed = true;
+  }
+}
--- a/src/leader/worker-redirects.ts
+++ b/src/leader/worker-redirects.ts
@@ -2,14 +2,16 @@
 import type { DurationMs } from '../units/index.js';
 
 /**
- * About what a report that comes straight from its worker costs a leader, in processor time, all in
- * all: the request, the orders that answer it, and the work that it brings.
+ * About what a heartbeat that comes straight from its worker costs a leader, in processor time, all in
+ * all: the request, the commands that answer it, and the work that it brings.
  */
 const HEARTBEAT_COST_MS = 1;
-/** Of its share of a processor, what reports may take before the other nodes carry them, and until. */
+/** Of a node's processor time, what heartbeats may take before the other nodes carry them. */
 const START_SHARE = 0.5;
+/** Below this share it stops again; lower than the other, so that workers are not sent to and fro. */
 const STOP_SHARE = 0.35;
 
+/** What decides how much processor time heartbeats take. */
 export interface HeartbeatLoad {
   readonly machines: number;
   readonly heartbeatInterval: DurationMs;
@@ -18,14 +20,14 @@
 }
 
 /**
- * Requests of hundreds of workers, each on a connection of its own, cost a small leader more than what
- * they say: then the other nodes take them, and pass them on in batches over the one connection that
- * each has to the leader.
+ * Whether workers are to be redirected, given whether they are now. Requests of hundreds of workers, each
+ * on a connection of its own, cost a small leader more than what they say: then the other nodes take them,
+ * and pass them on in batches over the one connection that each has to the leader.
  */
 export function shouldRedirectWorkers(
-  now: boolean,
-  { machines, heartbeatInterval: report, cpu }: HeartbeatLoad,
+  isRedirecting: boolean,
+  { machines, heartbeatInterval, cpu }: HeartbeatLoad,
 ): boolean {
-  const share = (machines * HEARTBEAT_COST_MS) / report / cpu;
-  return share > (now ? STOP_SHARE : START_SHARE);
+  const share = (machines * HEARTBEAT_COST_MS) / heartbeatInterval / cpu;
+  return share > (isRedirecting ? STOP_SHARE : START_SHARE);
 }
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -1,3 +1,4 @@
+/** The parts that answer requests, around a term that a test controls. */
 import { pino } from 'pino';
 import { Leadership } from '../../src/api/leadership.js';
 import { UserRequests } from '../../src/api/user-requests.js';
@@ -7,7 +8,8 @@
 import { AdmissionControl } from '../../src/ledger/admission.js';
 import type { JobRecords } from '../../src/ledger/job-records.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
-import type { JobAnswer, Term } from '../../src/leader/term.js';
+import type { JobAnswer } from '../../src/leader/job-requests.js';
+import type { Term } from '../../src/leader/term.js';
 import type { Peer } from '../../src/peer/channel.js';
 import { HeartbeatRelay } from '../../src/relay/heartbeat-relay.js';
 import { Epoch, JobId, NodeId } from '../../src/units/index.js';
@@ -15,18 +17,24 @@
 import { flavors } from '../standin/world.js';
 import { settingsFile } from './settings.js';
 
+/** The job that tests ask about. */
 export const JOB = JobId('run-000001');
+/** The epoch under which the node leads. */
 export const EPOCH = Epoch(7);
 
-/** What answers HTTP on a node that leads until `lose` is called; its term answers when `answer` is. */
+/**
+ * What answers HTTP on a node that leads until `loseAuthority` is called; its term answers every request
+ * about a job with `found`, when `answer` is called.
+ */
 export function leadingNode(found: JobAnswer) {
   const settings = parseSettings(settingsFile(0));
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
-  const front = {} as JobRecords;
+  const jobRecords = {} as JobRecords;
   let epoch: Epoch | undefined = EPOCH;
   let answer = (): void => undefined;
-  const answerLater = (): Promise<JobAnswer> => new Promise((r) => (answer = () => r(found)));
+  const answerLater = (): Promise<JobAnswer> =>
+    new Promise((resolve) => (answer = () => resolve(found)));
   const term = {
     epoch,
     isClosed: false,
@@ -46,19 +54,34 @@
     peers,
   );
   leadership.term = term as unknown as Term;
-  const connected = (): boolean => false;
-  const users = new UserRequests(
-    new AdmissionControl(catalog, settings.teams, new RecordLimits(settings.state)),
+  const isIsolated = (): boolean => false;
+  const userRequests = new UserRequests({
+    admission: new AdmissionControl(catalog, settings.teams, new RecordLimits(settings.state)),
     leadership,
-    front,
+    jobRecords,
     clock,
-    pino({ level: 'silent' }),
-    connected,
-  );
-  const relay = new HeartbeatRelay(settings.node, clock, () => leadership.leaderPeer());
-  const workers = new WorkerHeartbeats(settings, leadership, relay, clock, connected);
-  const lose = (): void => {
+    log: pino({ level: 'silent' }),
+    isIsolated,
+  });
+  const workerHeartbeats = new WorkerHeartbeats({
+    node: settings.node,
+    leadership,
+    relay: new HeartbeatRelay(settings.node, clock, () => leadership.leaderPeer()),
+    clock,
+    isIsolated,
+  });
+  const loseAuthority = (): void => {
     epoch = undefined;
   };
-  return { users, workers, term, peers, front, time, clock, lose, answer: () => answer() };
+  return {
+    userRequests,
+    workerHeartbeats,
+    term,
+    peers,
+    jobRecords,
+    time,
+    clock,
+    loseAuthority,
+    answer: () => answer(),
+  };
 }
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -1,10 +1,11 @@
+/** What users are answered, and which submissions are refused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
 import { parseSettings } from '../../src/config/settings.js';
 import type { StoredJob } from '../../src/ledger/job-records.js';
 import { Job, type FinalState } from '../../src/ledger/job.js';
-import type { JobAnswer } from '../../src/leader/term.js';
+import type { JobAnswer } from '../../src/leader/job-requests.js';
 import { Revision, WallMs, ms, sleep } from '../../src/units/index.js';
 import { encode, encodeJobSpec, parseSubmission, type JobSpec } from '../../src/wire/index.js';
 import { flavors } from '../standin/world.js';
@@ -15,50 +16,54 @@
 void test('an answer that rests on authority is given under it to the end', async () => {
   const running = new Job(JOB, spec({}), WallMs(0), Revision(5));
   const body = encode(encodeJobSpec(spec({})));
-  type Case = [name: string, method: string, path: string, found: JobAnswer, kept: number];
+  type Case = [name: string, method: string, path: string, found: JobAnswer, expected: number];
   const cases: Case[] = [
-    ['a question', 'GET', `/v1/jobs/${JOB}`, { kind: 'job', job: running }, 200],
+    ['a question', 'GET', `/v1/jobs/${JOB}`, { kind: 'live', job: running }, 200],
     ['a question about no job', 'GET', `/v1/jobs/${JOB}`, { kind: 'absent' }, 404],
-    ['a repeated submission', 'POST', '/v1/jobs', { kind: 'job', job: running }, 200],
-    ['a cancellation', 'POST', `/v1/jobs/${JOB}/abort`, { kind: 'job', job: running }, 200],
+    ['a repeated submission', 'POST', '/v1/jobs', { kind: 'live', job: running }, 200],
+    ['a cancellation', 'POST', `/v1/jobs/${JOB}/abort`, { kind: 'live', job: running }, 200],
   ];
-  for (const [name, method, path, found, kept] of cases) {
+  for (const [name, method, path, found, expected] of cases) {
     for (const lost of [false, true]) {
-      const { users, lose, answer } = leadingNode(found);
-      const reply = users.handle(method, path, body);
+      const { userRequests, loseAuthority, answer } = leadingNode(found);
+      const reply = userRequests.handle(method, path, body);
       await Promise.resolve();
-      // It stood still here, and another has come to lead.
-      if (lost) lose();
+      // The process stood still here, and another node has come to lead.
+      if (lost) loseAuthority();
       answer();
       const { status } = await reply;
-      assert.equal(status, lost ? 503 : kept, name);
+      assert.equal(status, lost ? 503 : expected, name);
     }
   }
 });
 
-void test('submissions that can not run, or lack something, are refused by every node alike', () => {
+void test('submissions that can never run, or lack a field, are refused by every node alike', () => {
   const settings = parseSettings(settingsFile(0));
   const catalog = new MachineCatalog();
   catalog.update(flavors);
-  const one = new MachineCatalog();
-  one.update(flavors.map((f) => ({ ...f, zones: ['a'] })));
+  const singleZoneCatalog = new MachineCatalog();
+  singleZoneCatalog.update(flavors.map((type) => ({ ...type, zones: ['a'] })));
   const submission = (change: Partial<JobSpec>) => encodeJobSpec(spec(change));
-  const ok = submission({});
+  const valid = submission({});
   const cases: [string, unknown, number][] = [
-    ['as it should be', ok, 0],
+    ['valid', valid, 0],
     [
       'nulls that may be missing',
-      { ...ok, builds: undefined, hall: undefined, due_s: undefined },
+      { ...valid, builds: undefined, hall: undefined, due_s: undefined },
       0,
     ],
-    ['apart in one zone: in turns', submission({ spreadZones: true, zone: 'a', taskCount: 5 }), 0],
     [
-      'apart and together: in turns',
+      'an array spread over zones in one zone: one part after the other',
+      submission({ spreadZones: true, zone: 'a', taskCount: 5 }),
+      0,
+    ],
+    [
+      'an array spread over zones and in a single one: one part after the other',
       submission({ spreadZones: true, singleZone: true, taskCount: 5 }),
       0,
     ],
     [
-      'a gang apart and together',
+      'a gang spread over zones and in a single one',
       submission({ kind: 'ensemble', spreadZones: true, singleZone: true }),
       422,
     ],
@@ -68,7 +73,7 @@
       0,
     ],
     [
-      'a gang apart in one zone',
+      'a gang spread over zones in one zone',
       submission({ kind: 'ensemble', spreadZones: true, zone: 'a' }),
       422,
     ],
@@ -76,57 +81,63 @@
     ['an array above its limit', submission({ taskCount: 5, cpus: 8 }), 0],
     ['a task above its limit', submission({ cpus: 25 }), 422],
     ['a task too large', submission({ memoryGb: 33 }), 422],
-    ['gpus that nobody has', submission({ gpus: 1 }), 422],
+    ['GPUs that no type has', submission({ gpus: 1 }), 422],
     ['an unknown team', submission({ team: 'nobody' }), 422],
-    ['no such type', submission({ machineTypes: ['huge'] }), 422],
-    ['no type at all', submission({ machineTypes: [] }), 422],
-    ['no such zone', submission({ zone: 'z' }), 422],
+    ['an unknown machine type', submission({ machineTypes: ['huge'] }), 422],
+    ['an empty list of machine types', submission({ machineTypes: [] }), 422],
+    ['an unknown zone', submission({ zone: 'z' }), 422],
     ['no tasks', submission({ taskCount: 0 }), 400],
     ['half a task', submission({ taskCount: 1.5 }), 400],
     ['too many tasks', submission({ taskCount: 100_001 }), 400],
     ['no processor', submission({ cpus: 0 }), 400],
-    ['less than none', submission({ memoryGb: -1 }), 400],
-    ['no number', submission({ cpus: NaN }), 400],
-    ['without end', submission({ expectedRuntimeSeconds: Infinity }), 400],
+    ['negative memory', submission({ memoryGb: -1 }), 400],
+    ['not a number', submission({ cpus: NaN }), 400],
+    ['an infinite run time', submission({ expectedRuntimeSeconds: Infinity }), 400],
     ['an id of another form', submission({ id: 'job-1' }), 400],
-    ['a number as a text', { ...ok, vcpus: '2' }, 400],
-    ['null where none may be', { ...ok, loaners: null }, 400],
-    ...Object.keys(ok)
-      .filter((k) => !['builds', 'hall', 'due_s'].includes(k))
-      .map((k): [string, unknown, number] => [`no ${k}`, { ...ok, [k]: undefined }, 400]),
-    ['not a map', [ok], 400],
+    ['a number as a text', { ...valid, vcpus: '2' }, 400],
+    ['null where none may be', { ...valid, loaners: null }, 400],
+    ...Object.keys(valid)
+      .filter((field) => !['builds', 'hall', 'due_s'].includes(field))
+      .map((field): [string, unknown, number] => [
+        `no ${field}`,
+        { ...valid, [field]: undefined },
+        400,
+      ]),
+    ['not a map', [valid], 400],
   ];
   for (const [name, body, status] of cases) {
     const parsed = parseSubmission(encode(body));
     const verdict = parsed.ok ? catalog.judge(parsed.value, settings.teams) : undefined;
-    const got = !parsed.ok ? 400 : typeof verdict === 'object' ? 422 : 0;
-    assert.equal(got, status, name);
+    const refusal = !parsed.ok ? 400 : typeof verdict === 'object' ? 422 : 0;
+    assert.equal(refusal, status, name);
   }
   const gang = parseSubmission(encode(submission({ kind: 'ensemble', spreadZones: true })));
-  assert.ok(gang.ok && typeof one.judge(gang.value, settings.teams) === 'object');
+  assert.ok(gang.ok && typeof singleZoneCatalog.judge(gang.value, settings.teams) === 'object');
 });
 
-void test('a follower that reaches no leader: what the store said too long ago is not told', async () => {
+void test('a follower without a leader: a late answer of the store is given only if it is final', async () => {
   const job = new Job(JOB, spec({}), WallMs(0), Revision(5));
   const final: FinalState = { status: 'done', taskCount: 4, done: 4, team: 'vision', reason: '' };
-  const cases: [name: string, held: StoredJob, took: number, status: number][] = [
+  const cases: [name: string, stored: StoredJob, took: number, status: number][] = [
     ['a live job, at once', { kind: 'live', job }, 100, 200],
     ['a live job, late: it may be cancelled by now', { kind: 'live', job }, 400, 503],
     ['no job, at once', { kind: 'absent' }, 100, 404],
     ['no job, late: it may be accepted by now', { kind: 'absent' }, 400, 503],
-    ['one that is over, late: that does not change', { kind: 'final', final }, 400, 200],
+    ['a job that is over, late: that does not change', { kind: 'final', final }, 400, 200],
   ];
-  for (const [name, held, took, status] of cases) {
+  for (const [name, stored, took, status] of cases) {
     const node = leadingNode({ kind: 'absent' });
-    node.lose();
-    node.front.lookup = async () => {
+    node.loseAuthority();
+    node.jobRecords.lookup = async () => {
       await sleep(node.clock, ms(took));
-      return held;
+      return stored;
     };
-    let got = 0;
-    void node.users.handle('GET', `/v1/jobs/${JOB}`, Buffer.alloc(0)).then((r) => (got = r.status));
+    let repliedStatus = 0;
+    void node.userRequests
+      .handle('GET', `/v1/jobs/${JOB}`, Buffer.alloc(0))
+      .then((reply) => (repliedStatus = reply.status));
     await new Promise((resolve) => setImmediate(resolve));
     await node.time.run(1000);
-    assert.equal(got, status, name);
+    assert.equal(repliedStatus, status, name);
   }
 });
