--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -1,12 +1,13 @@
 /** What users are answered, and which submissions are refused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import type { Reply } from '../../src/api/reply.js';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
 import { parseSettings } from '../../src/config/settings.js';
 import type { StoredJob } from '../../src/ledger/job-records.js';
 import { Job, type FinalState } from '../../src/ledger/job.js';
 import type { JobAnswer } from '../../src/leader/job-requests.js';
-import { Revision, WallMs, ms, sleep } from '../../src/units/index.js';
+import { NodeId, Revision, WallMs, ms, sleep } from '../../src/units/index.js';
 import { encode, encodeJobSpec, parseSubmission, type JobSpec } from '../../src/wire/index.js';
 import { flavors } from '../standin/world.js';
 import { JOB, leadingNode } from '../support/api.js';
@@ -141,3 +142,74 @@
     assert.equal(repliedStatus, status, name);
   }
 });
+
+void test('a submission that no leader answers is written by the node itself, if no record has the job', async () => {
+  const job = new Job(JOB, spec({}), WallMs(0), Revision(5));
+  const live: StoredJob = { kind: 'live', job };
+  interface Case {
+    readonly name: string;
+    /** The status of the leader's response; none: it gives no response. */
+    readonly leader?: number;
+    readonly wait?: number;
+    readonly create?: 'created' | 'exists' | 'unknown';
+    readonly took?: number;
+    readonly stored?: StoredJob;
+    readonly status: number;
+    readonly retryAfter?: number;
+  }
+  const cases: Case[] = [
+    { name: 'the leader created it', leader: 201, status: 201 },
+    { name: 'the leader refuses it for a while', leader: 429, status: 429 },
+    { name: 'the leader is not ready', leader: 503, create: 'created', status: 201 },
+    { name: 'written at once', create: 'created', status: 201 },
+    { name: 'written late', create: 'created', took: 400, stored: live, status: 200 },
+    {
+      name: 'written late, and not to be read',
+      create: 'created',
+      took: 400,
+      stored: { kind: 'unknown' },
+      status: 503,
+    },
+    { name: 'a repeat', create: 'exists', stored: live, status: 200 },
+    {
+      name: 'a record that is gone when it is read',
+      create: 'exists',
+      stored: { kind: 'absent' },
+      status: 503,
+    },
+    { name: 'an unknown outcome', create: 'unknown', status: 503, retryAfter: 1 },
+    { name: 'too many writes wait', wait: 1500, status: 429, retryAfter: 2 },
+  ];
+  for (const { name, leader, wait = 0, create, took = 0, stored, status, retryAfter } of cases) {
+    const node = leadingNode({ kind: 'absent' });
+    node.loseAuthority();
+    const body = encode({});
+    node.peers.set(NodeId('node-0'), {
+      responsive: true,
+      request: () =>
+        Promise.resolve(
+          leader === undefined
+            ? undefined
+            : { type: 'userResponse', status: leader, retryAfter: 0, body },
+        ),
+    });
+    let creations = 0;
+    node.jobRecords.createWait = () => ms(wait);
+    node.jobRecords.create = async () => {
+      creations++;
+      await sleep(node.clock, ms(took));
+      return create ?? 'unknown';
+    };
+    node.jobRecords.lookup = () => Promise.resolve(stored ?? { kind: 'unknown' });
+    const replies: Reply[] = [];
+    void node.userRequests
+      .handle('POST', '/v1/jobs', encode(encodeJobSpec(spec({}))))
+      .then((reply) => replies.push(reply));
+    await new Promise((resolve) => setImmediate(resolve));
+    await node.time.run(1000);
+    const [reply] = replies;
+    assert.equal(reply?.status, status, name);
+    if (retryAfter !== undefined) assert.equal(reply.retryAfter, retryAfter, name);
+    assert.equal(creations, create === undefined ? 0 : 1, name);
+  }
+});
