--- a/eslint.config.js
+++ b/eslint.config.js
@@ -209,7 +209,6 @@
   ['src/main.ts', 'max-lines-per-function', 59, '`run`: the start of the process, step by step'],
   ['src/net/http.ts', 'max-lines-per-function', 63, '`send`: listeners that share the state of one request'],
   ['src/node.ts', 'max-lines-per-function', 61, 'the constructor makes the parts of a node in their order'],
-  ['src/placer/fill.ts', 'complexity', 15, '`fillGang`: zones and halves are tried in one search'],
   ['src/store/client.ts', 'complexity', 15, '`multi`: the outcomes of a transaction, by status'],
   ['test/standin/day.ts', 'complexity', 64, '`badDay`: the mishaps of a day, one condition each; its order of draws fixes the seeds'],
   ['test/standin/day.ts', 'max-lines-per-function', 168, '`badDay`: as its complexity'],
@@ -218,7 +217,6 @@
   ['test/standin/worker.ts', 'complexity', 16, '`report`: the answers that a worker may get, one branch each'],
   ['test/standin/world.ts', 'complexity', 25, '`started`, `waitsBesideRoom`: rules of the service that each day is judged by'],
   ['test/standin/world.ts', 'max-lines', 528, 'one world joins all stand-ins and judges them'],
-  ['test/unit/placer.test.ts', 'complexity', 16, 'a property of placing, checked over its cases'],
   ['test/unit/report-relay.test.ts', 'complexity', 13, 'a property over drawn steps, one branch for each kind'],
 ];
 
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -106,13 +106,13 @@
     const wants = queue.map((p) => this.taskRequest(p, now));
     const fleet = hosts.reduce((n, h) => n + h.capacity.cpus, 0);
     const reserve = this.standby.reserve(fleet, now);
-    const result = placeTasks(
-      wants,
-      hosts,
-      this.remainingQuotas(),
-      MAX_PLACEMENTS_PER_ROUND,
+    const result = placeTasks({
+      requests: wants,
+      machines: hosts,
+      quotas: this.remainingQuotas(),
+      maxAssignments: MAX_PLACEMENTS_PER_ROUND,
       reserve,
-    );
+    });
     if (result.length < MAX_PLACEMENTS_PER_ROUND) this.preemptForUrgent(queue, result, now);
     const byJob = new Map<JobId, { index: number; machine: MachineId }[]>();
     for (const a of result) {
@@ -286,7 +286,7 @@
       team: spec.team,
       resources: taskResources(spec),
       image: spec.image,
-      imageGb: spec.imageSizeGb,
+      imageSizeGb: spec.imageSizeGb,
       machineTypes: spec.machineTypes,
       requiredZone: spec.zone,
       allowSpot: spec.allowSpot,
--- a/src/placer/job-placement.ts
+++ b/src/placer/job-placement.ts
@@ -1,41 +1,55 @@
-/** Puts the waiting tasks of one job onto machines: as many as find room, or all of a gang. */
+/** Places the waiting tasks of one job: as many as there is capacity for or, of a gang, all or none. */
 import { EPSILON, fits, type Resources } from '../fleet/resources.js';
 import {
   compareSlots,
   imageDelay,
-  type MachineGroup,
   type ClusterCapacity,
+  type MachineGroup,
   type MachineSlot,
 } from './cluster-capacity.js';
 import type { Assignment, RemainingQuota, TaskRequest } from './types.js';
 
-/** What others can't do without is taken last by those who can go elsewhere: as if it were so many seconds off. */
+/** Unconstrained jobs treat a contested machine as if its image came later by this score, so they take it last. */
 const CONTESTED_PENALTY = 1000;
 
+/** A job's waiting tasks with the machines that they may use. */
+export interface EligibleRequest {
+  readonly request: TaskRequest;
+  readonly groups: readonly MachineGroup[];
+  /** The job may use only a small part of the cluster (`ClusterCapacity.isConstrained`). */
+  readonly isConstrained: boolean;
+}
+
 interface Candidate {
   readonly slot: MachineSlot;
-  /** The less the better: mainly the seconds until the image is there. */
+  /** Lower is better: mainly how long until the image is there (`imageDelay`). */
   readonly score: number;
 }
 
-/** Whether so many more tasks leave their team within its limit. */
+/** What all placements of one job work on. */
+interface PlacementContext {
+  readonly request: TaskRequest;
+  readonly capacity: ClusterCapacity;
+  readonly quota: RemainingQuota | undefined;
+}
+
+/** Whether a team may start so many more tasks of a size; `quota` undefined: it has no limit. */
 export const isWithinQuota = (
-  team: RemainingQuota | undefined,
+  quota: RemainingQuota | undefined,
   size: Resources,
   tasks = 1,
 ): boolean =>
-  !team || (size.cpus * tasks <= team.cpus + EPSILON && size.gpus * tasks <= team.gpus + EPSILON);
+  !quota ||
+  (size.cpus * tasks <= quota.cpus + EPSILON && size.gpus * tasks <= quota.gpus + EPSILON);
 
-function candidatesFor(
-  request: TaskRequest,
-  bound: boolean,
-  suited: readonly MachineGroup[],
-): Candidate[] {
+/** The slots that can take a task of the job, best first. */
+function candidatesFor({ request, groups, isConstrained }: EligibleRequest): Candidate[] {
   const candidates: Candidate[] = [];
-  for (const kind of suited) {
-    const penalty = kind.isContested && !bound && !request.isUrgent ? CONTESTED_PENALTY : 0;
-    for (const slot of kind.openSlots) {
-      if (slot.reservation === 'firmly' || (slot.reservation === 'yes' && !request.mustStart))
+  for (const group of groups) {
+    const penalty =
+      group.isContested && !isConstrained && !request.isUrgent ? CONTESTED_PENALTY : 0;
+    for (const slot of group.openSlots) {
+      if (slot.reservation === 'hard' || (slot.reservation === 'soft' && !request.mustStart))
         continue;
       if (!fits(request.resources, slot) || request.avoidedMachines.has(slot.machine.id)) continue;
       candidates.push({ slot, score: penalty + imageDelay(request, slot) });
@@ -44,20 +58,28 @@
   return candidates.sort((a, b) => a.score - b.score || compareSlots(a.slot, b.slot));
 }
 
-/** Placements of one job that can still be taken back. */
+/** Placements of one job that can still be undone. */
 class TentativePlacement {
-  private readonly placed: { index: number; candidate: Candidate; fetches: boolean }[] = [];
+  private readonly placed: {
+    readonly index: number;
+    readonly candidate: Candidate;
+    readonly startsFetch: boolean;
+  }[] = [];
   private readonly placedByZone: Map<string, number>;
+  private readonly request: TaskRequest;
+  private readonly capacity: ClusterCapacity;
+  private readonly quota: RemainingQuota | undefined;
   private nextCandidate = 0;
 
   constructor(
-    private readonly request: TaskRequest,
+    { request, capacity, quota }: PlacementContext,
     private readonly candidates: readonly Candidate[],
-    private readonly room: ClusterCapacity,
-    private readonly team: RemainingQuota | undefined,
     /** The zone that all tasks must be in, once one is known. */
     private zone: string | undefined,
   ) {
+    this.request = request;
+    this.capacity = capacity;
+    this.quota = quota;
     this.placedByZone = new Map(request.placedByZone);
   }
 
@@ -65,11 +87,10 @@
     return this.placed.length;
   }
 
-  /** Places one more task; false if no machine has room for it. */
+  /** Places one more task; false if no machine can take it or the quota of the team is used up. */
   add(index: number): boolean {
-    // A task that would take its team over the limit must not start, whatever is free.
-    if (!isWithinQuota(this.team, this.request.resources)) return false;
-    // A machine once taken is the best until it is full, so the search only ever goes on.
+    if (!isWithinQuota(this.quota, this.request.resources)) return false;
+    // The best machine stays the best until it is full, so the search never goes back.
     for (; this.nextCandidate < this.candidates.length; this.nextCandidate++) {
       const candidate = this.candidates[this.nextCandidate];
       if (!candidate || !this.isAvailable(candidate.slot)) continue;
@@ -85,42 +106,48 @@
     if (!fits(request.resources, slot)) return false;
     if (request.singleZone && this.zone !== undefined && zone !== this.zone) return false;
     if ((this.placedByZone.get(zone) ?? 0) >= request.maxPerZone) return false;
-    // Room is kept from what comes later, but not for so long that a job can't begin beside it.
+    // Reserves and reservations may delay a job, but not for so long that it never begins.
     if (request.mustStart && (request.isGang || this.size === 0)) return true;
     return (
-      slot.reservation === 'no' && (request.isUrgent || this.room.leavesReserve(slot, request))
+      slot.reservation === 'none' &&
+      (request.isUrgent || this.capacity.leavesReserve(slot, request))
     );
   }
 
   private allocate(index: number, candidate: Candidate): void {
-    const { request } = this;
+    const { request, quota } = this;
     const { slot } = candidate;
-    this.room.allocate(slot, request, 1);
-    const fetches = !slot.machine.hasImage(request.image) && !slot.pendingImages.has(request.image);
-    if (fetches) slot.pendingImages = new Set([...slot.pendingImages, request.image]);
-    if (this.team) {
-      this.team.cpus -= request.resources.cpus;
-      this.team.gpus -= request.resources.gpus;
+    const { zone } = slot.machine;
+    this.capacity.allocate(slot, request, 1);
+    const startsFetch =
+      !slot.machine.hasImage(request.image) && !slot.pendingImages.has(request.image);
+    if (startsFetch) slot.pendingImages = new Set([...slot.pendingImages, request.image]);
+    if (quota) {
+      quota.cpus -= request.resources.cpus;
+      quota.gpus -= request.resources.gpus;
     }
-    if (request.singleZone) this.zone = slot.machine.zone;
-    this.placedByZone.set(slot.machine.zone, (this.placedByZone.get(slot.machine.zone) ?? 0) + 1);
-    this.placed.push({ index, candidate, fetches });
+    if (request.singleZone) this.zone = zone;
+    this.placedByZone.set(zone, (this.placedByZone.get(zone) ?? 0) + 1);
+    this.placed.push({ index, candidate, startsFetch });
   }
 
+  /** Releases all that was allocated; the placement is not used any more, but its `cost` stays. */
   undo(): void {
-    const { request } = this;
-    for (const { candidate, fetches } of this.placed) {
+    const { request, quota } = this;
+    for (const { candidate, startsFetch } of this.placed) {
       const { slot } = candidate;
-      this.room.allocate(slot, request, -1);
-      if (fetches)
-        slot.pendingImages = new Set([...slot.pendingImages].filter((i) => i !== request.image));
-      if (!this.team) continue;
-      this.team.cpus += request.resources.cpus;
-      this.team.gpus += request.resources.gpus;
+      this.capacity.allocate(slot, request, -1);
+      if (startsFetch)
+        slot.pendingImages = new Set(
+          [...slot.pendingImages].filter((image) => image !== request.image),
+        );
+      if (!quota) continue;
+      quota.cpus += request.resources.cpus;
+      quota.gpus += request.resources.gpus;
     }
   }
 
-  /** The slowest fetch decides when a gang starts; among equals, all of them count. */
+  /** The worst score, since the slowest fetch decides when a gang starts; the sum of all only breaks ties. */
   get cost(): number {
     let worst = 0;
     let sum = 0;
@@ -140,51 +167,65 @@
   }
 }
 
-/** Places up to `most` tasks of an array, or all of a gang whatever its size. */
+/** Places up to `maxTasks` tasks of an array, or all tasks of a gang whatever their number. */
 export function placeJob(
-  request: TaskRequest,
-  bound: boolean,
-  suited: readonly MachineGroup[],
-  room: ClusterCapacity,
-  team: RemainingQuota | undefined,
-  most: number,
+  eligible: EligibleRequest,
+  capacity: ClusterCapacity,
+  quota: RemainingQuota | undefined,
+  maxTasks: number,
 ): Assignment[] {
-  const candidates = candidatesFor(request, bound, suited);
+  const candidates = candidatesFor(eligible);
   if (candidates.length === 0) return [];
-  if (request.isGang) return placeGang(request, candidates, room, team);
-  const filling = new TentativePlacement(request, candidates, room, team, request.boundZone);
+  const { request } = eligible;
+  const context = { request, capacity, quota };
+  if (request.isGang) return placeGang(context, candidates);
+  const placement = new TentativePlacement(context, candidates, request.boundZone);
   for (const index of request.waitingIndexes) {
-    if (filling.size >= most || !filling.add(index)) break;
+    if (placement.size >= maxTasks || !placement.add(index)) break;
   }
-  return filling.assignments();
+  return placement.assignments();
 }
 
-/** All tasks or none: a part of a gang would only hold room that others could use. */
-function placeGang(
-  request: TaskRequest,
-  candidates: readonly Candidate[],
-  room: ClusterCapacity,
-  team: RemainingQuota | undefined,
-): Assignment[] {
+/** All tasks or none: a part of a gang would only occupy capacity that others could use. */
+function placeGang(context: PlacementContext, candidates: readonly Candidate[]): Assignment[] {
+  const { request, quota } = context;
   const indexes = [...request.waitingIndexes];
   if (indexes.length === 0 || indexes.length < request.taskCount) return [];
-  if (!isWithinQuota(team, request.resources, indexes.length)) return [];
-  const attempt = (zone: string | undefined): TentativePlacement | undefined => {
-    const within = candidates.filter((c) => zone === undefined || c.slot.machine.zone === zone);
-    const filling = new TentativePlacement(request, within, room, team, zone);
-    if (indexes.every((index) => filling.add(index))) return filling;
-    filling.undo();
-    return undefined;
-  };
-  if (!request.singleZone || request.boundZone !== undefined)
-    return attempt(request.boundZone)?.assignments() ?? [];
-  const zones = new Set(candidates.map((c) => c.slot.machine.zone));
-  let best: { zone: string; cost: number } | undefined;
-  for (const zone of zones) {
-    const filling = attempt(zone);
-    if (!filling) continue;
-    filling.undo();
-    if (!best || filling.cost < best.cost) best = { zone, cost: filling.cost };
+  if (!isWithinQuota(quota, request.resources, indexes.length)) return [];
+  let zone = request.boundZone;
+  if (request.singleZone && zone === undefined) {
+    zone = cheapestZone(context, candidates, indexes);
+    if (zone === undefined) return [];
   }
-  return best ? (attempt(best.zone)?.assignments() ?? []) : [];
+  return tryGang(context, candidates, indexes, zone)?.assignments() ?? [];
+}
+
+/** The zone in which the gang would start soonest; undefined if no zone can hold all of it. */
+function cheapestZone(
+  context: PlacementContext,
+  candidates: readonly Candidate[],
+  indexes: readonly number[],
+): string | undefined {
+  let best: { readonly zone: string; readonly cost: number } | undefined;
+  for (const zone of new Set(candidates.map(({ slot }) => slot.machine.zone))) {
+    const placement = tryGang(context, candidates, indexes, zone);
+    if (!placement) continue;
+    placement.undo();
+    if (!best || placement.cost < best.cost) best = { zone, cost: placement.cost };
+  }
+  return best?.zone;
+}
+
+/** Places all tasks, in one zone if it is given; undefined, with nothing allocated, if that is not possible. */
+function tryGang(
+  context: PlacementContext,
+  candidates: readonly Candidate[],
+  indexes: readonly number[],
+  zone: string | undefined,
+): TentativePlacement | undefined {
+  const inZone = candidates.filter(({ slot }) => zone === undefined || slot.machine.zone === zone);
+  const placement = new TentativePlacement(context, inZone, zone);
+  if (indexes.every((index) => placement.add(index))) return placement;
+  placement.undo();
+  return undefined;
 }
--- a/src/placer/placer.ts
+++ b/src/placer/placer.ts
@@ -1,58 +1,76 @@
 /**
- * Where waiting tasks go. Pure and deterministic: what may be on a machine counts as there, jobs
- * are taken in the order given, and each task goes to a machine that holds its image, else to the
- * one that will have it first, else to the freest.
+ * Decides which machines the waiting tasks go to. Pure and deterministic: tasks that may be on a machine count
+ * as being there, jobs are taken by rank and then in the order given, and each task goes to a machine that holds
+ * its image, else to the one that will have it first, else to the one with most free processors.
  */
-import { reserveSlots } from './reservations.js';
-import { placeJob, isWithinQuota } from './job-placement.js';
 import { ClusterCapacity } from './cluster-capacity.js';
-import type {
-  Assignment,
-  CandidateMachine,
-  ImageReserve,
-  RemainingQuota,
-  TaskRequest,
-} from './types.js';
+import { isWithinQuota, placeJob, type EligibleRequest } from './job-placement.js';
+import { reserveSlots } from './reservations.js';
+import type { Assignment, PlacementInput, TaskRequest } from './types.js';
 
 export { isAllowed } from './cluster-capacity.js';
 export type {
   Assignment,
   CandidateMachine,
   ImageReserve,
+  PlacementInput,
   RemainingQuota,
   TaskRequest,
 } from './types.js';
 
-export function place(
+interface QueuedRequest extends EligibleRequest {
+  /** Position in the queue that the placer was given. */
+  readonly position: number;
+}
+
+/**
+ * Runs one placing round. Each task is assigned once at most, and no assignment exceeds the free capacity of its
+ * machine, the quota of its team or the constraints of its job. The values of `quotas` are reduced by what is
+ * placed.
+ */
+export function place({
+  requests,
+  machines,
+  quotas,
+  maxAssignments,
+  reserve = new Map(),
+}: PlacementInput): Assignment[] {
+  const minTaskCpus = requests.reduce(
+    (least, request) => Math.min(least, request.resources.cpus),
+    Infinity,
+  );
+  const capacity = new ClusterCapacity(machines, reserve, minTaskCpus);
+  const assignments: Assignment[] = [];
+  for (const queued of orderedQueue(requests, capacity)) {
+    if (assignments.length >= maxAssignments) break;
+    const { request, groups } = queued;
+    const quota = quotas.get(request.team);
+    const placed = placeJob(queued, capacity, quota, maxAssignments - assignments.length);
+    for (const assignment of placed) assignments.push(assignment);
+    const unplaced = request.taskCount - placed.length;
+    // No machine is reserved for tasks that the quota of their team would keep from starting.
+    const minTasks = request.isGang ? request.taskCount : 1;
+    if (unplaced > 0 && isWithinQuota(quota, request.resources, minTasks))
+      reserveSlots(request, groups, unplaced);
+  }
+  return assignments;
+}
+
+/** By rank; among equals constrained jobs come first, since the others have more machines to choose from. */
+function orderedQueue(
   requests: readonly TaskRequest[],
-  machines: readonly CandidateMachine[],
-  teams: ReadonlyMap<string, RemainingQuota>,
-  most: number,
-  reserve: ImageReserve = new Map(),
-): Assignment[] {
-  const leastCpus = requests.reduce((least, w) => Math.min(least, w.resources.cpus), Infinity);
-  const room = new ClusterCapacity(machines, reserve, leastCpus);
-  const queue = requests.map((request, order) => {
-    const suited = room.eligibleGroups(request);
-    return { request, order, suited, bound: room.isBound(suited) };
+  capacity: ClusterCapacity,
+): QueuedRequest[] {
+  const queue = requests.map((request, position) => {
+    const groups = capacity.eligibleGroups(request);
+    return { request, groups, isConstrained: capacity.isConstrained(groups), position };
   });
-  for (const q of queue) if (q.bound) for (const k of q.suited) k.isContested = true;
-  // Among the equally urgent, what can't go elsewhere chooses first.
-  queue.sort(
+  for (const { groups, isConstrained } of queue)
+    if (isConstrained) for (const group of groups) group.isContested = true;
+  return queue.sort(
     (a, b) =>
-      a.request.rank - b.request.rank || Number(b.bound) - Number(a.bound) || a.order - b.order,
+      a.request.rank - b.request.rank ||
+      Number(b.isConstrained) - Number(a.isConstrained) ||
+      a.position - b.position,
   );
-  const out: Assignment[] = [];
-  for (const { request, suited, bound } of queue) {
-    if (out.length >= most) break;
-    const team = teams.get(request.team);
-    const placed = placeJob(request, bound, suited, room, team, most - out.length);
-    for (const a of placed) out.push(a);
-    const missing = request.taskCount - placed.length;
-    // What its team's limit keeps back needs no machine kept for it.
-    const least = request.isGang ? request.taskCount : 1;
-    if (missing > 0 && isWithinQuota(team, request.resources, least))
-      reserveSlots(request, suited, missing);
-  }
-  return out;
 }
--- a/src/placer/reservations.ts
+++ b/src/placer/reservations.ts
@@ -1,82 +1,85 @@
 /**
- * Machines that are kept, for one round, from the jobs that come later in the queue: for large tasks, since
- * small ones would fill each gap before it is wide enough, and for gangs, which need room for all at once.
+ * Reserves machines, for one placing round, against the jobs that come later in the queue: for large tasks, since
+ * small ones would fill each gap before it is wide enough, and for gangs, which need capacity for all tasks at once.
  */
 import { EPSILON, fits } from '../fleet/resources.js';
-import { imageDelay, type MachineGroup, type MachineSlot } from './cluster-capacity.js';
+import {
+  compareByFreeCpus,
+  imageDelay,
+  type MachineGroup,
+  type MachineSlot,
+} from './cluster-capacity.js';
 import type { TaskRequest } from './types.js';
 
-/** Claimed machines stand partly empty: of those that would suit, no more than this share. */
-const MOST_CLAIMED = 0.5;
+/** Reserved machines stand partly empty: of those that a job may use, no more than this share is reserved. */
+const MAX_RESERVED_SHARE = 0.5;
 
-/** Keeps machines for so many tasks of a job that found no room. */
+/** Reserves machines for so many tasks of a job that could not be placed, within the groups that it may use. */
 export function reserveSlots(
   request: TaskRequest,
-  suited: readonly MachineGroup[],
-  missing: number,
+  groups: readonly MachineGroup[],
+  unplaced: number,
 ): void {
   let machines = 0;
-  let claimed = 0;
-  for (const kind of suited) {
-    machines += kind.slots.length;
-    claimed += kind.reservedSlots;
+  let reserved = 0;
+  for (const group of groups) {
+    machines += group.slots.length;
+    reserved += group.reservedCount;
   }
-  const most = Math.max(1, Math.floor(machines * MOST_CLAIMED));
-  if (claimed >= most) return;
-  const slots = request.isGang ? slotsForGang(request, suited) : slotsForLargeTask(request, suited);
-  let left = missing;
+  const maxReserved = Math.max(1, Math.floor(machines * MAX_RESERVED_SHARE));
+  if (reserved >= maxReserved) return;
+  const slots = request.isGang ? slotsForGang(request, groups) : slotsForLargeTask(request, groups);
+  let tasksLeft = unplaced;
   for (const slot of slots) {
-    if (left <= 0 || claimed >= most) break;
-    slot.reservation = request.rank < 0 ? 'firmly' : 'yes';
-    slot.group.reservedSlots++;
-    claimed++;
-    left -= Math.max(
-      1,
-      Math.floor((slot.machine.capacity.cpus + EPSILON) / request.resources.cpus),
-    );
+    if (tasksLeft <= 0 || reserved >= maxReserved) break;
+    slot.reservation = request.rank < 0 ? 'hard' : 'soft';
+    slot.group.reservedCount++;
+    reserved++;
+    tasksLeft -= Math.max(1, tasksPerEmptyMachine(slot, request));
   }
 }
 
-/** The freest machines that could ever hold the task, where it takes most of one. */
-function slotsForLargeTask(request: TaskRequest, suited: readonly MachineGroup[]): MachineSlot[] {
+/** If a task takes at least half of a machine: those that are too full for it now, the least full first. */
+function slotsForLargeTask(request: TaskRequest, groups: readonly MachineGroup[]): MachineSlot[] {
   const slots: MachineSlot[] = [];
-  for (const kind of suited) {
-    if (request.resources.cpus * 2 < kind.capacity.cpus - EPSILON) continue;
-    for (const s of kind.slots)
-      if (s.reservation === 'no' && !fits(request.resources, s)) slots.push(s);
+  for (const group of groups) {
+    if (request.resources.cpus * 2 < group.capacity.cpus - EPSILON) continue;
+    for (const slot of group.slots)
+      if (slot.reservation === 'none' && !fits(request.resources, slot)) slots.push(slot);
   }
-  return slots.sort(freestFirst);
+  return slots.sort(compareByFreeCpus);
 }
 
-/** In the zone with most room, if all have to be in one: those that will have the image first. */
-function slotsForGang(request: TaskRequest, suited: readonly MachineGroup[]): MachineSlot[] {
-  const open = suited.flatMap((kind) => kind.slots.filter((s) => s.reservation === 'no'));
-  const areas = request.singleZone ? [...byZone(open).values()] : [open];
-  // Machines that could not hold all of it even if they were empty are of no use to it.
-  const large = areas.filter((slots) => capacityOf(slots, request) >= request.taskCount);
-  const [best = []] = large.sort((a, b) => freeCpus(b) - freeCpus(a));
-  return best.sort((a, b) => imageDelay(request, a) - imageDelay(request, b) || freestFirst(a, b));
+/** In the zone with most free processors, if all must be in one: machines that will have the image first. */
+function slotsForGang(request: TaskRequest, groups: readonly MachineGroup[]): MachineSlot[] {
+  const unreserved = groups.flatMap((group) =>
+    group.slots.filter((slot) => slot.reservation === 'none'),
+  );
+  const regions = request.singleZone ? [...slotsByZone(unreserved).values()] : [unreserved];
+  // Machines that could not hold the whole gang even if they were empty are of no use to it.
+  const largeEnough = regions.filter((slots) => taskCapacity(slots, request) >= request.taskCount);
+  const [best = []] = largeEnough.sort((a, b) => freeCpus(b) - freeCpus(a));
+  return best.sort(
+    (a, b) => imageDelay(request, a) - imageDelay(request, b) || compareByFreeCpus(a, b),
+  );
 }
 
-function byZone(slots: readonly MachineSlot[]): Map<string, MachineSlot[]> {
+function slotsByZone(slots: readonly MachineSlot[]): Map<string, MachineSlot[]> {
   const zones = new Map<string, MachineSlot[]>();
   for (const slot of slots) {
-    const zone = zones.get(slot.machine.zone) ?? [];
-    zone.push(slot);
-    zones.set(slot.machine.zone, zone);
+    const inZone = zones.get(slot.machine.zone) ?? [];
+    inZone.push(slot);
+    zones.set(slot.machine.zone, inZone);
   }
   return zones;
 }
 
-/** How many tasks machines hold that run nothing else. */
-const capacityOf = (slots: readonly MachineSlot[], { resources: size }: TaskRequest): number =>
-  slots.reduce(
-    (sum, { machine: machine }) => sum + Math.floor((machine.capacity.cpus + EPSILON) / size.cpus),
-    0,
-  );
+/** How many tasks of the job the machine can hold, by processors, while it runs nothing else. */
+const tasksPerEmptyMachine = ({ machine }: MachineSlot, { resources }: TaskRequest): number =>
+  Math.floor((machine.capacity.cpus + EPSILON) / resources.cpus);
+
+const taskCapacity = (slots: readonly MachineSlot[], request: TaskRequest): number =>
+  slots.reduce((sum, slot) => sum + tasksPerEmptyMachine(slot, request), 0);
 
 const freeCpus = (slots: readonly MachineSlot[]): number =>
   slots.reduce((sum, { cpus }) => sum + cpus, 0);
-
-const freestFirst = (a: MachineSlot, b: MachineSlot): number =>
-  b.cpus - a.cpus || (a.machine.id < b.machine.id ? -1 : 1);
