--- a/eslint.config.js
+++ b/eslint.config.js
@@ -195,7 +195,6 @@
   ['src/config/settings.ts', 'complexity', 16, '`parseSettings`: one default for each optional setting'],
   ['src/config/settings.ts', 'max-lines-per-function', 75, '`parseSettings`: one line for each setting'],
   ['src/fleet/machine.ts', 'complexity', 15, '`loadOf`: sums what is assigned and what is reported beside it'],
-  ['src/leader/dispatch.ts', 'complexity', 17, '`teamRoom`, `want`, `hosts`, `victims`: rules of placing, written as one decision each'],
   ['src/leader/election.ts', 'complexity', 14, '`seek`: the states in which the leader key may be, one branch each'],
   ['src/leader/orders.ts', 'complexity', 27, '`answer`, `direct`: what a machine is told, in order of precedence'],
   ['src/leader/reports.ts', 'complexity', 34, '`observe`: what a report proves, in order of precedence'],
--- a/src/leader/anticipated-work.ts
+++ b/src/leader/anticipated-work.ts
@@ -1,4 +1,7 @@
-/** Room to have standing by, so that the next job of a class that must start at once finds it. */
+/**
+ * Forecasts work that must start at once when it is submitted, so that capacity for it can be kept free. The forecast
+ * is an exponential moving average of the processors that such submissions asked for, one for each image.
+ */
 import type { Objective } from '../config/settings.js';
 import { isGang } from '../ledger/job.js';
 import { isUrgent } from '../ledger/queue.js';
@@ -6,75 +9,93 @@
 import { seconds, since, type SteadyMs } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
 
-/** How much of a new submission counts in the running mean. */
-const MEAN_WEIGHT = 0.2;
+/** Smoothing factor: the weight of the newest submission in the moving average. */
+const SMOOTHING_FACTOR = 0.2;
+/** The reserve that running machines keep, as a multiple of the average submission. */
 const RESERVE_FACTOR = 2;
-/** An image without such work for this long gets no room. */
-const FORGET_AFTER = seconds(180);
-/** The most of the fleet that is kept free for one image. */
+/** An image for which no such work was submitted for this long is not expected again. */
+const MAX_SUBMISSION_AGE = seconds(180);
+/** The largest share of the fleet's processors that is kept free for one image. */
 const MAX_RESERVE_SHARE = 0.1;
 
 interface RecentSubmissions {
-  /** Of the submission last seen: what kind of room is wanted. */
-  spec: JobSpec;
-  meanCpus: number;
-  lastSeenAt: SteadyMs;
+  /** Of the newest submission: stands for the next one. */
+  readonly spec: JobSpec;
+  /** Exponential moving average of the processors that a submission asked for. */
+  readonly averageCpus: number;
+  readonly lastSubmittedAt: SteadyMs;
 }
 
-/** What urgent work, and gangs whose start users wait for, have been coming lately, by image. */
+/** A submission to be expected: so many tasks like those of `spec`. */
+export interface AnticipatedSubmission {
+  readonly spec: JobSpec;
+  readonly count: number;
+}
+
+/**
+ * Recent submissions of urgent jobs, and of gangs whose users wait for their start, by image.
+ *
+ * The first submission with an image sets the average of that image; each later one moves it by `SMOOTHING_FACTOR` of
+ * the difference. An image is dropped when nothing was submitted with it for `MAX_SUBMISSION_AGE`.
+ */
 export class AnticipatedWork {
-  private readonly seenByImage = new Map<string, RecentSubmissions>();
-  private readonly awaitedClasses: ReadonlySet<string>;
+  private readonly recentByImage = new Map<string, RecentSubmissions>();
+  /** Job classes with an objective on the time until they start. */
+  private readonly awaitedClasses = new Set<string>();
 
   constructor(objectives: readonly Objective[]) {
-    const awaited = objectives.filter((o) => o.kind === 'wait' && o.jobClass !== undefined);
-    this.awaitedClasses = new Set(awaited.map((o) => o.jobClass ?? ''));
+    for (const { kind, jobClass } of objectives)
+      if (kind === 'wait' && jobClass !== undefined) this.awaitedClasses.add(jobClass);
   }
 
   /**
-   * Whether room is kept for jobs like this one: urgent ones, and gangs whose users wait for their start.
-   * Ordinary arrays start task by task in what room there is; room for them would be paid for by all.
+   * Whether capacity is kept free for jobs like this one: urgent ones, and gangs whose users wait for their start.
+   * Other arrays start task by task in the capacity there is, which costs less than keeping some free for them.
    */
   isAnticipated(spec: JobSpec): boolean {
     return isUrgent(spec.priority) || (isGang(spec) && this.awaitedClasses.has(spec.jobClass));
   }
 
+  /** Takes a submission into the average of its image, if it is of the kind that is anticipated. */
   noteSubmission(spec: JobSpec, now: SteadyMs): void {
     if (!this.isAnticipated(spec)) return;
     const cpus = spec.taskCount * spec.cpus;
-    const known = this.seenByImage.get(spec.image);
-    this.seenByImage.set(spec.image, {
+    const recent = this.recentByImage.get(spec.image);
+    this.recentByImage.set(spec.image, {
       spec,
-      meanCpus: known ? known.meanCpus + MEAN_WEIGHT * (cpus - known.meanCpus) : cpus,
-      lastSeenAt: now,
+      averageCpus: recent
+        ? recent.averageCpus + SMOOTHING_FACTOR * (cpus - recent.averageCpus)
+        : cpus,
+      lastSubmittedAt: now,
     });
   }
 
+  /** Processors to keep free on machines that hold each image, given those of the whole fleet. */
   reserve(fleetCpus: number, now: SteadyMs): ImageReserve {
-    this.forget(now);
-    const most = fleetCpus * MAX_RESERVE_SHARE;
+    this.dropOld(now);
+    const maxCpus = fleetCpus * MAX_RESERVE_SHARE;
     return new Map(
-      [...this.seenByImage].map(([image, { meanCpus: mean }]) => [
+      [...this.recentByImage].map(([image, { averageCpus }]) => [
         image,
-        Math.min(mean * RESERVE_FACTOR, most),
+        Math.min(averageCpus * RESERVE_FACTOR, maxCpus),
       ]),
     );
   }
 
-  /** The next submission of each kind, as it were: what room to have standing by for. */
-  anticipated(fleetCpus: number, now: SteadyMs): { spec: JobSpec; count: number }[] {
-    this.forget(now);
-    const most = fleetCpus * MAX_RESERVE_SHARE;
-    return [...this.seenByImage.values()].map(({ spec, meanCpus: mean }) => ({
+  /** The next submission with each image, by which capacity is rented ahead. */
+  anticipated(fleetCpus: number, now: SteadyMs): AnticipatedSubmission[] {
+    this.dropOld(now);
+    const maxCpus = fleetCpus * MAX_RESERVE_SHARE;
+    return [...this.recentByImage.values()].map(({ spec, averageCpus }) => ({
       spec,
-      count: Math.ceil(Math.min(mean, most) / spec.cpus),
+      count: Math.ceil(Math.min(averageCpus, maxCpus) / spec.cpus),
     }));
   }
 
-  /** Also while nothing waits: machines that stand by for what does not come any more cost as much as others. */
-  private forget(now: SteadyMs): void {
-    for (const [image, { lastSeenAt: at }] of this.seenByImage) {
-      if (since(at, now) > FORGET_AFTER) this.seenByImage.delete(image);
+  /** Called by each reader, so that idle machines are not paid for after such work has stopped coming. */
+  private dropOld(now: SteadyMs): void {
+    for (const [image, { lastSubmittedAt }] of this.recentByImage) {
+      if (since(lastSubmittedAt, now) > MAX_SUBMISSION_AGE) this.recentByImage.delete(image);
     }
   }
 }
--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/anticipated-work.test.ts
@@ -1,3 +1,4 @@
+/** For which submissions capacity is kept on standby, how much, and for how long. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AnticipatedWork } from '../../src/leader/anticipated-work.js';
@@ -5,11 +6,11 @@
 import type { JobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 
-const at = (s: number): SteadyMs => SteadyMs(seconds(s));
+const at = (time: number): SteadyMs => SteadyMs(seconds(time));
 const objectives = [{ kind: 'wait', jobClass: 'merge', within: seconds(5), times: 1 }];
 
-void test('for which jobs room stands by, and for how long', () => {
-  const cases: [name: string, change: Partial<JobSpec>, asked: number, stands: boolean][] = [
+void test('capacity is kept for urgent jobs and awaited gangs, as long as they are recent', () => {
+  const cases: [name: string, change: Partial<JobSpec>, askedAt: number, isExpected: boolean][] = [
     ['urgent', { priority: 'high' }, 10, true],
     ['a gang whose users wait for its start', { jobClass: 'merge', kind: 'ensemble' }, 10, true],
     ['an array whose users wait for its start', { jobClass: 'merge' }, 10, false],
@@ -17,16 +18,16 @@
     ['neither', {}, 10, false],
     ['long ago', { priority: 'high' }, 200, false],
   ];
-  for (const [name, change, asked, stands] of cases) {
-    const standby = new AnticipatedWork(objectives);
-    standby.noteSubmission(spec({ taskCount: 4, cpus: 2, ...change }), at(0));
-    // Asked for what to rent first, as while nothing waits: nothing else makes it forget.
-    const expected = standby.anticipated(1000, at(asked));
+  for (const [name, change, askedAt, isExpected] of cases) {
+    const work = new AnticipatedWork(objectives);
+    work.noteSubmission(spec({ taskCount: 4, cpus: 2, ...change }), at(0));
+    // The forecast is read before the reserve, which is not read while nothing waits: it drops old images itself.
+    const forecast = work.anticipated(1000, at(askedAt));
     assert.deepEqual(
-      expected.map((e) => e.count),
-      stands ? [4] : [],
+      forecast.map((submission) => submission.count),
+      isExpected ? [4] : [],
       name,
     );
-    assert.equal(standby.reserve(1000, at(asked)).get('img-01'), stands ? 16 : undefined, name);
+    assert.equal(work.reserve(1000, at(askedAt)).get('img-01'), isExpected ? 16 : undefined, name);
   }
 });
