--- a/eslint.config.js
+++ b/eslint.config.js
@@ -195,7 +195,6 @@
   ['src/config/settings.ts', 'complexity', 16, '`parseSettings`: one default for each optional setting'],
   ['src/config/settings.ts', 'max-lines-per-function', 75, '`parseSettings`: one line for each setting'],
   ['src/fleet/machine.ts', 'complexity', 15, '`loadOf`: sums what is assigned and what is reported beside it'],
-  ['src/leader/dispatch.ts', 'complexity', 17, '`teamRoom`, `want`, `hosts`, `victims`: rules of placing, written as one decision each'],
   ['src/leader/orders.ts', 'complexity', 27, '`answer`, `direct`: what a machine is told, in order of precedence'],
   ['src/leader/reports.ts', 'complexity', 34, '`observe`: what a report proves, in order of precedence'],
   ['src/ledger/ledger.ts', 'complexity', 17, '`write`: the outcomes of a transaction, each with what then holds'],
@@ -203,7 +202,6 @@
   ['src/ledger/ledger.ts', 'max-lines-per-function', 56, '`write`: as its complexity'],
   ['src/ledger/queue.ts', 'complexity', 15, '`dueTimes`: one case for each kind of objective'],
   ['src/net/http.ts', 'max-lines-per-function', 63, '`send`: listeners that share the state of one request'],
-  ['src/placer/fill.ts', 'complexity', 15, '`fillGang`: zones and halves are tried in one search'],
   ['src/store/client.ts', 'complexity', 15, '`multi`: the outcomes of a transaction, by status'],
   ['test/standin/day.ts', 'complexity', 64, '`badDay`: the mishaps of a day, one condition each; its order of draws fixes the seeds'],
   ['test/standin/day.ts', 'max-lines-per-function', 168, '`badDay`: as its complexity'],
@@ -212,7 +210,6 @@
   ['test/standin/worker.ts', 'complexity', 16, '`report`: the answers that a worker may get, one branch each'],
   ['test/standin/world.ts', 'complexity', 25, '`started`, `waitsBesideRoom`: rules of the service that each day is judged by'],
   ['test/standin/world.ts', 'max-lines', 528, 'one world joins all stand-ins and judges them'],
-  ['test/unit/placer.test.ts', 'complexity', 16, 'a property of placing, checked over its cases'],
   ['test/unit/report-relay.test.ts', 'complexity', 13, 'a property over drawn steps, one branch for each kind'],
 ];
 
