--- a/eslint.config.js
+++ b/eslint.config.js
@@ -186,11 +186,6 @@
  */
 // prettier-ignore
 export const EXCEPTIONS = [
-  ['src/capacity/keeper.ts', 'complexity', 20, '`idle`: each reason to keep a machine is one condition'],
-  ['src/capacity/keeper.ts', 'max-lines', 390, 'renting, listing and giving back share the machines that are pending'],
-  ['src/capacity/lost-machines.ts', 'complexity', 18, '`lostMachines`: one decision over all signs of life of a machine'],
-  ['src/capacity/planner.ts', 'complexity', 14, '`cheapest`: compares offers by one rule after the other'],
-  ['src/cloud/catalog.ts', 'complexity', 23, '`judge`: one condition for each way in which a job can never run'],
   ['src/config/operator-file.ts', 'complexity', 14, '`parseOperator`: one default for each optional element'],
   ['src/config/settings.ts', 'complexity', 16, '`parseSettings`: one default for each optional setting'],
   ['src/config/settings.ts', 'max-lines-per-function', 75, '`parseSettings`: one line for each setting'],
--- a/src/api/user-requests.ts
+++ b/src/api/user-requests.ts
@@ -126,20 +126,20 @@
     const verdict = parsed.ok ? this.admission.judge(parsed.value) : undefined;
     if (!parsed.ok)
       return this.refuse(body, { status: 400, body: { error: parsed.reason } }, relaying);
-    if (typeof verdict === 'object') {
-      return this.refuse(body, { status: 422, body: { error: verdict.never } }, relaying);
+    if (verdict?.kind === 'impossible') {
+      return this.refuse(body, { status: 422, body: { error: verdict.reason } }, relaying);
     }
     const spec = parsed.value;
     const term = this.leadership.authorisedTerm();
     if (term?.isReady) {
-      if (verdict !== 'undecided') return this.submitToTerm(spec, term);
+      if (verdict?.kind !== 'undecided') return this.submitToTerm(spec, term);
       return this.answer(spec.id, await term.findJob(JobId(spec.id)), TRY_AGAIN, term);
     }
     if (relaying === 'relay' && !term) {
       const reply = await this.askLeader({ type: 'submitJob', body }, RELAY_SUBMIT_TIMEOUT);
       if (reply) return reply;
     }
-    return verdict === 'undecided' ? TRY_AGAIN : this.createRecord(spec, relaying);
+    return verdict?.kind === 'undecided' ? TRY_AGAIN : this.createRecord(spec, relaying);
   }
 
   /** A repeat of a job that was accepted is answered with its state, whatever it says now. */
--- /dev/null
+++ b/src/capacity/bin-packing.ts
@@ -0,0 +1,39 @@
+/** Bins for the scale-out planner: machines, existing or planned, into which tasks are packed. */
+import { EPSILON, type Resources } from '../fleet/resources.js';
+import type { Offer } from './types.js';
+
+/** A machine with the resources that are left on it. */
+export interface Bin {
+  readonly offer: Offer;
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+}
+
+/** A bin with that much free. */
+export const createBin = (offer: Offer, free: Resources): Bin => ({
+  offer,
+  cpus: free.cpus,
+  gpus: free.gpus,
+  memoryGb: free.memoryGb,
+});
+
+/** How many tasks of a size fit into free resources. */
+export const slotCount = (free: Resources, task: Resources): number =>
+  Math.floor(
+    Math.min(
+      free.cpus / task.cpus,
+      task.gpus > 0 ? free.gpus / task.gpus : Infinity,
+      task.memoryGb > 0 ? free.memoryGb / task.memoryGb : Infinity,
+    ) + EPSILON,
+  );
+
+/** Packs at most `maxTasks` tasks of a size into a bin; returns how many were packed. */
+export function packTasks(bin: Bin, task: Resources, maxTasks: number): number {
+  if (bin.cpus < task.cpus - EPSILON) return 0;
+  const count = Math.min(maxTasks, slotCount(bin, task));
+  bin.cpus -= count * task.cpus;
+  bin.gpus -= count * task.gpus;
+  bin.memoryGb -= count * task.memoryGb;
+  return count;
+}
--- a/src/capacity/lost-machines.ts
+++ b/src/capacity/lost-machines.ts
@@ -1,118 +1,168 @@
-/** Which machines are to be deleted because they are gone, or as good as gone: decided by silence. */
+/**
+ * Which machines are to be deleted because they are gone, or of no use any more: those that never booted,
+ * that the cloud no longer lists, that are silent, or that receive nothing for too long.
+ */
 import type { Machine } from '../fleet/machine.js';
 import { SteadyMs, ms, since, type DurationMs, type NodeId } from '../units/index.js';
 
-/** A boot is given up after this many times the usual. */
-const LOST_BOOT_FACTOR = 4;
-/** Periods of silence, in reports: of a machine that the cloud's list lacks; of any other. */
+/** A boot has failed after this many times its usual duration. */
+const FAILED_BOOT_FACTOR = 4;
+/** Silence, in heartbeat intervals, that shows a machine to be gone: if the cloud no longer lists it. */
 const UNLISTED_HEARTBEATS = 1.5;
+/** Of any other machine. */
 const SILENT_HEARTBEATS = 2.75;
-/** The same where something else than the machine's end may explain its silence. */
+/** Where something else than the end of the machine may explain its silence. */
 const EXPLAINED_HEARTBEATS = 7;
 /**
- * While most of a zone has not found its way back to us, none of it is given up for this many worker
- * leases: its tasks are over after one, and a machine that is well is worth more than a new one.
+ * While most machines of a zone have not reconnected, none of them is given up for this many worker leases:
+ * their tasks are over after one, and a machine that works is worth more than a new one.
  */
-const ZONE_RETURN_LEASES = 2;
-/** A machine that hears nothing is given back after so many worker leases. */
+const ZONE_RECONNECT_LEASES = 2;
+/** A machine that receives nothing is deleted after this many worker leases. */
 const NOT_RECEIVING_LEASES = 1.2;
 
+/** What the silence of machines is judged by. */
 export interface LivenessView {
   readonly now: SteadyMs;
-  /** Since when this process has answered reports without a break. */
+  /** Since when this process has answered heartbeats without a break. */
   readonly listeningSince: SteadyMs;
   readonly heartbeatInterval: DurationMs;
+  /** The lease of a worker. */
   readonly lease: DurationMs;
   /** How long a machine of that type usually takes to boot. */
   readonly bootTime: (machineType: string) => DurationMs;
-  /** When another node was last known not to answer us. */
+  /** When another node was last known not to answer this one. */
   readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
 }
 
-/** Never booted, vanished from the list, silent, or deaf for too long; and what was told to go before. */
+type Presence =
+  /** Its delete was sent before, or its boot has failed. */
+  | 'abandoned'
+  /** It has sent no heartbeat and is not listed as running: its silence means nothing yet. */
+  | 'notStarted'
+  /** Silent, and not listed any more. */
+  | 'vanished'
+  /** Silent, but perhaps only until it has found another way to the leader. */
+  | 'reconnecting'
+  | 'silent'
+  | 'alive';
+
+/** Machines by what is known of them. */
+interface Survey {
+  readonly machineCount: number;
+  /** Gone for certain, or abandoned. */
+  readonly gone: readonly Machine[];
+  readonly silent: readonly Machine[];
+  readonly notReceiving: readonly Machine[];
+  readonly zones: ZoneLiveness;
+}
+
+/** The machines to delete: those that are certainly gone come first. */
 export function lostMachines(machines: Iterable<Machine>, view: LivenessView): Machine[] {
-  const lost: Machine[] = [];
-  const silent: Machine[] = [];
-  const deaf: Machine[] = [];
-  const zones = new ZoneContact();
-  let total = 0;
-  for (const m of machines) {
-    total++;
-    if (m.deleteSent || isBootOverdue(m, view)) {
-      lost.push(m);
-      continue;
-    }
-    const quiet = silenceOf(m, view);
-    if (quiet === undefined) continue;
-    if (
-      m.notReceivingSince !== undefined &&
-      since(m.notReceivingSince, view.now) > view.lease * NOT_RECEIVING_LEASES
-    ) {
-      deaf.push(m);
-    }
-    zones.count(m);
-    if (m.missedLists >= 1 && quiet > view.heartbeatInterval * UNLISTED_HEARTBEATS) lost.push(m);
-    else if (isReconnecting(m, view) && quiet <= view.heartbeatInterval * EXPLAINED_HEARTBEATS)
-      continue;
-    else if (quiet > view.heartbeatInterval * SILENT_HEARTBEATS) silent.push(m);
-    else zones.countHeard(m);
+  const { machineCount, gone, silent, notReceiving, zones } = survey(machines, view);
+  const lost = [...gone];
+  // Where most machines of a zone are alive, a silent one is dead. Otherwise this node may be cut off from
+  // the zone: its tasks run on, and its workers may yet reach the leader through another node.
+  for (const machine of silent) {
+    if (zones.isMostlyAlive(machine) || isGivenUp(machine, view)) lost.push(machine);
+  }
+  // The tasks of a machine that receives nothing end with its lease. If most receive nothing, the fault
+  // may be on this side, and none is deleted for it.
+  if (2 * notReceiving.length < machineCount) {
+    for (const machine of notReceiving) if (!lost.includes(machine)) lost.push(machine);
   }
-  // Where most of a zone is heard, a silent machine is dead. Where it is not, we may be cut off
-  // from it: its tasks run on, and its worker may yet reach us through another node.
-  for (const m of silent) if (zones.isMostlyHeard(m) || isGivenUp(m, view)) lost.push(m);
-  // What a deaf machine had is over once its lease ran out. If most are deaf, it may be our own fault.
-  if (2 * deaf.length < total) for (const m of deaf) if (!lost.includes(m)) lost.push(m);
   return lost;
 }
 
-function isBootOverdue(m: Machine, { now, bootTime }: LivenessView): boolean {
-  if (m.bootingSince === undefined) return false;
-  return since(m.bootingSince, now) > bootTime(m.kind.machineType) * LOST_BOOT_FACTOR;
+function survey(machines: Iterable<Machine>, view: LivenessView): Survey {
+  const gone: Machine[] = [];
+  const silent: Machine[] = [];
+  const notReceiving: Machine[] = [];
+  const zones = new ZoneLiveness();
+  let machineCount = 0;
+  for (const machine of machines) {
+    machineCount++;
+    const presence = presenceOf(machine, view);
+    if (presence === 'abandoned' || presence === 'vanished') gone.push(machine);
+    else if (presence === 'silent') silent.push(machine);
+    if (presence === 'abandoned' || presence === 'notStarted') continue;
+    zones.add(machine, presence === 'alive');
+    if (isNotReceiving(machine, view)) notReceiving.push(machine);
+  }
+  return { machineCount, gone, silent, notReceiving, zones };
 }
 
-/** How long it has been silent; undefined if it was never to be heard yet. */
-function silenceOf(m: Machine, { now, listeningSince }: LivenessView): DurationMs | undefined {
-  const last = m.lastHeardAt ?? m.listedRunningSince;
+function presenceOf(machine: Machine, view: LivenessView): Presence {
+  if (machine.deleteSent || isBootOverdue(machine, view)) return 'abandoned';
+  const silence = silenceOf(machine, view);
+  if (silence === undefined) return 'notStarted';
+  const { heartbeatInterval } = view;
+  if (machine.missedLists >= 1 && silence > heartbeatInterval * UNLISTED_HEARTBEATS) {
+    return 'vanished';
+  }
+  if (isReconnecting(machine, view) && silence <= heartbeatInterval * EXPLAINED_HEARTBEATS) {
+    return 'reconnecting';
+  }
+  return silence > heartbeatInterval * SILENT_HEARTBEATS ? 'silent' : 'alive';
+}
+
+function isBootOverdue(machine: Machine, { now, bootTime }: LivenessView): boolean {
+  if (machine.bootingSince === undefined) return false;
+  const maxBootTime = bootTime(machine.kind.machineType) * FAILED_BOOT_FACTOR;
+  return since(machine.bootingSince, now) > maxBootTime;
+}
+
+/** How long a machine has been silent; undefined if no heartbeat of it was to be expected yet. */
+function silenceOf(
+  machine: Machine,
+  { now, listeningSince }: LivenessView,
+): DurationMs | undefined {
+  const last = machine.lastHeardAt ?? machine.listedRunningSince;
   if (last === undefined) return undefined;
-  // Silence counts only while we listened: not before we led, nor while we answered 503.
+  // Silence counts only while heartbeats were answered: not before this term, nor while they got a 503.
   return since(SteadyMs(Math.max(last, listeningSince)), now);
 }
 
+/** Whether a machine sends heartbeats but has received nothing for too long. */
+function isNotReceiving(machine: Machine, { now, lease }: LivenessView): boolean {
+  if (machine.notReceivingSince === undefined) return false;
+  return since(machine.notReceivingSince, now) > lease * NOT_RECEIVING_LEASES;
+}
+
 /**
- * Whether its worker may be looking for a way to us. Hundreds may do so at once after a change of leader,
- * or after the end of the node that they reported through; those that get through first say nothing of
- * the others. In the end the worker's lease tells.
+ * Whether the worker may be looking for another way to the leader. Hundreds may do so at once after a
+ * failover, or after the end of the node that relayed their heartbeats; that some have got through says
+ * nothing about the others. The worker's lease decides in the end.
  */
-function isReconnecting(m: Machine, { unreachableAt }: LivenessView): boolean {
-  if (m.lastHeardAt === undefined) return true;
-  const lost = m.relayNode === undefined ? undefined : unreachableAt.get(m.relayNode);
-  return lost !== undefined && lost >= m.lastHeardAt;
+function isReconnecting(machine: Machine, { unreachableAt }: LivenessView): boolean {
+  if (machine.lastHeardAt === undefined) return true;
+  if (machine.relayNode === undefined) return false;
+  const relayLostAt = unreachableAt.get(machine.relayNode);
+  return relayLostAt !== undefined && relayLostAt >= machine.lastHeardAt;
 }
 
-/** Whether it is silent for too long even if its whole zone is. */
-function isGivenUp(m: Machine, view: LivenessView): boolean {
-  const quiet = silenceOf(m, view) ?? 0;
-  if (isReconnecting(m, view)) return quiet > view.lease * ZONE_RETURN_LEASES;
-  return !m.isUp || quiet > view.heartbeatInterval * EXPLAINED_HEARTBEATS;
+/** Whether a machine is silent for too long even if its whole zone is silent. */
+function isGivenUp(machine: Machine, view: LivenessView): boolean {
+  const silence = silenceOf(machine, view) ?? 0;
+  if (isReconnecting(machine, view)) return silence > view.lease * ZONE_RECONNECT_LEASES;
+  return !machine.isUp || silence > view.heartbeatInterval * EXPLAINED_HEARTBEATS;
 }
 
-/** How much of each zone is heard. */
-class ZoneContact {
+/** How many machines of each zone are alive. */
+class ZoneLiveness {
   private readonly total = new Map<string, number>();
-  private readonly heard = new Map<string, number>();
-
-  count({ kind: place }: Machine): void {
-    this.total.set(place.zone, (this.total.get(place.zone) ?? 0) + 1);
-  }
+  private readonly alive = new Map<string, number>();
 
-  countHeard({ kind: place }: Machine): void {
-    this.heard.set(place.zone, (this.heard.get(place.zone) ?? 0) + 1);
+  add({ kind: { zone } }: Machine, isAlive: boolean): void {
+    this.total.set(zone, (this.total.get(zone) ?? 0) + 1);
+    if (isAlive) this.alive.set(zone, (this.alive.get(zone) ?? 0) + 1);
   }
 
-  isMostlyHeard({ kind: place }: Machine): boolean {
-    return 2 * (this.heard.get(place.zone) ?? 0) > (this.total.get(place.zone) ?? 0);
+  isMostlyAlive({ kind: { zone } }: Machine): boolean {
+    return 2 * (this.alive.get(zone) ?? 0) > (this.total.get(zone) ?? 0);
   }
 }
 
-/** How long a machine that answers nothing counts as silent rather than dead. */
-export const silenceThreshold = (report: DurationMs): DurationMs => ms(report * SILENT_HEARTBEATS);
+/** How long a machine may be silent before that needs an explanation. */
+export const silenceThreshold = (heartbeatInterval: DurationMs): DurationMs =>
+  ms(heartbeatInterval * SILENT_HEARTBEATS);
--- /dev/null
+++ b/src/capacity/refusals.ts
@@ -0,0 +1,42 @@
+/** Back-off from offers that the cloud refused: others are tried in the meantime. */
+import { later, ms, seconds, type Random, type SteadyMs } from '../units/index.js';
+import { offerKey, type Offer } from './types.js';
+
+const MIN_PAUSE = seconds(8);
+const MAX_PAUSE = seconds(60);
+/** Pauses are spread by this share up and down. */
+const JITTER = 0.2;
+
+interface Refusal {
+  readonly pausedUntil: SteadyMs;
+  /** Refusals in a row. */
+  readonly count: number;
+}
+
+/** The pause of each refused offer, which doubles with each refusal in a row. */
+export class OfferRefusals {
+  private readonly refusals = new Map<string, Refusal>();
+
+  constructor(private readonly random: Random) {}
+
+  /** An offer was refused, wholly or in part. */
+  noteRefused(offer: Offer, now: SteadyMs): void {
+    const key = offerKey(offer);
+    const count = (this.refusals.get(key)?.count ?? 0) + 1;
+    const pause = Math.min(MAX_PAUSE, MIN_PAUSE * 2 ** (count - 1));
+    const jitter = 1 - JITTER + 2 * JITTER * this.random();
+    this.refusals.set(key, { count, pausedUntil: later(now, ms(pause * jitter)) });
+  }
+
+  /** An offer was granted in full: its next refusal counts as the first. */
+  noteGranted(offer: Offer): void {
+    this.refusals.delete(offerKey(offer));
+  }
+
+  /** The keys of the offers whose pause is not over. */
+  pausedOffers(now: SteadyMs): ReadonlySet<string> {
+    const paused = new Set<string>();
+    for (const [key, { pausedUntil }] of this.refusals) if (pausedUntil > now) paused.add(key);
+    return paused;
+  }
+}
--- /dev/null
+++ b/src/capacity/supply.ts
@@ -0,0 +1,95 @@
+/** The supply of machines: what is free on them, now or after their boot, and how soon their tasks end. */
+import type { MachineCatalog } from '../cloud/machine-catalog.js';
+import type { Fleet } from '../fleet/fleet.js';
+import type { Machine } from '../fleet/machine.js';
+import { machineResources, subtract, type Resources } from '../fleet/resources.js';
+import { isUrgent } from '../ledger/queue.js';
+import { ms, since, type Epoch, type JobId, type SteadyMs } from '../units/index.js';
+import type { JobSpec, MachineType } from '../wire/index.js';
+import { offerKey, type AvailableCapacity, type Offer, type Turnover } from './types.js';
+
+/** A booting machine counts as supply for this many times its type's usual boot. */
+const LATE_BOOT_FACTOR = 2;
+
+/** What the supply is read from. */
+export interface SupplyView {
+  readonly fleet: Fleet;
+  readonly catalog: MachineCatalog;
+  readonly epoch: Epoch;
+  readonly now: SteadyMs;
+  readonly specOf: (job: JobId) => JobSpec | undefined;
+}
+
+/** The machines that waiting tasks may go to without any being rented. */
+export interface Supply {
+  readonly available: readonly AvailableCapacity[];
+  readonly turnover: readonly Turnover[];
+}
+
+/** The supply of all machines that take tasks, or will once they are up. */
+export function currentSupply(view: SupplyView): Supply {
+  const available: AvailableCapacity[] = [];
+  const turnover = new TurnoverByOffer(view);
+  for (const machine of view.fleet.machines.values()) {
+    const type = view.catalog.machineType(machine.kind.machineType);
+    if (!type || !mayTakeTasks(machine, view)) continue;
+    const capacity = machineResources(type);
+    if (!machine.isUp) {
+      if (isBooting(machine, type, view.now)) available.push({ ...machine.kind, free: capacity });
+      continue;
+    }
+    const load = view.fleet.load(machine);
+    if (load.hasUnknownTasks) continue;
+    available.push({ ...machine.kind, free: subtract(capacity, load.used) });
+    turnover.add(machine, capacity);
+  }
+  return { available, turnover: turnover.list() };
+}
+
+const mayTakeTasks = (machine: Machine, { epoch, now }: SupplyView): boolean =>
+  !machine.isDraining && !machine.deleteSent && !machine.isUnconfirmedAndUnreachable(epoch, now);
+
+function isBooting(machine: Machine, type: MachineType, now: SteadyMs): boolean {
+  if (machine.bootingSince === undefined) return false;
+  return since(machine.bootingSince, now) < type.bootSeconds * 1000 * LATE_BOOT_FACTOR;
+}
+
+/** Sums of the tasks on the machines of one offer. */
+interface TaskTotals {
+  readonly offer: Offer;
+  readonly capacity: Resources;
+  busyCpus: number;
+  /** CPUs times milliseconds. */
+  cpuTime: number;
+}
+
+class TurnoverByOffer {
+  private readonly totals = new Map<string, TaskTotals>();
+
+  constructor(private readonly view: Pick<SupplyView, 'specOf' | 'now'>) {}
+
+  add(machine: Machine, capacity: Resources): void {
+    const offer = machine.kind;
+    const key = offerKey(offer);
+    const totals = this.totals.get(key) ?? { offer, capacity, busyCpus: 0, cpuTime: 0 };
+    this.totals.set(key, totals);
+    for (const { job, placedAt } of machine.assignments.values()) {
+      const spec = this.view.specOf(job);
+      // What urgent tasks leave is taken by further urgent tasks.
+      if (!spec || isUrgent(spec.priority)) continue;
+      totals.busyCpus += spec.cpus;
+      // A task that has run for longer than estimated shows that the estimate was too low.
+      const elapsed = since(placedAt, this.view.now);
+      totals.cpuTime += spec.cpus * Math.max(spec.expectedRuntimeSeconds * 1000, elapsed);
+    }
+  }
+
+  list(): Turnover[] {
+    return Array.from(this.totals.values(), ({ offer, capacity, busyCpus, cpuTime }) => ({
+      ...offer,
+      capacity,
+      busyCpus,
+      meanRuntime: ms(busyCpus > 0 ? cpuTime / busyCpus : 0),
+    }));
+  }
+}
--- /dev/null
+++ b/src/capacity/wait-estimator.ts
@@ -0,0 +1,54 @@
+/** Estimates how many waiting tasks the machines that are up will serve in time, without new ones. */
+import { fits } from '../fleet/resources.js';
+import { isAllowed } from '../placer/placer.js';
+import { seconds, type DurationMs } from '../units/index.js';
+import type { Demand, Turnover } from './types.js';
+
+/** The share of freed CPUs that counts: they come free in pieces, of which a large task can't use all. */
+const USABLE_SHARE = 0.8;
+
+/** The tasks that wait for the machines of one offer. */
+interface WaitQueue {
+  readonly turnover: Turnover;
+  /** CPUs that come free a second. */
+  readonly rate: number;
+  /** CPUs that the tasks queued so far need. */
+  queuedCpus: number;
+}
+
+/** One queue for each offer whose machines run tasks: those queued first are served first. */
+export class WaitEstimator {
+  private readonly queues: readonly WaitQueue[];
+
+  constructor(turnover: readonly Turnover[]) {
+    this.queues = turnover
+      .filter(({ busyCpus }) => busyCpus > 0)
+      .map((entry) => ({
+        turnover: entry,
+        rate: (entry.busyCpus * USABLE_SHARE) / Math.max(1, entry.meanRuntime / seconds(1)),
+        queuedCpus: 0,
+      }));
+  }
+
+  /** Queues tasks; returns for each of the waits how many of them will still wait after it. */
+  enqueue(demand: Demand, taskCount: number, waits: readonly DurationMs[]): number[] {
+    const eligible = this.queues.filter(
+      ({ turnover }) => isAllowed(demand, turnover) && fits(demand.resources, turnover.capacity),
+    );
+    let rate = 0;
+    let queuedCpus = 0;
+    for (const queue of eligible) {
+      rate += queue.rate;
+      queuedCpus += queue.queuedCpus;
+    }
+    const cpus = taskCount * demand.resources.cpus;
+    for (const queue of eligible) {
+      queue.queuedCpus += rate > 0 ? (cpus * queue.rate) / rate : 0;
+    }
+    return waits.map((wait) => {
+      if (wait === Infinity) return 0;
+      const servedCpus = Math.max(0, rate * (wait / seconds(1)) - queuedCpus);
+      return Math.ceil(Math.max(0, cpus - servedCpus) / demand.resources.cpus - 1e-6);
+    });
+  }
+}
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,3 +1,7 @@
+/**
+ * The client of the cloud API, which rents machines and takes them back. A call reports by the type of
+ * its result whether the cloud carried it out; it throws for no answer of the cloud.
+ */
 import type { HttpClient, Outcome, Request } from '../net/http.js';
 import { TokenBucket } from '../store/budget.js';
 import { MachineId, ms, type Clock, type DurationMs, type Endpoint } from '../units/index.js';
@@ -12,89 +16,100 @@
   type ScaleOutRequest,
 } from '../wire/index.js';
 
+/** The most machines that one scale-out request may ask for. */
 export const MAX_MACHINES_PER_REQUEST = 50;
+/** The most machines that one delete request may name. */
 export const MAX_MACHINES_PER_DELETE = 100;
 const PAGE_SIZE = 500;
 const CALL_TIMEOUT: DurationMs = ms(5000);
+/** Calls stay below the cloud's rate limit by the rest of this share. */
+const USED_RATE_SHARE = 0.95;
+/** How many seconds' worth of calls may leave at once after a pause. */
+const BURST_SECONDS = 1.8;
 
+/** How the cloud answered a request for machines. */
 export type ScaleOutResult =
-  | { kind: 'rented'; machines: readonly MachineId[] }
-  | { kind: 'noCapacity' }
-  | { kind: 'malformed' }
-  /** Not carried out, or not known: to be repeated under the same name. */
-  | { kind: 'retry'; why: string };
+  /** Carried out; possibly with fewer machines than requested. */
+  | { readonly kind: 'rented'; readonly machines: readonly MachineId[] }
+  /** Refused: it has no machine of this type, zone and kind now. */
+  | { readonly kind: 'noCapacity' }
+  /** Refused as invalid: repeating it is of no use. */
+  | { readonly kind: 'malformed' }
+  /** Not carried out, or unknown whether it was: to be repeated under the same request id. */
+  | { readonly kind: 'retry'; readonly reason: string };
 
-/** The cloud that rents machines. Calls leave under its rate; whoever finds no turn asks later. */
+/**
+ * Calls the cloud over HTTP, within its rate limit: callers ask `isReady` first and come back later
+ * if it is not. Every call ends within its timeout.
+ */
 export class CloudClient {
   private readonly bucket: TokenBucket;
 
+  /** `callsPerSecond`: the rate limit of the cloud for all calls together. */
   constructor(
     private readonly http: HttpClient,
     private readonly endpoint: Endpoint,
     clock: Clock,
-    rps: number,
+    callsPerSecond: number,
   ) {
-    this.bucket = new TokenBucket(clock, rps * 0.95, Math.max(1, rps * 1.8));
+    const burst = Math.max(1, callsPerSecond * BURST_SECONDS);
+    this.bucket = new TokenBucket(clock, callsPerSecond * USED_RATE_SHARE, burst);
   }
 
-  /** Whether a call may leave now. */
+  /** Whether the rate limit allows a call now. */
   isReady(): boolean {
     return this.bucket.waitFor(1) <= 0;
   }
 
-  private async send(request: Omit<Request, 'endpoint' | 'timeout' | 'lane'>): Promise<Outcome> {
-    this.bucket.forceTake(1);
-    const o = await this.http.send({
-      ...request,
-      lane: 'cloud',
-      endpoint: this.endpoint,
-      timeout: CALL_TIMEOUT,
-    });
-    if (o.kind === 'answer' && o.status === 429) this.bucket.drain();
-    return o;
-  }
-
+  /** The machine types that can be rented; undefined if the cloud did not answer with them. */
   async machineTypes(): Promise<readonly MachineType[] | undefined> {
-    const o = await this.send({ method: 'GET', path: '/flavors' });
-    if (o.kind !== 'answer' || o.status !== 200) return undefined;
-    return decodeMachineTypes(o.body);
+    const outcome = await this.send({ method: 'GET', path: '/flavors' });
+    if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
+    return decodeMachineTypes(outcome.body);
   }
 
+  /** Rents machines. Idempotent: a repeat of a request id that was carried out rents nothing more. */
   async scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
-    const o = await this.send({
+    const outcome = await this.send({
       method: 'POST',
       path: '/machines',
       body: encodeScaleOutRequest(request),
     });
-    if (o.kind !== 'answer') return { kind: 'retry', why: o.why };
-    if (o.status === 200) {
-      const machines = decodeScaleOutResponse(o.body);
+    if (outcome.kind !== 'answer') return { kind: 'retry', reason: outcome.why };
+    const { status, body } = outcome;
+    if (status === 200) {
+      const machines = decodeScaleOutResponse(body);
       if (machines) return { kind: 'rented', machines: machines.map(MachineId) };
     }
-    const error = (o.body as { error?: unknown } | undefined)?.error;
-    if (o.status === 503 && error === 'no capacity') return { kind: 'noCapacity' };
-    if (o.status === 400) return { kind: 'malformed' };
-    return { kind: 'retry', why: `status ${o.status}` };
+    const error = (body as { error?: unknown } | undefined)?.error;
+    if (status === 503 && error === 'no capacity') return { kind: 'noCapacity' };
+    if (status === 400) return { kind: 'malformed' };
+    return { kind: 'retry', reason: `status ${status}` };
   }
 
-  /** True once the cloud has said that the machines are gone. */
+  /**
+   * Gives machines back; true once the cloud has confirmed that they are gone. After false they may
+   * still go at any time, since the request may have arrived.
+   */
   async deleteMachines(machines: readonly MachineId[]): Promise<boolean> {
-    const o = await this.send({
+    const outcome = await this.send({
       method: 'POST',
       path: '/machines/delete',
       body: encodeDeleteRequest(machines),
     });
-    return o.kind === 'answer' && o.status === 200;
+    return outcome.kind === 'answer' && outcome.status === 200;
   }
 
+  /** All pages of the cloud's list, which lags behind; undefined unless every page was read. */
   async listMachines(): Promise<readonly ListedMachine[] | undefined> {
     const machines: ListedMachine[] = [];
     let from: string | undefined;
     for (;;) {
       const query = from === undefined ? '' : `from=${from}&`;
-      const o = await this.send({ method: 'GET', path: `/machines?${query}limit=${PAGE_SIZE}` });
-      if (o.kind !== 'answer' || o.status !== 200) return undefined;
-      const page = decodeMachinePage(o.body);
+      const path = `/machines?${query}limit=${PAGE_SIZE}`;
+      const outcome = await this.send({ method: 'GET', path });
+      if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
+      const page = decodeMachinePage(outcome.body);
       if (!page) return undefined;
       machines.push(...page.machines);
       const last = page.machines.at(-1);
@@ -102,4 +117,17 @@
       from = last.id;
     }
   }
+
+  private async send(request: Omit<Request, 'endpoint' | 'timeout' | 'lane'>): Promise<Outcome> {
+    this.bucket.forceTake(1);
+    const outcome = await this.http.send({
+      ...request,
+      lane: 'cloud',
+      endpoint: this.endpoint,
+      timeout: CALL_TIMEOUT,
+    });
+    // Too many requests: the cloud has counted more calls than we have.
+    if (outcome.kind === 'answer' && outcome.status === 429) this.bucket.drain();
+    return outcome;
+  }
 }
--- /dev/null
+++ b/src/cloud/feasibility.ts
@@ -0,0 +1,78 @@
+/**
+ * Whether a submitted job could ever run with the teams and machine types that there are. Pure, so that
+ * every node refuses the same jobs for the same reason.
+ */
+import type { Team } from '../config/settings.js';
+import { JobKind, TEAM_FIELD, type JobSpec, type MachineType } from '../wire/index.js';
+
+/** Whether a job can ever run. */
+export type Verdict =
+  | { readonly kind: 'runnable' }
+  /** The machine types are not known yet. */
+  | { readonly kind: 'undecided' }
+  /** `reason` is part of the answer to the user. */
+  | { readonly kind: 'impossible'; readonly reason: string };
+
+/** Judges a job by its team's quota and by the machine types; an empty list: not known yet. */
+export function judgeFeasibility(
+  spec: JobSpec,
+  teams: ReadonlyMap<string, Team>,
+  machineTypes: readonly MachineType[],
+): Verdict {
+  const teamReason = unknownTeam(spec, teams) ?? quotaExceeded(spec, teams.get(spec.team));
+  if (teamReason !== undefined) return { kind: 'impossible', reason: teamReason };
+  if (machineTypes.length === 0) return { kind: 'undecided' };
+  const zones = eligibleZones(spec, machineTypes);
+  const zoneReason = noEligibleZone(zones) ?? spreadImpossible(spec, zones);
+  if (zoneReason !== undefined) return { kind: 'impossible', reason: zoneReason };
+  return { kind: 'runnable' };
+}
+
+const isGang = (spec: JobSpec): boolean => spec.kind === JobKind.gang;
+
+function unknownTeam(spec: JobSpec, teams: ReadonlyMap<string, Team>): string | undefined {
+  return teams.has(spec.team) ? undefined : `${TEAM_FIELD}: no team ${spec.team}`;
+}
+
+/** A limit of 0 is none. */
+function quotaExceeded(spec: JobSpec, team: Team | undefined): string | undefined {
+  if (!team) return undefined;
+  // All tasks of a gang run at once; those of an array may run one at a time.
+  const minConcurrentTasks = isGang(spec) ? spec.taskCount : 1;
+  const exceedsCpus = team.maxCpus > 0 && minConcurrentTasks * spec.cpus > team.maxCpus;
+  const exceedsGpus = team.maxGpus > 0 && minConcurrentTasks * spec.gpus > team.maxGpus;
+  if (!exceedsCpus && !exceedsGpus) return undefined;
+  return `${TEAM_FIELD}: it needs more at once than the limit of ${spec.team}`;
+}
+
+/** The allowed zones in which an allowed machine type is offered that a task fits. */
+function eligibleZones(spec: JobSpec, machineTypes: readonly MachineType[]): ReadonlySet<string> {
+  const zones = new Set<string>();
+  for (const type of machineTypes) {
+    if (!canHoldTask(spec, type)) continue;
+    for (const zone of type.zones) {
+      if (spec.zone === null || spec.zone === zone) zones.add(zone);
+    }
+  }
+  return zones;
+}
+
+const canHoldTask = (spec: JobSpec, type: MachineType): boolean =>
+  (spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
+  spec.cpus <= type.cpus &&
+  spec.gpus <= type.gpus &&
+  spec.memoryGb <= type.memoryGb;
+
+function noEligibleZone(zones: ReadonlySet<string>): string | undefined {
+  return zones.size === 0 ? 'a task fits no allowed machine type' : undefined;
+}
+
+/**
+ * At most half of a gang with spread zones may be in one zone, so it needs two. Tasks of an array can
+ * run one after the other in a single zone.
+ */
+function spreadImpossible(spec: JobSpec, zones: ReadonlySet<string>): string | undefined {
+  if (!isGang(spec) || !spec.spreadZones || spec.taskCount <= 1) return undefined;
+  if (!spec.singleZone && zones.size > 1) return undefined;
+  return 'apart: the tasks of a gang must be in two zones, and may not be';
+}
--- a/src/cloud/machine-catalog.ts
+++ b/src/cloud/machine-catalog.ts
@@ -1,79 +1,57 @@
+/** The catalog of machine types: what the cloud offers, at which price and in which zones. */
+import type { Team } from '../config/settings.js';
 import {
-  JobKind,
-  TEAM_FIELD,
   decodeMachineTypes,
   encodeMachineTypes,
   type JobSpec,
   type MachineType,
 } from '../wire/index.js';
-import type { Team } from '../config/settings.js';
-
-export type Verdict = 'ok' | 'undecided' | { readonly never: string };
+import { judgeFeasibility, type Verdict } from './feasibility.js';
 
 /**
- * The machine types, their prices and zones, as last read. What rarely changes is also kept in the
- * state service, so that a node that starts while the cloud is out can still judge submissions.
+ * The machine types, their prices and zones, as last read from the cloud. The leader also keeps them in
+ * the state service, so that a node that starts while the cloud is unavailable can judge submissions.
  */
 export class MachineCatalog {
   private types = new Map<string, MachineType>();
 
+  /** Whether any machine types have been read yet. */
   get isKnown(): boolean {
     return this.types.size > 0;
   }
 
+  /** The type of that name; undefined if the cloud does not offer it, or nothing was read yet. */
   machineType(name: string): MachineType | undefined {
     return this.types.get(name);
   }
 
+  /** All types, in the order of the cloud. */
   all(): MachineType[] {
     return [...this.types.values()];
   }
 
-  /** Takes what was read; true if anything but prices changed, so that it is worth keeping. */
-  update(flavors: readonly MachineType[]): boolean {
+  /** Replaces all types; true if anything but prices changed, so that they are worth storing again. */
+  update(machineTypes: readonly MachineType[]): boolean {
     const before = JSON.stringify(this.all().map(withoutPrices));
-    this.types = new Map(flavors.map((f) => [f.name, f]));
+    this.types = new Map(machineTypes.map((type) => [type.name, type]));
     return JSON.stringify(this.all().map(withoutPrices)) !== before;
   }
 
-  /** From the state service, if nothing newer is known. */
+  /** Takes the types from the state service, unless some were read already; ignores unreadable data. */
   restore(data: unknown): void {
     if (this.isKnown) return;
     const types = decodeMachineTypes(data);
     if (types) this.update(types);
   }
 
-  /** In the form in which it is stored. */
+  /** The form in which the types are stored. */
   encode(): object {
     return encodeMachineTypes(this.all());
   }
 
-  /** Whether a job can ever run here. */
-  judge(s: JobSpec, teams: ReadonlyMap<string, Team>): Verdict {
-    const team = teams.get(s.team);
-    if (!team) return { never: `${TEAM_FIELD}: no team ${s.team}` };
-    // A gang is on machines as a whole, of others at least one task at a time.
-    const whole = s.kind === JobKind.gang;
-    const least = whole ? s.taskCount : 1;
-    if (
-      (team.maxCpus > 0 && least * s.cpus > team.maxCpus) ||
-      (team.maxGpus > 0 && least * s.gpus > team.maxGpus)
-    ) {
-      return { never: `${TEAM_FIELD}: it needs more at once than the limit of ${s.team}` };
-    }
-    if (!this.isKnown) return 'undecided';
-    const zones = new Set<string>();
-    for (const f of this.types.values()) {
-      if (s.machineTypes !== null && !s.machineTypes.includes(f.name)) continue;
-      if (s.cpus > f.cpus || s.gpus > f.gpus || s.memoryGb > f.memoryGb) continue;
-      for (const zone of f.zones) if (s.zone === null || s.zone === zone) zones.add(zone);
-    }
-    if (zones.size === 0) return { never: 'a task fits no allowed machine type' };
-    // Tasks of their own can take turns in one zone; a gang that may have half of them there can't.
-    if (whole && s.spreadZones && s.taskCount > 1 && (s.singleZone || zones.size === 1)) {
-      return { never: 'apart: the tasks of a gang must be in two zones, and may not be' };
-    }
-    return 'ok';
+  /** Whether a job can ever run on these types within the quota of its team. */
+  judge(spec: JobSpec, teams: ReadonlyMap<string, Team>): Verdict {
+    return judgeFeasibility(spec, teams, this.all());
   }
 }
 
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -126,7 +126,6 @@
     this.autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        silenceThreshold: this.scheduler.silenceThreshold,
         listeningSince: () => this.listeningSince,
         unreachableAt: this.unreachableAt,
         queue: () => this.scheduler.queue(),
@@ -134,10 +133,7 @@
         anticipatedWork: () => this.scheduler.anticipatedWork(),
         noteRemoved: (m, why) => this.onMachineRemoved(m, why),
       },
-      deps.cloud,
-      catalog,
-      epoch,
-      { settings, operator, clock, random, log },
+      { cloud: deps.cloud, catalog, epoch, settings, operator, clock, random, log },
     );
   }
 
--- a/src/ledger/admission.ts
+++ b/src/ledger/admission.ts
@@ -1,6 +1,7 @@
 /** Whether a submitted job can ever run here, alike on every node. */
 import type { Team } from '../config/settings.js';
-import type { MachineCatalog, Verdict } from '../cloud/machine-catalog.js';
+import type { Verdict } from '../cloud/feasibility.js';
+import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import { TASK_COUNT_FIELD, type JobSpec } from '../wire/index.js';
 import { isGang } from './job.js';
 import type { RecordLimits } from './record-limits.js';
@@ -17,7 +18,8 @@
     const openTasks = isGang(spec) ? spec.taskCount : 1;
     if (!this.recordLimits.canRecord(spec, openTasks)) {
       return {
-        never: `${TASK_COUNT_FIELD}: its record would exceed the limits of the state service`,
+        kind: 'impossible',
+        reason: `${TASK_COUNT_FIELD}: its record would exceed the limits of the state service`,
       };
     }
     return this.catalog.judge(spec, this.teams);
--- a/test/unit/lost-machines.test.ts
+++ b/test/unit/lost-machines.test.ts
@@ -1,73 +1,102 @@
+/** Which machines count as lost: by their silence, the cloud's list, their boot and what they receive. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { lostMachines } from '../../src/capacity/lost-machines.js';
+import { lostMachines, type LivenessView } from '../../src/capacity/lost-machines.js';
 import { Machine } from '../../src/fleet/machine.js';
 import { MachineId, NodeId, SteadyMs, seconds } from '../../src/units/index.js';
 
 const FOLLOWER = NodeId('node-1');
-const at = (s: number): SteadyMs => SteadyMs(s * 1000);
+const at = (second: number): SteadyMs => SteadyMs(second * 1000);
 
-/** A machine that was last heard at that second; undefined: not yet by this leader. */
-function machine(id: string, heardAt: number | undefined, change: Partial<Machine> = {}): Machine {
-  const place = { machineType: 'small', zone: 'a', spot: true };
-  const m = new Machine(MachineId(id), place, 20, at(1000));
-  m.isUp = heardAt !== undefined;
-  m.lastHeardAt = heardAt === undefined ? undefined : at(heardAt);
-  m.listedRunningSince = at(0);
-  return Object.assign(m, change);
+/** A machine whose last heartbeat came at that second; undefined: none has reached this leader. */
+function machineSilentSince(
+  second: number | undefined,
+  change: Partial<Machine> = {},
+  id = 'm',
+): Machine {
+  const kind = { machineType: 'small', zone: 'a', spot: true };
+  const machine = new Machine(MachineId(id), kind, 20, at(1000));
+  machine.isUp = second !== undefined;
+  machine.lastHeardAt = second === undefined ? undefined : at(second);
+  machine.listedRunningSince = at(0);
+  return Object.assign(machine, change);
 }
 
+/** At second 100, with nothing known of other nodes. */
+const VIEW: LivenessView = {
+  now: at(100),
+  listeningSince: at(0),
+  heartbeatInterval: seconds(3),
+  lease: seconds(24),
+  bootTime: () => seconds(10),
+  unreachableAt: new Map(),
+};
+
 void test('which silent machines count as lost', () => {
-  const through = { relayNode: FOLLOWER };
-  type Case = [name: string, one: Machine, unreachableAt: number | undefined, lost: boolean];
+  const relayed = { relayNode: FOLLOWER };
+  type Case = [
+    name: string,
+    machine: Machine,
+    followerUnreachableAt: number | undefined,
+    isLost: boolean,
+  ];
   const cases: Case[] = [
-    ['heard lately', machine('m', 95), undefined, false],
-    ['silent for three reports', machine('m', 91), undefined, true],
-    ['silent, its follower is well', machine('m', 91, through), undefined, true],
-    ['silent, its follower ended before', machine('m', 91, through), 90, true],
-    ['silent since its follower ended', machine('m', 91, through), 92, false],
-    ['silent for long since then', machine('m', 78, through), 92, true],
-    ['silent and not listed any more', machine('m', 91, { ...through, missedLists: 1 }), 92, true],
-    ['not heard by this leader yet', machine('m', undefined), undefined, true],
-    ['its boot takes far too long', machine('m', undefined, { bootingSince: at(50) }), 99, true],
+    ['a heartbeat lately', machineSilentSince(95), undefined, false],
+    ['silent for three heartbeats', machineSilentSince(91), undefined, true],
+    ['silent, its follower works', machineSilentSince(91, relayed), undefined, true],
+    ['silent, its follower ended before', machineSilentSince(91, relayed), 90, true],
+    ['silent since its follower ended', machineSilentSince(91, relayed), 92, false],
+    ['silent for long since then', machineSilentSince(78, relayed), 92, true],
+    [
+      'silent and no longer listed',
+      machineSilentSince(91, { ...relayed, missedLists: 1 }),
+      92,
+      true,
+    ],
+    ['no heartbeat to this leader yet', machineSilentSince(undefined), undefined, true],
+    [
+      'its boot takes far too long',
+      machineSilentSince(undefined, { bootingSince: at(50) }),
+      99,
+      true,
+    ],
     [
-      'deaf for longer than its lease',
-      machine('m', 99, { notReceivingSince: at(60) }),
+      'it has received nothing for longer than its lease',
+      machineSilentSince(99, { notReceivingSince: at(60) }),
       undefined,
       true,
     ],
   ];
-  for (const [name, one, unreachable, lost] of cases) {
-    // Beside two that are heard, so that most of the zone is.
-    const all = [one, machine('x', 99), machine('y', 99)];
-    const found = lostMachines(all, {
-      now: at(100),
-      listeningSince: at(0),
-      heartbeatInterval: seconds(3),
-      lease: seconds(24),
-      bootTime: () => seconds(10),
-      unreachableAt: new Map(unreachable === undefined ? [] : [[FOLLOWER, at(unreachable)]]),
-    });
-    assert.deepEqual(found, lost ? [one] : [], name);
+  for (const [name, machine, followerUnreachableAt, isLost] of cases) {
+    // Beside two that are alive, so that most of the zone is.
+    const all = [machine, machineSilentSince(99, {}, 'x'), machineSilentSince(99, {}, 'y')];
+    const unreachableAt = new Map(
+      followerUnreachableAt === undefined ? [] : [[FOLLOWER, at(followerUnreachableAt)]],
+    );
+    const found = lostMachines(all, { ...VIEW, unreachableAt });
+    assert.deepEqual(found, isLost ? [machine] : [], name);
   }
 });
 
-void test('machines that are silent together may be behind a cut', () => {
-  const all = [machine('m', 91), machine('n', 91), machine('x', 99)];
-  const view = {
-    now: at(100),
-    listeningSince: at(0),
-    heartbeatInterval: seconds(3),
-    lease: seconds(24),
-    bootTime: () => seconds(10),
-    unreachableAt: new Map(),
-  };
-  assert.deepEqual(lostMachines(all, view), []);
-  assert.equal(lostMachines(all, { ...view, now: at(113) }).length, 2, 'for longer than that');
-  // Hundreds that come back to a new leader, or after the end of their follower, take their time.
-  const back = [machine('m', undefined), machine('n', 91, { relayNode: FOLLOWER })];
+void test('machines of a zone that are silent together may only be cut off', () => {
+  const all = [
+    machineSilentSince(91, {}, 'm'),
+    machineSilentSince(91, {}, 'n'),
+    machineSilentSince(99, {}, 'x'),
+  ];
+  assert.deepEqual(lostMachines(all, VIEW), []);
+  assert.equal(lostMachines(all, { ...VIEW, now: at(113) }).length, 2, 'for longer than that');
+});
+
+void test('machines that are silent after a failover have two worker leases to reconnect', () => {
+  // Hundreds that reconnect to a new leader, or after the end of their follower, take their time.
+  const reconnecting = [
+    machineSilentSince(undefined, {}, 'm'),
+    machineSilentSince(91, { relayNode: FOLLOWER }, 'n'),
+  ];
   const unreachableAt = new Map([[FOLLOWER, at(95)]]);
-  const slow = (s: number) =>
-    lostMachines(back, { ...view, unreachableAt, listeningSince: at(91), now: at(s) }).length;
-  assert.deepEqual([slow(113), slow(138), slow(140)], [0, 0, 2]);
+  const lostAt = (second: number): number =>
+    lostMachines(reconnecting, { ...VIEW, unreachableAt, listeningSince: at(91), now: at(second) })
+      .length;
+  assert.deepEqual([lostAt(113), lostAt(138), lostAt(140)], [0, 0, 2]);
 });
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -99,11 +99,11 @@
   for (const [name, body, status] of cases) {
     const parsed = parseSubmission(encode(body));
     const verdict = parsed.ok ? catalog.judge(parsed.value, settings.teams) : undefined;
-    const got = !parsed.ok ? 400 : typeof verdict === 'object' ? 422 : 0;
+    const got = !parsed.ok ? 400 : verdict?.kind === 'impossible' ? 422 : 0;
     assert.equal(got, status, name);
   }
   const gang = parseSubmission(encode(submission({ kind: 'ensemble', spreadZones: true })));
-  assert.ok(gang.ok && typeof one.judge(gang.value, settings.teams) === 'object');
+  assert.ok(gang.ok && one.judge(gang.value, settings.teams).kind === 'impossible');
 });
 
 void test('a follower that reaches no leader: what the store said too long ago is not told', async () => {
