--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -29,6 +29,7 @@
   type NodeId,
   type Random,
   type SteadyMs,
+  type Timer,
 } from '../units/index.js';
 import type { JobSpec, ScaleOutRequest } from '../wire/index.js';
 import { anticipatedDemand, queuedDemand, type AnticipatedTasks } from './demand.js';
@@ -93,7 +94,9 @@
 export class Autoscaler {
   /** Called when the machine types were read and differ from those known by more than prices. */
   onMachineTypesChanged: (() => void) | undefined;
+  private closed = false;
   private callInFlight = false;
+  private nextTick: Timer | undefined;
   private pendingRequest: ScaleOutRequest | undefined;
   private plannedRequests: PlannedScaleOut[] = [];
   private requestCounter = 0;
@@ -111,9 +114,16 @@
     this.backoff = new Backoff(deps.clock, deps.random, MIN_FAILURE_PAUSE, MAX_FAILURE_PAUSE);
   }
 
+  /** Makes no further calls. One that is in flight is carried out, and its result is noted. */
+  close(): void {
+    this.closed = true;
+    this.nextTick?.cancel();
+  }
+
   /** Makes the next call if one is due and the last one is over. */
   tick(): void {
-    if (this.callInFlight || this.backoff.remaining() > 0 || !this.deps.cloud.isReady()) return;
+    if (this.closed || this.callInFlight) return;
+    if (this.backoff.remaining() > 0 || !this.deps.cloud.isReady()) return;
     const call = this.nextCall(this.deps.clock.steady());
     if (!call) return;
     this.callInFlight = true;
@@ -130,7 +140,7 @@
     this.callInFlight = false;
     if (isAnswered) {
       this.backoff.noteSuccess();
-      this.deps.clock.after(NEXT_CALL_DELAY, () => this.tick());
+      if (!this.closed) this.nextTick = this.deps.clock.after(NEXT_CALL_DELAY, () => this.tick());
     } else this.backoff.noteFailure();
   }
 
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -152,6 +152,7 @@
     this.ledger.close();
     this.commands.close();
     this.scheduler.close();
+    this.autoscaler.close();
   }
 
   async start(): Promise<void> {
