--- a/src/api/submissions.ts
+++ b/src/api/submissions.ts
@@ -75,10 +75,14 @@
       return { kind: 'refused', refusal: { status: 400, body: { error: parsed.reason } } };
     }
     const verdict = this.deps.admission.judge(parsed.value);
-    if (typeof verdict === 'object') {
-      return { kind: 'refused', refusal: { status: 422, body: { error: verdict.never } } };
+    switch (verdict.kind) {
+      case 'impossible':
+        return { kind: 'refused', refusal: { status: 422, body: { error: verdict.reason } } };
+      case 'undecided':
+        return { kind: 'undecided', spec: parsed.value };
+      case 'runnable':
+        return { kind: 'admitted', spec: parsed.value };
     }
-    return { kind: verdict === 'ok' ? 'admitted' : 'undecided', spec: parsed.value };
   }
 
   /** A repeat of a job that was accepted is answered with its state, whatever it says now. */
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -126,7 +126,6 @@
     const autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        silenceThreshold: this.scheduler.silenceThreshold,
         listeningSince: () => this.contacts.listeningSince,
         unreachableAt: this.contacts.unreachableAt,
         queue: () => this.scheduler.queue(),
@@ -134,10 +133,7 @@
         anticipatedWork: () => this.scheduler.anticipatedWork(),
         noteRemoved: (machine, reason) => this.machineLoss.remove(machine, reason),
       },
-      cloud,
-      catalog,
-      this.epoch,
-      { settings, operator, clock, random, log },
+      { cloud, catalog, epoch: this.epoch, settings, operator, clock, random, log },
     );
     autoscaler.onMachineTypesChanged = this.deps.onMachineTypesChanged;
     return autoscaler;
@@ -186,6 +182,7 @@
     this.ledger.close();
     this.commands.close();
     this.scheduler.close();
+    this.autoscaler.close();
   }
 
   // --- jobs -------------------------------------------------------------------------------------
