--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -17,7 +17,7 @@
   type Resources,
 } from '../fleet/resources.js';
 import { isGang } from '../ledger/job.js';
-import { nextDeadline, isUrgent, type QueueEntry } from '../ledger/queue.js';
+import { nextDeadline, isUrgent, type QueueEntry } from '../ledger/queue-order.js';
 import { Backoff } from '../store/budget.js';
 import type { SteadyMs } from '../units/index.js';
 import {
--- a/src/leader/anticipated-work.ts
+++ b/src/leader/anticipated-work.ts
@@ -1,7 +1,7 @@
 /** Room to have standing by, so that the next job of a class that must start at once finds it. */
 import type { Objective } from '../config/settings.js';
 import { isGang } from '../ledger/job.js';
-import { isUrgent } from '../ledger/queue.js';
+import { isUrgent } from '../ledger/queue-order.js';
 import type { ImageReserve } from '../placer/placer.js';
 import { seconds, since, type SteadyMs } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 import type { Logger } from 'pino';
 import type { StoreClient } from '../store/client.js';
-import { LEADER_KEY } from '../ledger/codec.js';
+import { LEADER_KEY } from '../ledger/store-keys.js';
 import type { SteadyMs } from '../units/index.js';
 import {
   Epoch,
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -8,7 +8,7 @@
   queueEntryFor,
   rankOf,
   type QueueEntry,
-} from '../ledger/queue.js';
+} from '../ledger/queue-order.js';
 import {
   isAllowed,
   place as placeTasks,
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -2,9 +2,11 @@
 import { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
 import { taskResources } from '../fleet/resources.js';
-import { LIVE_PREFIX, decodeJob } from '../ledger/codec.js';
+import { decodeJob } from '../ledger/codec.js';
 import { Job, WritePriority, type FinalState } from '../ledger/job.js';
+import type { LedgerEvents } from '../ledger/ledger-events.js';
 import { Ledger } from '../ledger/ledger.js';
+import { LIVE_PREFIX } from '../ledger/store-keys.js';
 import type { SteadyMs } from '../units/index.js';
 import {
   JobId,
@@ -86,7 +88,8 @@
     this.fleetLoggedAt = began;
     this.rebuilt = new Promise((resolve) => (this.stopWaiting = resolve));
     clock.after(MAX_REBUILD_WAIT, () => this.stopWaiting());
-    this.ledger = new Ledger(deps.store, epoch, deps.recordLimits, clock, random, log, {
+    const { store, recordLimits: limits } = deps;
+    const events: LedgerEvents = {
       onCommitted: (job) => this.onCommitted(job),
       onReplaced: (job) => this.placements.replaceJob(job),
       onDropped: (job) => this.onDropped(job),
@@ -94,7 +97,8 @@
         log.info({ job: job.id, desk: final.team, status: final.status }, 'job over');
       },
       onDeposed: () => deps.onDeposed(epoch),
-    });
+    };
+    this.ledger = new Ledger({ store, epoch, limits, clock, random, log, events });
     this.fleet = new Fleet({
       startedAt: began,
       lease: settings.workers.lease,
--- a/src/ledger/admission.ts
+++ b/src/ledger/admission.ts
@@ -1,10 +1,11 @@
-/** Whether a submitted job can ever run here, alike on every node. */
-import type { Team } from '../config/settings.js';
+/** Whether a submitted job can ever run here. Every node gives the same answer. */
 import type { MachineCatalog, Verdict } from '../cloud/machine-catalog.js';
+import type { Team } from '../config/settings.js';
 import { TASK_COUNT_FIELD, type JobSpec } from '../wire/index.js';
 import { isGang } from './job.js';
 import type { RecordLimits } from './record-limits.js';
 
+/** Judges submissions by the size of their records, the machine types and the limits of the teams. */
 export class AdmissionControl {
   constructor(
     private readonly catalog: MachineCatalog,
--- a/src/ledger/batch.ts
+++ b/src/ledger/batch.ts
@@ -1,13 +1,15 @@
-/** One transaction of the commit loop: the records of several jobs, each with the revision that it replaces. */
+/** One transaction of the commit loop: records of several jobs, each with the revision that it replaces. */
 import type { Epoch } from '../units/index.js';
 import type { Condition, Write } from '../wire/index.js';
-import { LEADER_KEY, finalKey, encodeFinal, liveKey, encodedSize } from './codec.js';
-import { WritePriority, type FinalState, type Job, type CommittedProgress } from './job.js';
+import { encodeFinal } from './final-record.js';
+import { WritePriority, type CommittedProgress, type FinalState, type Job } from './job.js';
 import type { RecordLimits } from './record-limits.js';
+import { encodedSize } from './record-size.js';
+import { LEADER_KEY, finalKey, liveKey } from './store-keys.js';
 
-/** A transaction may hold 64 KiB in all. */
+/** What a transaction is filled up to: it may hold 64 KiB in all. */
 const MAX_TRANSACTION_BYTES = 56 * 1024;
-/** What a record's key and conditions take beside it. */
+/** What the key of a record and its conditions take beside it. */
 const KEY_BYTES = 200;
 
 /** A job as a transaction records it. */
@@ -15,10 +17,13 @@
   readonly job: Job;
   readonly version: number;
   readonly progress: CommittedProgress;
+  /** Why it is written. */
   readonly writePriority: WritePriority;
+  /** Set if the job ends with it. */
   readonly finalState: FinalState | undefined;
 }
 
+/** A transaction to be sent. */
 export interface Batch {
   readonly records: readonly PendingRecord[];
   readonly conditions: readonly Condition[];
@@ -31,9 +36,10 @@
 const finalStateOf = (job: Job): FinalState | undefined =>
   job.isSettled && job.revision > 0 ? job.finalState() : undefined;
 
-/** How many changes the next record of a job takes. */
+/** How many changes of a transaction the next record of a job takes. */
 export const changeCountOf = (job: Job): number => (finalStateOf(job) ? 2 : 1);
 
+/** Puts a transaction together. It holds at most `maxChanges` changes. */
 export class BatchBuilder {
   private readonly records: PendingRecord[] = [];
   private readonly conditions: Condition[];
@@ -44,9 +50,9 @@
   constructor(
     private readonly epoch: Epoch,
     private readonly limits: RecordLimits,
-    /** How many changes it may hold. */
     private readonly maxChanges: number,
   ) {
+    // Nothing that a deposed leader sends can apply.
     this.conditions = [{ key: LEADER_KEY, revision: epoch }];
   }
 
@@ -54,54 +60,56 @@
     return this.writes.length === 0;
   }
 
-  hasRoomFor(changes: number): boolean {
+  /** Whether so many more changes fit. */
+  canHold(changes: number): boolean {
     return this.writes.length + changes <= this.maxChanges;
   }
 
-  /** Takes a job's present state in; false if its record is too large to go with the others. */
+  /** Adds the present record of a job; false if it is too large to go with the others. */
   add(job: Job): boolean {
-    const final = finalStateOf(job);
-    const { record, bytes } = final
-      ? sized(encodeFinal(final))
+    const finalState = finalStateOf(job);
+    const { record, bytes } = finalState
+      ? sized(encodeFinal(finalState))
       : this.limits.encode(job, this.epoch);
     const size = bytes + KEY_BYTES;
     if (this.bytes > 0 && this.bytes + size > MAX_TRANSACTION_BYTES) return false;
     this.bytes += size;
-    this.write(job, record, final !== undefined);
+    this.write(job, record, finalState !== undefined);
     this.records.push({
       job,
       version: job.version,
       writePriority: job.writePriority,
-      progress: { cancelled: job.cancelled, done: job.doneCount, running: job.placements.size },
-      finalState: final,
+      progress: job.progress(),
+      finalState,
     });
-    job.writeInFlight = true;
+    job.hasWriteInFlight = true;
     job.terminalWriteInFlight =
-      job.terminalOutcomeUnknown ||
-      final !== undefined ||
+      job.isTerminalOutcomeUnknown ||
+      finalState !== undefined ||
       job.cancelled !== job.committedProgress.cancelled;
     job.writePriority = WritePriority.none;
     return true;
   }
 
-  private write(job: Job, record: unknown, isOver: boolean): void {
-    const key = liveKey(job.id);
-    this.conditions.push({ key, revision: job.revision });
+  private write(job: Job, record: unknown, isFinal: boolean): void {
+    const live = liveKey(job.id);
+    const final = finalKey(job.id);
+    this.conditions.push({ key: live, revision: job.revision });
     // A creation must not bring back a job that is over.
-    if (isOver || job.revision === 0) this.conditions.push({ key: finalKey(job.id), revision: 0 });
-    if (isOver) this.writes.push({ put: finalKey(job.id), data: record }, { delete: key });
-    else this.writes.push({ put: key, data: record });
+    if (isFinal || job.revision === 0) this.conditions.push({ key: final, revision: 0 });
+    if (isFinal) this.writes.push({ put: final, data: record }, { delete: live });
+    else this.writes.push({ put: live, data: record });
   }
 
   /** Deletes a notice that was dealt with. */
-  deleteNotice(notice: string): void {
-    this.writes.push({ delete: notice });
-    this.noticeKeys.push(notice);
+  deleteNotice(key: string): void {
+    this.writes.push({ delete: key });
+    this.noticeKeys.push(key);
   }
 
   build(): Batch {
-    const { records: sent, conditions, writes, noticeKeys: notices } = this;
-    return { records: sent, conditions, writes, noticeKeys: notices };
+    const { records, conditions, writes, noticeKeys } = this;
+    return { records, conditions, writes, noticeKeys };
   }
 }
 
--- a/src/ledger/index-ranges.ts
+++ b/src/ledger/index-ranges.ts
@@ -1,88 +1,102 @@
-/** A set of task indexes as sorted, disjoint half-open ranges: 100,000 waiting tasks are one. */
+/** Sets of task indexes that are mostly contiguous. */
+
+/** A half-open range of indexes: the first one, and the first one behind it. */
+export type IndexRange = readonly [from: number, to: number];
+
+/** A set of task indexes as sorted, disjoint ranges that do not touch: 100,000 waiting tasks are one. */
 export class IndexRanges {
-  private readonly parts: [number, number][] = [];
-  private total = 0;
+  private readonly ranges: [from: number, to: number][] = [];
+  private count = 0;
 
-  static of(parts: Iterable<readonly [number, number]>): IndexRanges {
-    const r = new IndexRanges();
-    for (const [from, to] of parts) r.addRange(from, to);
-    return r;
+  static of(ranges: Iterable<IndexRange>): IndexRanges {
+    const made = new IndexRanges();
+    for (const [from, to] of ranges) made.addRange(from, to);
+    return made;
   }
 
+  /** How many indexes are in it. */
   get size(): number {
-    return this.total;
-  }
-
-  get rangeCount(): number {
-    return this.parts.length;
+    return this.count;
   }
 
-  /** The position of the first part that ends after `index`. */
+  /** The position of the first range that ends after `index`. */
   private seek(index: number): number {
-    let lo = 0;
-    let hi = this.parts.length;
-    while (lo < hi) {
-      const mid = (lo + hi) >> 1;
-      if ((this.parts[mid] as [number, number])[1] > index) hi = mid;
-      else lo = mid + 1;
+    let low = 0;
+    let high = this.ranges.length;
+    while (low < high) {
+      const middle = (low + high) >> 1;
+      if ((this.ranges[middle] as IndexRange)[1] > index) high = middle;
+      else low = middle + 1;
     }
-    return lo;
+    return low;
   }
 
   has(index: number): boolean {
-    const part = this.parts[this.seek(index)];
-    return part !== undefined && part[0] <= index;
+    const range = this.ranges[this.seek(index)];
+    return range !== undefined && range[0] <= index;
   }
 
   add(index: number): void {
     this.addRange(index, index + 1);
   }
 
+  /** Adds a range, and merges it with those that it overlaps or touches. */
   addRange(from: number, to: number): void {
     if (from >= to) return;
-    let at = this.seek(from - 1);
+    const position = this.seek(from - 1);
     let start = from;
     let end = to;
-    let n = 0;
-    for (let i = at; i < this.parts.length; i++) {
-      const [a, b] = this.parts[i] as [number, number];
-      if (a > to) break;
-      start = Math.min(start, a);
-      end = Math.max(end, b);
-      this.total -= b - a;
-      n++;
+    let merged = 0;
+    for (let i = position; i < this.ranges.length; i++) {
+      const [otherFrom, otherTo] = this.ranges[i] as IndexRange;
+      if (otherFrom > to) break;
+      start = Math.min(start, otherFrom);
+      end = Math.max(end, otherTo);
+      this.count -= otherTo - otherFrom;
+      merged++;
     }
-    if (at > this.parts.length) at = this.parts.length;
-    this.parts.splice(at, n, [start, end]);
-    this.total += end - start;
+    this.ranges.splice(position, merged, [start, end]);
+    this.count += end - start;
   }
 
+  /** Removes one index; false if it was not in the set. */
   remove(index: number): boolean {
-    const at = this.seek(index);
-    const part = this.parts[at];
-    if (part === undefined || part[0] > index) return false;
-    const [a, b] = part;
-    const left: [number, number][] = [];
-    if (a < index) left.push([a, index]);
-    if (index + 1 < b) left.push([index + 1, b]);
-    this.parts.splice(at, 1, ...left);
-    this.total -= 1;
+    const position = this.seek(index);
+    const range = this.ranges[position];
+    if (range === undefined || range[0] > index) return false;
+    const [from, to] = range;
+    const rest: [number, number][] = [];
+    if (from < index) rest.push([from, index]);
+    if (index + 1 < to) rest.push([index + 1, to]);
+    this.ranges.splice(position, 1, ...rest);
+    this.count -= 1;
     return true;
   }
 
+  /** Makes it the set of these ranges. */
+  replaceWith(ranges: Iterable<IndexRange>): void {
+    this.ranges.length = 0;
+    this.count = 0;
+    for (const [from, to] of ranges) this.addRange(from, to);
+  }
+
+  /** The lowest index; undefined if the set is empty. */
   lowest(): number | undefined {
-    return this.parts[0]?.[0];
+    return this.ranges[0]?.[0];
   }
 
-  last(): readonly [number, number] | undefined {
-    return this.parts.at(-1);
+  /** The highest range; undefined if the set is empty. */
+  last(): IndexRange | undefined {
+    return this.ranges.at(-1);
   }
 
+  /** All indexes, lowest first. */
   *indexes(): IterableIterator<number> {
-    for (const [a, b] of this.parts) for (let i = a; i < b; i++) yield i;
+    for (const [from, to] of this.ranges) for (let index = from; index < to; index++) yield index;
   }
 
-  list(): [number, number][] {
-    return this.parts.map(([a, b]) => [a, b]);
+  /** A copy of its ranges, lowest first. */
+  list(): [from: number, to: number][] {
+    return this.ranges.map(([from, to]) => [from, to]);
   }
 }
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -1,39 +1,58 @@
-import type { StoreClient } from '../store/client.js';
+/** What a node that does not lead does with the store itself, on behalf of users. */
+import type { CommitResult, StoreClient } from '../store/client.js';
 import { Epoch, JobId, Revision, ms, type Clock, type DurationMs } from '../units/index.js';
-import type { JobSpec } from '../wire/index.js';
-import { LEADER_KEY, decodeFinal, decodeJob, finalKey, encodeFinal, liveKey } from './codec.js';
+import type { Condition, JobSpec, Write } from '../wire/index.js';
+import { decodeJob } from './codec.js';
+import { FinalStateCache } from './final-state-cache.js';
+import { decodeFinal, encodeFinal } from './final-record.js';
 import { Job, type FinalState } from './job.js';
 import type { RecordLimits } from './record-limits.js';
+import {
+  LEADER_KEY,
+  NOTICE_PREFIX,
+  cancellationNoticeKey,
+  creationNoticeKey,
+  finalKey,
+  liveKey,
+  parseNoticeKey,
+} from './store-keys.js';
 
-const NOTICE_PREFIX = 'inbox/';
-const CANCEL_SUFFIX = '/abort';
 const STORE_TIMEOUT = ms(1500);
 const WATCH_TIMEOUT = ms(10_000);
-/** A user's question or request waits so long for its turn at the store, and is told to come back else. */
+/** The longest wait of a user's request for its turn at the store; past it the request is refused at once. */
 const MAX_QUEUE_WAIT = ms(1000);
 const USER_CALL = { patience: MAX_QUEUE_WAIT };
-/** Final records are immutable: those read last need not be read again. */
-const MAX_FINALS = 2000;
+/** How many final states are kept in memory. */
+const MAX_FINAL_STATES = 2000;
+/** What records name as their writer's epoch if no leader wrote them. */
+const NO_EPOCH = Epoch(0);
 
+/** A job as the store has it. */
 export type StoredJob =
   | { kind: 'live'; job: Job }
   | { kind: 'final'; final: FinalState }
+  /** The store has no record of it. */
   | { kind: 'absent' }
+  /** The store could not be read, or did not answer a write. */
   | { kind: 'unknown' };
 
-/** What another node did, or asks for, on behalf of a user while it can't reach the leader. */
+/** A message to the leader in the store: what another node did, or asks for, while it can't reach the leader. */
 export interface Notice {
   readonly key: string;
   readonly id: JobId;
+  /** The job is to be cancelled; otherwise the node has created it. */
   readonly cancels: boolean;
 }
 
-/**
- * What any node may do with the store itself, without being leader: look a job up, take a job in
- * that is not there yet, and cancel one while there is no leader at all.
- */
+/** All notices at one revision of the store. */
+export interface NoticeList {
+  readonly notices: Notice[];
+  readonly revision: Revision;
+}
+
+/** Looks jobs up, creates those that do not exist yet, and cancels them while there is no leader at all. */
 export class JobRecords {
-  private readonly finals = new Map<JobId, FinalState>();
+  private readonly finalStates = new FinalStateCache(MAX_FINAL_STATES);
 
   constructor(
     private readonly store: StoreClient,
@@ -42,11 +61,11 @@
   ) {}
 
   /**
-   * A job by the store's word. A live record only ever moves to a final one, which stays, so what is
-   * found absent in this order was in neither place when the first answer was given.
+   * Reads a job. A live record only ever moves to a final one, which stays, so what is found absent in this
+   * order was in neither place when the first answer was given. Throws `RecordError` if a record can't be read.
    */
   async lookup(id: JobId): Promise<StoredJob> {
-    const known = this.finals.get(id);
+    const known = this.finalStates.get(id);
     if (known) return { kind: 'final', final: known };
     const live = await this.store.get(liveKey(id), STORE_TIMEOUT, USER_CALL);
     if (live.kind === 'failed') return { kind: 'unknown' };
@@ -54,19 +73,12 @@
       this.limits.noteRecord(live.data);
       return { kind: 'live', job: decodeJob(id, live.data, live.revision, this.clock.steady()) };
     }
-    const done = await this.store.get(finalKey(id), STORE_TIMEOUT, USER_CALL);
-    if (done.kind === 'failed') return { kind: 'unknown' };
-    if (done.kind === 'absent') return { kind: 'absent' };
-    return { kind: 'final', final: this.rememberFinal(id, decodeFinal(done.data)) };
-  }
-
-  private rememberFinal(id: JobId, final: FinalState): FinalState {
-    this.finals.set(id, final);
-    if (this.finals.size > MAX_FINALS) {
-      const oldest = this.finals.keys().next().value;
-      if (oldest !== undefined) this.finals.delete(oldest);
-    }
-    return final;
+    const stored = await this.store.get(finalKey(id), STORE_TIMEOUT, USER_CALL);
+    if (stored.kind === 'failed') return { kind: 'unknown' };
+    if (stored.kind === 'absent') return { kind: 'absent' };
+    const final = decodeFinal(stored.data);
+    this.finalStates.set(id, final);
+    return { kind: 'final', final };
   }
 
   /** How long a creation would wait for its turn. */
@@ -75,23 +87,21 @@
   }
 
   /**
-   * The exception to intake through the leader: the job is committed by this node, if it is in no
-   * record, together with a notice for the leader. It can take nothing back that a leader said.
+   * Creates a job on a node that can't reach the leader: it is committed if it is in no record, together with
+   * a notice for the leader. It can't contradict what a leader answered.
    */
   async create(spec: JobSpec): Promise<'created' | 'exists' | 'unknown'> {
     const id = JobId(spec.id);
     const job = new Job(id, spec, this.clock.wall(), Revision(0));
-    const result = await this.store.transact(
+    const result = await this.transact(
       [
         { key: liveKey(id), revision: 0 },
         { key: finalKey(id), revision: 0 },
       ],
       [
-        { put: liveKey(id), data: this.limits.encode(job, Epoch(0)).record },
-        { put: this.noticeKey(id), data: {} },
+        { put: liveKey(id), data: this.limits.encode(job, NO_EPOCH).record },
+        { put: creationNoticeKey(id), data: {} },
       ],
-      STORE_TIMEOUT,
-      USER_CALL,
     );
     if (result.kind === 'committed') return 'created';
     if (result.kind === 'tooLarge') this.limits.noteRefusal();
@@ -100,62 +110,55 @@
 
   /**
    * Cancels while no leader exists. The condition that the leader key is absent protects readers:
-   * a leader answers from memory, and must never call running what somebody was told is cancelled.
+   * a leader answers from memory, and must never call running what a user was told is cancelled.
    */
   async cancel(id: JobId): Promise<StoredJob> {
-    const held = await this.lookup(id);
-    if (held.kind !== 'live' || held.job.cancelled) return held;
-    const { job } = held;
+    const found = await this.lookup(id);
+    if (found.kind !== 'live' || found.job.cancelled) return found;
+    const { job } = found;
     job.cancel();
     const conditions = [
       { key: LEADER_KEY, revision: 0 },
       { key: liveKey(id), revision: job.revision },
     ];
     const result = job.isSettled
-      ? await this.store.transact(
+      ? await this.transact(
           [...conditions, { key: finalKey(id), revision: 0 }],
           [{ put: finalKey(id), data: encodeFinal(job.finalState()) }, { delete: liveKey(id) }],
-          STORE_TIMEOUT,
-          USER_CALL,
         )
-      : await this.store.transact(
-          conditions,
-          [{ put: liveKey(id), data: this.limits.encode(job, Epoch(0)).record }],
-          STORE_TIMEOUT,
-          USER_CALL,
-        );
+      : await this.transact(conditions, [
+          { put: liveKey(id), data: this.limits.encode(job, NO_EPOCH).record },
+        ]);
     if (result.kind === 'tooLarge') this.limits.noteRefusal();
     if (result.kind !== 'committed') return { kind: 'unknown' };
-    return job.isSettled ? { kind: 'final', final: job.finalState() } : held;
+    return job.isSettled ? { kind: 'final', final: job.finalState() } : found;
   }
 
-  /** Leaves word for a leader that can't be reached that a user cancels the job. */
+  /** Leaves a notice that a user cancels the job, for a leader that can't be reached; false if that failed. */
   async requestCancellation(id: JobId): Promise<boolean> {
-    const put = await this.store.transact(
+    const result = await this.transact(
       [{ key: finalKey(id), revision: 0 }],
-      [{ put: `${this.noticeKey(id)}${CANCEL_SUFFIX}`, data: {} }],
-      STORE_TIMEOUT,
-      USER_CALL,
+      [{ put: cancellationNoticeKey(id), data: {} }],
     );
-    return put.kind === 'committed';
+    return result.kind === 'committed';
   }
 
-  private noticeKey(id: JobId): string {
-    return `${NOTICE_PREFIX}${id}`;
+  private transact(
+    conditions: readonly Condition[],
+    writes: readonly Write[],
+  ): Promise<CommitResult> {
+    return this.store.transact(conditions, writes, STORE_TIMEOUT, USER_CALL);
   }
 
-  async notices(): Promise<{ notices: Notice[]; revision: Revision } | undefined> {
+  /** All notices for the leader; undefined if they could not be read. */
+  async notices(): Promise<NoticeList | undefined> {
     const listed = await this.store.list(NOTICE_PREFIX, STORE_TIMEOUT);
     if (!listed) return undefined;
-    const notices = listed.items.map(({ key }) => {
-      const cancels = key.endsWith(CANCEL_SUFFIX);
-      const end = cancels ? -CANCEL_SUFFIX.length : undefined;
-      return { key, id: JobId(key.slice(NOTICE_PREFIX.length, end)), cancels };
-    });
+    const notices = listed.items.map(({ key }) => ({ key, ...parseNoticeKey(key) }));
     return { notices, revision: listed.revision };
   }
 
-  /** Waits for a further notice; false if that could not be done. */
+  /** Waits for a notice that is later than `from`, or for some seconds; false if that could not be done. */
   async watchNotices(from: Revision): Promise<boolean> {
     return (await this.store.watch(NOTICE_PREFIX, from, WATCH_TIMEOUT)) !== undefined;
   }
--- a/src/ledger/job.ts
+++ b/src/ledger/job.ts
@@ -1,4 +1,4 @@
-import { JobKind, JobStatus, type JobSpec } from '../wire/index.js';
+/** A job in memory: where its tasks are, and which of its versions the store holds. */
 import {
   Attempt,
   type JobId,
@@ -7,34 +7,54 @@
   type SteadyMs,
   type WallMs,
 } from '../units/index.js';
+import { JobKind, JobStatus, type JobSpec } from '../wire/index.js';
 import { IndexRanges } from './index-ranges.js';
 
-/** Where a task is, or may be. It stays until there is proof that it is gone. */
+/** Where a task is, or may be. It stays until there is proof that the task is not there any more. */
 export interface Placement {
   readonly machine: MachineId;
   readonly attempt: Attempt;
-  /** The job's version that made it: its start may leave once that version is committed. */
+  /** The version of the job that made it: its start may be sent once that version is committed. */
   readonly version: number;
-  /** Made by an earlier leader, which may have sent starts that we know nothing of. */
+  /** Made by an earlier leader, which may have sent starts that this one does not know of. */
   readonly inherited: boolean;
   readonly placedAt: SteadyMs;
-  /** The report whose answer last carried the start. */
+  /** The heartbeat whose reply last carried the start. */
   sentInReplyTo?: { readonly session: number; readonly sequence: number };
-  /** A report has shown it. */
+  /** A heartbeat has shown it. */
   isReported: boolean;
-  /** Its start, or its stop, has been sent straight to the worker. */
+  /** Its start was sent straight to the worker. */
   startPushed: boolean;
+  /** Its stop was sent straight to the worker. */
   stopPushed: boolean;
-  /** To be stopped, with so many seconds to save, so that it can run elsewhere or later. */
+  /** Set if it is to be stopped so that it can run elsewhere or later: the seconds that it has to save its state. */
   evictionGraceSeconds?: number;
-  /** A report has shown it running, and whether its image was thought to be there: for the log. */
+  /** A heartbeat has shown it running. */
   hasRun?: boolean;
+  /** Whether its image was thought to be on the machine when it was placed: for the log. */
   imageWasCached?: boolean;
 }
 
+/** A placement that nothing has been sent for and no heartbeat has shown. */
+export const newPlacement = (
+  made: Pick<Placement, 'machine' | 'attempt' | 'version' | 'inherited' | 'placedAt'>,
+): Placement => ({
+  machine: made.machine,
+  attempt: made.attempt,
+  version: made.version,
+  inherited: made.inherited,
+  placedAt: made.placedAt,
+  isReported: false,
+  startPushed: false,
+  stopPushed: false,
+});
+
+/** What users are shown of a job: that of a version which is in the store. */
 export interface CommittedProgress {
   readonly cancelled: boolean;
+  /** How many tasks are done. */
   readonly done: number;
+  /** How many tasks are placed. */
   readonly running: number;
 }
 
@@ -42,8 +62,10 @@
 export interface FinalState {
   readonly status: typeof JobStatus.done | typeof JobStatus.cancelled;
   readonly taskCount: number;
+  /** How many tasks are done. */
   readonly done: number;
   readonly team: string;
+  /** The reason of the status, for users. */
   readonly reason: string;
 }
 
@@ -60,48 +82,69 @@
 } as const;
 export type WritePriority = (typeof WritePriority)[keyof typeof WritePriority];
 
-/** A live job: its tasks are waiting, placed or, if neither, done. */
+/** A live job. Each of its tasks waits, is placed or, if neither, is done. */
 export class Job {
+  // --- what the record says ---------------------------------------------------------------------
+
   cancelled = false;
+  /** Indexes of the tasks that wait to be placed. */
   readonly waiting: IndexRanges;
+  /** Placed tasks by index. */
   readonly placements = new Map<number, Placement>();
+  /** The number that the next placing of tasks gives them: no two placements of a task share one. */
   nextAttempt = Attempt(1);
-  /** The zone of a job that must be in one. */
+  /** The zone of a job that must be in one; undefined before it is placed. */
   boundZone: string | undefined;
 
-  /** Rises with each change in memory; what is committed lags behind. */
+  // --- versions, and what the store holds -------------------------------------------------------
+
+  /** Rises with each change in memory. */
   version = 1;
+  /** The highest version that is known to be in the store; 0 if none is. */
   committedVersion = 0;
+  /** The revision of the record in the store; 0 if there is none. The next write replaces just this one. */
   revision: Revision;
-  writeInFlight = false;
+  /** The progress at the version that is in the store. */
+  committedProgress: CommittedProgress = { cancelled: false, done: 0, running: 0 };
+
+  // --- writing ----------------------------------------------------------------------------------
+
+  /** The most urgent reason to write it that came up since it was last taken into a transaction. */
+  writePriority: WritePriority = WritePriority.none;
+  /** A transaction with its record is under way, or its outcome is being found out. */
+  hasWriteInFlight = false;
   /** The write under way makes it cancelled or final: others may already read that in the store. */
   terminalWriteInFlight = false;
-  /** A write that makes it so got no answer: it may be carried out as long as no later one was. */
-  terminalOutcomeUnknown = false;
-  writePriority: WritePriority = WritePriority.none;
-  committedProgress: CommittedProgress = { cancelled: false, done: 0, running: 0 };
-  /** A creation whose outcome is unknown must be tried until it is known. */
-  creationOutcomeUnknown = false;
-  /** Told of every change that is to be written. */
+  /**
+   * A write that makes it cancelled or final was not answered: it may be carried out at any time, until a later
+   * write of the record is.
+   */
+  isTerminalOutcomeUnknown = false;
+  /** Its creation was not answered: it must be tried again until the outcome is known. */
+  isCreationOutcomeUnknown = false;
+  /** Called after each change that is to be written. */
   onChange: (() => void) | undefined;
 
-  /** When a task of it was last placed, by this leader or as it found the record. */
-  lastPlacedAt: SteadyMs | undefined;
+  // --- when and where its tasks may be placed ---------------------------------------------------
 
-  /** Trouble seen: machines on which its tasks failed, and until when it keeps off them and is held back. */
+  /** When a task of it was last placed by this leader, or when this leader read that one is; undefined if none was. */
+  lastPlacedAt: SteadyMs | undefined;
+  /** Machines on which its tasks failed, and until when none is placed there. */
   readonly avoidedMachines = new Map<MachineId, SteadyMs>();
+  /** Until then nothing of it is placed, after failures. */
   heldBackUntil = 0 as SteadyMs;
+  /** How often it was held back. */
   holdCount = 0;
 
+  /** A job of which all tasks wait. */
   constructor(
     readonly id: JobId,
     readonly spec: JobSpec,
     readonly submittedAt: WallMs,
     revision: Revision,
-    waiting?: IndexRanges,
   ) {
     this.revision = revision;
-    this.waiting = waiting ?? IndexRanges.of([[0, spec.taskCount]]);
+    this.waiting = IndexRanges.of([[0, spec.taskCount]]);
   }
 
   /** Its tasks run all at the same time or not at all. */
@@ -113,49 +156,43 @@
     return this.spec.taskCount - this.waiting.size - this.placements.size;
   }
 
-  /** Nothing waits or may run, so it can be moved to its final record. */
+  /** No task waits or may run, so it can be moved to its final record. */
   get isSettled(): boolean {
     return this.placements.size === 0 && (this.cancelled || this.waiting.size === 0);
   }
 
+  /** Tasks that are not done below the highest placed one: they decide how large its record is. */
+  get openTaskCount(): number {
+    const highest = this.waiting.last();
+    const behind = highest?.[1] === this.spec.taskCount ? highest[1] - highest[0] : 0;
+    return this.placements.size + this.waiting.size - behind;
+  }
+
   isDone(index: number): boolean {
     return index < this.spec.taskCount && !this.waiting.has(index) && !this.placements.has(index);
   }
 
-  markChanged(press: WritePriority): void {
+  /** Begins a new version, which is to be written with this priority at least. */
+  markChanged(priority: WritePriority): void {
     this.version++;
-    if (press < this.writePriority) this.writePriority = press;
+    if (priority < this.writePriority) this.writePriority = priority;
     this.onChange?.();
   }
 
-  /** Places tasks in one new version under one new attempt. */
+  /** Places waiting tasks in one new version under one new attempt. */
   placeTasks(tasks: readonly { index: number; machine: MachineId }[], now: SteadyMs): void {
     const attempt = this.nextAttempt;
     this.nextAttempt = Attempt(attempt + 1);
     this.markChanged(WritePriority.placement);
     this.lastPlacedAt = now;
+    const { version } = this;
     for (const { index, machine } of tasks) {
       if (!this.waiting.remove(index)) throw new Error(`${this.id}/${index} is not waiting`);
-      this.placements.set(index, {
-        machine,
-        attempt,
-        version: this.version,
-        inherited: false,
-        placedAt: now,
-        isReported: false,
-        startPushed: false,
-        stopPushed: false,
-      });
+      const made = { machine, attempt, version, inherited: false, placedAt: now };
+      this.placements.set(index, newPlacement(made));
     }
   }
 
-  /** Tasks that are not done below the highest placed one: what makes a record grow. */
-  get openTaskCount(): number {
-    const tail = this.waiting.last();
-    const beyond = tail && tail[1] === this.spec.taskCount ? tail[1] - tail[0] : 0;
-    return this.placements.size + this.waiting.size - beyond;
-  }
-
   /** The task is proven to be on no machine: it waits again. */
   requeue(index: number): void {
     if (!this.placements.delete(index)) return;
@@ -163,6 +200,7 @@
     this.markChanged(this.cancelled ? WritePriority.completion : WritePriority.progress);
   }
 
+  /** The task is done, wherever it was thought to be. */
   complete(index: number): void {
     if (!this.placements.delete(index)) this.waiting.remove(index);
     this.markChanged(
@@ -179,19 +217,19 @@
   }
 
   /**
-   * Read from the store in the place of `before`, which went another way: a transaction of ours that was
-   * given up was carried out late. Where both agree on an attempt, what we told its machine and saw there
-   * still holds; as an inherited one it would count as absent while its start is on the way. Versions go
+   * Takes over from `before`, in whose place this job was read from the store: a transaction of ours that we had
+   * given up was carried out late. Where both agree on an attempt, what was sent to its machine and reported by
+   * it still holds; as an inherited one it would count as absent while its start is on the way. Versions go
    * on from those used, so that no later record can pass for an earlier one of the same epoch.
    */
   inheritFrom(before: Job): void {
     this.version = before.version + 1;
     this.committedVersion = this.version;
     this.nextAttempt = Attempt(Math.max(this.nextAttempt, before.nextAttempt));
-    for (const [index, p] of this.placements) {
-      const own = before.placements.get(index);
-      if (own && own.machine === p.machine && own.attempt === p.attempt && !own.inherited) {
-        this.placements.set(index, { ...own, version: this.committedVersion });
+    for (const [index, { machine, attempt }] of this.placements) {
+      const known = before.placements.get(index);
+      if (known?.machine === machine && known.attempt === attempt && !known.inherited) {
+        this.placements.set(index, { ...known, version: this.committedVersion });
       }
     }
     this.lastPlacedAt = before.lastPlacedAt ?? this.lastPlacedAt;
@@ -200,6 +238,12 @@
     for (const [machine, until] of before.avoidedMachines) this.avoidedMachines.set(machine, until);
   }
 
+  /** How far it is in memory; users are shown `committedProgress`. */
+  progress(): CommittedProgress {
+    return { cancelled: this.cancelled, done: this.doneCount, running: this.placements.size };
+  }
+
+  /** What remains of it once it is settled. */
   finalState(): FinalState {
     return {
       status: this.cancelled ? JobStatus.cancelled : JobStatus.done,
@@ -211,8 +255,9 @@
   }
 }
 
-export function statusOf(shown: CommittedProgress, entries: number): JobStatus {
-  if (shown.cancelled) return JobStatus.cancelled;
-  if (shown.done >= entries) return JobStatus.done;
-  return shown.running > 0 ? JobStatus.running : JobStatus.pending;
+/** The status of a job with `taskCount` tasks that has got so far. */
+export function statusOf(progress: CommittedProgress, taskCount: number): JobStatus {
+  if (progress.cancelled) return JobStatus.cancelled;
+  if (progress.done >= taskCount) return JobStatus.done;
+  return progress.running > 0 ? JobStatus.running : JobStatus.pending;
 }
--- /dev/null
+++ b/src/ledger/record-outcomes.ts
@@ -0,0 +1,85 @@
+/** What becomes of a job once the outcome of writing its record is known. */
+import type { Logger } from 'pino';
+import type { Clock, Revision } from '../units/index.js';
+import type { PendingRecord } from './batch.js';
+import { decodeJob } from './codec.js';
+import type { CommitQueue } from './commit-queue.js';
+import type { CommitWaiters } from './commit-waiters.js';
+import type { JobTable } from './job-table.js';
+import type { FinalState, Job } from './job.js';
+import type { LedgerEvents } from './ledger-events.js';
+import type { RecordLimits } from './record-limits.js';
+
+/** What the outcomes of records change. */
+export interface RecordOutcomesOptions {
+  readonly table: JobTable;
+  readonly queue: CommitQueue;
+  readonly waiters: CommitWaiters;
+  readonly limits: RecordLimits;
+  readonly events: LedgerEvents;
+  readonly clock: Clock;
+  readonly log: Logger;
+}
+
+/** The three outcomes: in the store, to be written again, or replaced by what the store holds. */
+export class RecordOutcomes {
+  constructor(private readonly options: RecordOutcomesOptions) {}
+
+  /** The record is in the store, as the final record of its job if `finalState` is given. */
+  committed(record: PendingRecord, revision: Revision, finalState: FinalState | undefined): void {
+    const { queue, waiters, events } = this.options;
+    const { job } = record;
+    job.hasWriteInFlight = false;
+    job.terminalWriteInFlight = false;
+    job.isTerminalOutcomeUnknown = false;
+    job.isCreationOutcomeUnknown = false;
+    job.revision = revision;
+    job.committedVersion = Math.max(job.committedVersion, record.version);
+    job.committedProgress = record.progress;
+    queue.noteCommitted(job);
+    if (finalState) {
+      this.finish(job, finalState);
+      return;
+    }
+    waiters.settle(job.id, record.version, true);
+    events.onCommitted(job);
+  }
+
+  private finish(job: Job, finalState: FinalState): void {
+    const { table, queue, waiters, events } = this.options;
+    queue.forget(job);
+    table.finish(job, finalState);
+    waiters.settleAll(job.id, true);
+    events.onFinished(job, finalState);
+  }
+
+  /** The record is certainly not in the store: it is written again, or its job is dropped. */
+  notCommitted({ job, writePriority }: PendingRecord): void {
+    const { table, queue, waiters, events } = this.options;
+    job.hasWriteInFlight = false;
+    job.terminalWriteInFlight = job.isTerminalOutcomeUnknown;
+    // A creation that was certainly not carried out is the user's to repeat.
+    if (job.revision === 0 && !job.isCreationOutcomeUnknown && !waiters.has(job.id)) {
+      queue.untrack(job);
+      table.remove(job);
+      events.onDropped(job);
+      return;
+    }
+    if (writePriority < job.writePriority) job.writePriority = writePriority;
+    queue.putBack(job);
+  }
+
+  /** The store holds a record that we did not write: it counts, and the job in memory is given up. */
+  replaced(job: Job, data: unknown, revision: Revision): void {
+    const { table, queue, waiters, limits, events, clock, log } = this.options;
+    log.warn({ job: job.id }, 'record changed under us; taking what the store holds');
+    limits.noteRecord(data);
+    const stored = decodeJob(job.id, data, revision, clock.steady());
+    stored.inheritFrom(job);
+    queue.untrack(job);
+    table.set(stored);
+    queue.track(stored);
+    waiters.settleAll(job.id, false);
+    events.onReplaced(stored);
+  }
+}
--- /dev/null
+++ b/src/ledger/record-v1.ts
@@ -0,0 +1,104 @@
+/**
+ * Format 1 of a live record, which production reads and writes. The names of its fields are single letters,
+ * since they are stored with every record.
+ */
+import * as z from 'zod';
+import { Attempt, MachineId, WallMs } from '../units/index.js';
+import { SubmissionMessage, decodeJobSpec, encodeJobSpec } from '../wire/index.js';
+import { RecordError, type JobRecord, type PlacedRun } from './record.js';
+
+/** The number of this format. Final records have it too. */
+export const FORMAT_V1 = 1;
+
+const count = z.number().int().nonnegative();
+
+/** A run of placed tasks: from, to (without it), attempt and the position of the machine in `m`. */
+const StoredRun = z.tuple([count, count, count, count]);
+type StoredRun = z.infer<typeof StoredRun>;
+
+const RecordV1 = z.object({
+  /** The format. */
+  f: z.literal(FORMAT_V1),
+  /** The specification, as the user submitted it. */
+  s: SubmissionMessage,
+  /** When it was submitted, in milliseconds since 1970. */
+  t: z.number(),
+  /** Whether it is cancelled; absent if it is not. */
+  x: z.boolean().optional(),
+  /** The zone that it is bound to. */
+  z: z.string().optional(),
+  /** The next attempt. */
+  n: count,
+  /** How many tasks are done. */
+  d: count,
+  /** Waiting tasks, as half-open ranges. */
+  w: z.array(z.tuple([count, count])),
+  /** The machines that `p` refers to. */
+  m: z.array(z.string()),
+  /** Placed tasks. */
+  p: z.array(StoredRun),
+  /** The epoch of the leader that wrote it; 0 if another node did. */
+  e: count,
+  /** The job's version. */
+  v: count,
+});
+
+/** A record of format 1 as it is stored. */
+export type RecordV1 = z.infer<typeof RecordV1>;
+
+/** The record in format 1. */
+export function encodeRecordV1(record: JobRecord): RecordV1 {
+  const { machines, runs } = numberMachines(record.placements);
+  return {
+    f: FORMAT_V1,
+    s: encodeJobSpec(record.spec),
+    t: record.submittedAt,
+    ...(record.isCancelled ? { x: true } : {}),
+    ...(record.boundZone === undefined ? {} : { z: record.boundZone }),
+    n: record.nextAttempt,
+    d: record.doneCount,
+    w: record.waiting.map(([from, to]) => [from, to]),
+    m: machines,
+    p: runs,
+    e: record.writer.epoch,
+    v: record.writer.version,
+  };
+}
+
+/** Each machine's name is stored once, in the order in which the runs name them. */
+function numberMachines(placements: readonly PlacedRun[]): {
+  machines: string[];
+  runs: StoredRun[];
+} {
+  const machines: string[] = [];
+  const positions = new Map<MachineId, number>();
+  const runs = placements.map(({ from, to, attempt, machine }): StoredRun => {
+    let position = positions.get(machine);
+    if (position === undefined) {
+      position = machines.push(machine) - 1;
+      positions.set(machine, position);
+    }
+    return [from, to, attempt, position];
+  });
+  return { machines, runs };
+}
+
+/** Reads a record of format 1; throws `ZodError` or `RecordError` if it is none. */
+export function decodeRecordV1(data: unknown): JobRecord {
+  const stored = RecordV1.parse(data);
+  return {
+    spec: decodeJobSpec(stored.s),
+    submittedAt: WallMs(stored.t),
+    isCancelled: stored.x ?? false,
+    boundZone: stored.z,
+    nextAttempt: Attempt(stored.n),
+    doneCount: stored.d,
+    waiting: stored.w,
+    placements: stored.p.map(([from, to, attempt, position]) => {
+      const machine = stored.m[position];
+      if (machine === undefined) throw new RecordError('p: no machine has this position');
+      return { from, to, attempt: Attempt(attempt), machine: MachineId(machine) };
+    }),
+    writer: { epoch: stored.e, version: stored.v },
+  };
+}
--- /dev/null
+++ b/src/ledger/transaction-writer.ts
@@ -0,0 +1,148 @@
+/** Sends transactions to the store and passes on their outcomes, record by record. */
+import type { Mutex } from 'async-mutex';
+import type { Logger } from 'pino';
+import type { Backoff } from '../store/budget.js';
+import type { CommitResult, StoreClient } from '../store/client.js';
+import { later, ms, type Clock, type Revision } from '../units/index.js';
+import type { Batch, PendingRecord } from './batch.js';
+import type { CommitQueue } from './commit-queue.js';
+import type { CommitWaiters } from './commit-waiters.js';
+import type { LedgerEvents } from './ledger-events.js';
+import type { OutcomeResolver } from './outcome-resolver.js';
+import type { RecordLimits } from './record-limits.js';
+import type { RecordOutcomes } from './record-outcomes.js';
+import { LEADER_KEY, finalKey, liveKey } from './store-keys.js';
+
+const TRANSACTION_TIMEOUT = ms(2000);
+/** How long a record that is too large even by itself is not tried again: as its tasks end, it shrinks. */
+const OVERSIZE_HOLD = ms(2000);
+
+/** What a writer works with. */
+export interface TransactionWriterOptions {
+  readonly store: Pick<StoreClient, 'transact'>;
+  readonly limits: RecordLimits;
+  readonly queue: CommitQueue;
+  readonly waiters: CommitWaiters;
+  readonly outcomes: RecordOutcomes;
+  readonly resolver: OutcomeResolver;
+  readonly events: Pick<LedgerEvents, 'onDeposed'>;
+  /** While commits are taken in, no transaction is assembled. */
+  readonly lock: Mutex;
+  /** Pauses all writing after failures. */
+  readonly backoff: Backoff;
+  readonly clock: Clock;
+  readonly log: Logger;
+}
+
+/** Writes transactions until `close`; the outcome of one that is under way then is dropped. */
+export class TransactionWriter {
+  private closed = false;
+
+  constructor(private readonly options: TransactionWriterOptions) {}
+
+  close(): void {
+    this.closed = true;
+    this.options.resolver.close();
+  }
+
+  /** Resolves once the outcome of each record in it is known. */
+  async write(batch: Batch): Promise<void> {
+    const { store, backoff, lock, events } = this.options;
+    let result: CommitResult;
+    try {
+      result = await store.transact(batch.conditions, batch.writes, TRANSACTION_TIMEOUT);
+    } catch (error) {
+      result = { kind: 'unknown', why: (error as Error).message };
+    }
+    if (this.closed) return;
+    if (result.kind !== 'committed') this.putBackNotices(batch);
+    switch (result.kind) {
+      case 'committed': {
+        backoff.noteSuccess();
+        const { revision } = result;
+        await lock.runExclusive(() => this.noteCommitted(batch, revision));
+        return;
+      }
+      case 'conflict':
+        if (result.failed.includes(LEADER_KEY)) events.onDeposed();
+        else await this.resolveConflict(batch, new Set(result.failed));
+        return;
+      case 'unknown':
+        await this.resolveUnknown(batch, result.why);
+        return;
+      case 'tooLarge':
+        this.noteTooLarge(batch.records);
+        return;
+      case 'leaseExpired':
+      case 'refused':
+        this.noteRefused(batch, result.kind === 'refused' ? result.why : '');
+    }
+  }
+
+  /** Notices that were not deleted, as far as is known, are deleted with a later transaction. */
+  private putBackNotices(batch: Batch): void {
+    for (const key of batch.noticeKeys) this.options.queue.addNotice(key);
+  }
+
+  private noteCommitted(batch: Batch, revision: Revision): void {
+    for (const record of batch.records) {
+      this.options.outcomes.committed(record, revision, record.finalState);
+    }
+  }
+
+  /** Nothing of the transaction was carried out: records whose own conditions held are just written again. */
+  private resolveConflict(batch: Batch, failed: ReadonlySet<string>): Promise<unknown> {
+    const { outcomes, resolver } = this.options;
+    return Promise.all(
+      batch.records.map(async (record) => {
+        const { id } = record.job;
+        if (failed.has(liveKey(id)) || failed.has(finalKey(id))) await resolver.resolve(record);
+        else outcomes.notCommitted(record);
+      }),
+    );
+  }
+
+  private resolveUnknown(batch: Batch, reason: string): Promise<unknown> {
+    const { waiters, resolver, backoff, log } = this.options;
+    log.warn({ reason, jobs: batch.records.length }, 'commit outcome unknown');
+    backoff.noteFailure();
+    for (const { job, version } of batch.records) {
+      if (job.revision === 0) job.isCreationOutcomeUnknown = true;
+      // It may still be carried out, and others read the job's end in the store, until a later write is.
+      if (job.terminalWriteInFlight) job.isTerminalOutcomeUnknown = true;
+      // Those who wait are answered now: it may take long to find out the outcome.
+      waiters.settle(job.id, version, false);
+    }
+    return Promise.all(batch.records.map((record) => resolver.resolve(record)));
+  }
+
+  /**
+   * The limits of the state service may have been lowered since this was made: then all is written anew,
+   * smaller. Otherwise one record is at fault, and must not delay the others until it has shrunk.
+   */
+  private noteTooLarge(records: readonly PendingRecord[]): void {
+    const { limits, queue, waiters, outcomes, clock, log } = this.options;
+    const isNews = limits.noteRefusal();
+    log.warn({ jobs: records.length, isNews }, 'commit refused as too large');
+    const now = clock.steady();
+    const isSingle = records.length === 1;
+    for (const record of records) {
+      const { job, version } = record;
+      if (!isNews) {
+        queue.writeAlone(job, isSingle ? later(now, OVERSIZE_HOLD) : now);
+        if (isSingle) waiters.settle(job.id, version, false);
+      }
+      outcomes.notCommitted(record);
+    }
+  }
+
+  private noteRefused(batch: Batch, reason: string): void {
+    const { waiters, outcomes, backoff, log } = this.options;
+    log.info({ reason }, 'commit refused');
+    backoff.noteFailure();
+    for (const record of batch.records) {
+      waiters.settle(record.job.id, record.version, false);
+      outcomes.notCommitted(record);
+    }
+  }
+}
--- a/src/ledger/vlq.d.ts
+++ b/src/ledger/vlq.d.ts
@@ -1,4 +1,5 @@
-/** The types that the library ships are not reachable through its package exports. */
+/** Types of the package `vlq`: those that it ships can't be reached through its package exports. */
+
 declare module 'vlq' {
   export function decode(text: string): number[];
   export function encode(numbers: number | readonly number[]): string;
--- a/test/unit/compatibility.test.ts
+++ b/test/unit/compatibility.test.ts
@@ -2,13 +2,8 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import {
-  decodeJob,
-  encodeFinal,
-  encodeJob,
-  encodeJobCompactly,
-  writerMarkOf,
-} from '../../src/ledger/codec.js';
+import { decodeJob, encodeJob, encodeJobCompactly, writerMarkOf } from '../../src/ledger/codec.js';
+import { encodeFinal } from '../../src/ledger/final-record.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
 import {
   decodeRequest,
--- a/test/unit/ledger.test.ts
+++ b/test/unit/ledger.test.ts
@@ -1,10 +1,12 @@
+/** Live records: sets of indexes, format 1 and its size, records that replace others, damaged ones. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { decodeJob, encodeJob, openTaskLimit, encodedSize } from '../../src/ledger/codec.js';
+import { decodeJob, encodeJob } from '../../src/ledger/codec.js';
+import { IndexRanges } from '../../src/ledger/index-ranges.js';
 import { Job } from '../../src/ledger/job.js';
+import { encodedSize, openTaskLimit } from '../../src/ledger/record-size.js';
 import { RecordError } from '../../src/ledger/record.js';
-import { IndexRanges } from '../../src/ledger/index-ranges.js';
 import { Epoch, JobId, MachineId, Revision, SteadyMs, WallMs } from '../../src/units/index.js';
 import { spec } from '../support/jobs.js';
 import { play, type Play } from '../support/play.js';
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -1,12 +1,14 @@
+/** The compact format, and records, jobs and a ledger when the state service lowers its limits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { pino } from 'pino';
 import { parseSettings, type StoreLimits } from '../../src/config/settings.js';
-import { decodeJob, encodeJob, encodeJobCompactly, encodedSize } from '../../src/ledger/codec.js';
+import { decodeJob, encodeJob, encodeJobCompactly } from '../../src/ledger/codec.js';
 import { Job } from '../../src/ledger/job.js';
 import { Ledger } from '../../src/ledger/ledger.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
+import { encodedSize } from '../../src/ledger/record-size.js';
 import { StoreClient } from '../../src/store/client.js';
 import {
   Endpoint,
@@ -171,11 +173,18 @@
     onFinished: (job: Job) => committed.push(`${job.id} over`),
     onDeposed: () => assert.fail('deposed'),
   };
-  const silent = pino({ level: 'silent' });
   const put = { writes: [{ put: 'leader', data: {} }] };
   const made = state.handle('POST', '/multi', put, node) as { body: { ledger_rev: number } };
   const epoch = Epoch(made.body.ledger_rev);
-  const ledger = new Ledger(store, epoch, limits, clock, () => 0.5, silent, events);
+  const ledger = new Ledger({
+    store,
+    epoch,
+    limits,
+    clock,
+    random: () => 0.5,
+    log: pino({ level: 'silent' }),
+    events,
+  });
   return { time, state, limits, ledger, committed };
 }
 
