--- a/test/support/play.ts
+++ b/test/support/job-moves.ts
@@ -1,19 +1,24 @@
+/** Changes of a job as a leader makes them, in a drawn order. */
 import type { Job } from '../../src/ledger/job.js';
 import { SteadyMs, type MachineId } from '../../src/units/index.js';
 
-export interface Play {
-  /** How many of its tasks may be open at once. */
-  readonly limit: number;
-  /** Placed at once: at most the number picked modulo this, and one. */
+/** A change, and a number that picks what is changed: tasks are placed (0), or one that is ends (1) or is lost. */
+export type Move = readonly [kind: number, pick: number];
+
+/** How tasks are placed. */
+export interface PlacingRules {
+  /** How many tasks of the job may be open at once. */
+  readonly maxOpen: number;
+  /** So many tasks are placed at once at most: one more than the remainder of the pick by this. */
   readonly batch: number;
   readonly machineOf: (pick: number, index: number) => MachineId;
 }
 
-/** Plays placements (0), ends (1) and losses on a job as the leader would, lowest index first. */
-export function play(
+/** Makes the changes one after the other. Tasks are placed lowest index first. */
+export function applyMoves(
   job: Job,
-  moves: readonly (readonly [kind: number, pick: number])[],
-  { limit, batch, machineOf }: Play,
+  moves: readonly Move[],
+  { maxOpen, batch, machineOf }: PlacingRules,
 ): void {
   for (const [kind, pick] of moves) {
     const placed = [...job.placements.keys()];
@@ -21,7 +26,7 @@
     if (kind === 0) {
       const tasks: { index: number; machine: MachineId }[] = [];
       for (const index of job.waiting.indexes()) {
-        if (tasks.length > pick % batch || job.openTaskCount + tasks.length >= limit) break;
+        if (tasks.length > pick % batch || job.openTaskCount + tasks.length >= maxOpen) break;
         tasks.push({ index, machine: machineOf(pick, index) });
       }
       if (tasks.length > 0) job.placeTasks(tasks, SteadyMs(0));
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -5,7 +5,7 @@
 import { pino } from 'pino';
 import { parseSettings, type StoreLimits } from '../../src/config/settings.js';
 import { decodeJob, encodeJob, encodeJobCompactly } from '../../src/ledger/codec.js';
-import { Job } from '../../src/ledger/job.js';
+import { Job, WritePriority } from '../../src/ledger/job.js';
 import { Ledger } from '../../src/ledger/ledger.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
 import { encodedSize } from '../../src/ledger/record-size.js';
@@ -19,62 +19,72 @@
   SteadyMs,
   WallMs,
 } from '../../src/units/index.js';
-import type { JobSpec } from '../../src/wire/index.js';
+import { JobKind, type JobSpec } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { Network } from '../standin/network.js';
 import { StateService } from '../standin/state.js';
+import { applyMoves, type PlacingRules } from '../support/job-moves.js';
 import { spec } from '../support/jobs.js';
-import { play, type Play } from '../support/play.js';
 import { settingsFile } from '../support/settings.js';
 
 const seed = 20261202;
 const now = SteadyMs(0);
 const id = JobId('run-000001');
-const before: StoreLimits = { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 };
-const after: StoreLimits = { requestRate: 80, writeRate: 15, valueBytes: 2048, transactionOps: 4 };
-const lowering = { ...before, next: after };
+const present: StoreLimits = {
+  requestRate: 80,
+  writeRate: 15,
+  valueBytes: 8192,
+  transactionOps: 8,
+};
+const lower: StoreLimits = { requestRate: 80, writeRate: 15, valueBytes: 2048, transactionOps: 4 };
+const lowering = { ...present, next: lower };
 
-const machineOf: Play['machineOf'] = (pick, index) => {
+const machineOf: PlacingRules['machineOf'] = (pick, index) => {
   const number = (pick * 7919 + index * 104729) % 16_000;
   return MachineId(`vm-${String(number).padStart(6, '0')}`);
 };
 
-const moves = (least: number, most: number) =>
-  fc.array(fc.tuple(fc.constantFrom(0, 0, 1, 2), fc.nat(100_000)), {
-    minLength: least,
-    maxLength: most,
-  });
+const drawnMoves = (minLength: number, maxLength: number) =>
+  fc.array(fc.tuple(fc.constantFrom(0, 0, 1, 2), fc.nat(100_000)), { minLength, maxLength });
 
 const contents = (job: Job): unknown => ({
   spec: job.spec,
-  submitted: job.submittedAt,
-  aborted: job.cancelled,
+  submittedAt: job.submittedAt,
+  isCancelled: job.cancelled,
   zone: job.boundZone,
-  next: job.nextAttempt,
+  nextAttempt: job.nextAttempt,
   waiting: job.waiting.list(),
-  placed: [...job.placements].map(([i, p]) => [i, p.machine, p.attempt]).sort(),
+  placed: [...job.placements]
+    .map(([index, { machine, attempt }]) => [index, machine, attempt])
+    .sort(),
 });
 
-void test('compact records come back as they were, and as records of the first format do', () => {
+void test('a job is the same after it was encoded in either format and decoded', () => {
   const specs = fc.record({
     zone: fc.constantFrom(null, 'a'),
     machineTypes: fc.constantFrom<JobSpec['machineTypes'][]>(null, ['small', 'large']),
     deadlineSeconds: fc.constantFrom(null, 12.5),
-    kind: fc.constantFrom<JobSpec['kind'][]>('sweep', 'ensemble', 'daemon'),
+    kind: fc.constantFrom<JobSpec['kind'][]>(JobKind.array, JobKind.gang, JobKind.service),
   });
   const names = fc.constantFrom('vm-000007', 'vm-1000001', 'other', 'x-7', 'vm-0');
   fc.assert(
-    fc.property(moves(0, 60), specs, names, fc.boolean(), (list, change, odd, aborted) => {
-      const job = new Job(id, spec({ taskCount: 60, ...change }), WallMs(1.7e12), Revision(7));
-      job.placeTasks([{ index: 0, machine: MachineId(odd) }], now);
-      play(job, list, { limit: 60, batch: 9, machineOf });
-      if (aborted) job.cancel();
-      job.boundZone = change.zone ?? undefined;
-      const stored: unknown = JSON.parse(JSON.stringify(encodeJobCompactly(job, Epoch(3))));
-      assert.deepEqual(contents(decodeJob(id, stored, Revision(7), now)), contents(job));
-      const first = decodeJob(id, encodeJob(job, Epoch(3)), Revision(7), now);
-      assert.deepEqual(contents(first), contents(job));
-    }),
+    fc.property(
+      drawnMoves(0, 60),
+      specs,
+      names,
+      fc.boolean(),
+      (moves, change, name, isCancelled) => {
+        const job = new Job(id, spec({ taskCount: 60, ...change }), WallMs(1.7e12), Revision(7));
+        job.placeTasks([{ index: 0, machine: MachineId(name) }], now);
+        applyMoves(job, moves, { maxOpen: 60, batch: 9, machineOf });
+        if (isCancelled) job.cancel();
+        job.boundZone = change.zone ?? undefined;
+        const stored: unknown = JSON.parse(JSON.stringify(encodeJobCompactly(job, Epoch(3))));
+        assert.deepEqual(contents(decodeJob(id, stored, Revision(7), now)), contents(job));
+        const first = decodeJob(id, encodeJob(job, Epoch(3)), Revision(7), now);
+        assert.deepEqual(contents(first), contents(job));
+      },
+    ),
     { seed, numRuns: 200 },
   );
 });
@@ -82,21 +92,21 @@
 void test('once the limits are lowered, records fit the smaller value however their tasks end', () => {
   const limits = new RecordLimits(lowering);
   limits.noteRefusal();
-  const sizes: [entries: number, least: number][] = [
+  const sizes: [taskCount: number, minOpen: number][] = [
     [200, 150],
     [100_000, 150],
   ];
-  for (const [entries, least] of sizes) {
-    const wide = spec({ taskCount: entries });
-    const open = limits.openTasks(wide, 0);
-    assert.ok(open >= least, `only ${open} tasks at once`);
+  for (const [taskCount, minOpen] of sizes) {
+    const wide = spec({ taskCount });
+    const maxOpen = limits.openTasks(wide, 0);
+    assert.ok(maxOpen >= minOpen, `only ${maxOpen} tasks at once`);
     fc.assert(
-      fc.property(moves(300, 900), (list) => {
+      fc.property(drawnMoves(300, 900), (moves) => {
         const job = new Job(id, wide, WallMs(1.7e12), Revision(123456));
-        play(job, list, { limit: open, batch: 9, machineOf });
+        applyMoves(job, moves, { maxOpen, batch: 9, machineOf });
         const { record, bytes } = limits.encode(job, Epoch(123456));
         assert.equal(bytes, encodedSize(record));
-        assert.ok(bytes <= after.valueBytes, `${bytes} bytes with ${job.openTaskCount} open tasks`);
+        assert.ok(bytes <= lower.valueBytes, `${bytes} bytes with ${job.openTaskCount} open tasks`);
       }),
       { seed, numRuns: 25 },
     );
@@ -104,46 +114,46 @@
 });
 
 void test('which format is written, and which jobs are refused', () => {
-  const job = (entries: number): Job => {
-    const made = new Job(id, spec({ taskCount: entries }), WallMs(1.7e12), Revision(1));
-    const tasks = Array.from({ length: entries }, (_, index) => ({
+  const placedJob = (taskCount: number): Job => {
+    const job = new Job(id, spec({ taskCount }), WallMs(1.7e12), Revision(1));
+    const tasks = Array.from({ length: taskCount }, (_, index) => ({
       index,
       machine: MachineId(`vm-${String(index * 3).padStart(6, '0')}`),
     }));
-    made.placeTasks(tasks, now);
-    return made;
+    job.placeTasks(tasks, now);
+    return job;
   };
-  const higher = { ...before, next: { ...before, valueBytes: 16_384 } };
+  const higher = { ...present, next: { ...present, valueBytes: 16_384 } };
   const cases: [
     name: string,
     limits: RecordLimits,
-    refused: boolean,
-    entries: number,
-    f: number,
+    isRefused: boolean,
+    taskCount: number,
+    format: number,
   ][] = [
-    ['no limits to come', new RecordLimits({ ...before, next: undefined }), true, 100, 1],
-    ['before the moment', new RecordLimits(lowering), false, 100, 1],
-    ['after it, small', new RecordLimits(lowering), true, 10, 1],
-    ['after it, large', new RecordLimits(lowering), true, 100, 2],
+    ['no limits announced', new RecordLimits({ ...present, next: undefined }), true, 100, 1],
+    ['before they are lowered', new RecordLimits(lowering), false, 100, 1],
+    ['lowered, a small record', new RecordLimits(lowering), true, 10, 1],
+    ['lowered, a large record', new RecordLimits(lowering), true, 100, 2],
     ['limits that rise', new RecordLimits(higher), true, 100, 1],
   ];
-  for (const [name, limits, refused, entries, f] of cases) {
-    if (refused) limits.noteRefusal();
-    assert.equal(limits.encode(job(entries), Epoch(1)).record.f, f, name);
+  for (const [name, limits, isRefused, taskCount, format] of cases) {
+    if (isRefused) limits.noteRefusal();
+    assert.equal(limits.encode(placedJob(taskCount), Epoch(1)).record.f, format, name);
   }
-  const { transactionOps: txnOps } = new RecordLimits(lowering);
-  assert.equal(txnOps, 4, 'the smaller number of changes holds from the start');
+  const { transactionOps } = new RecordLimits(lowering);
+  assert.equal(transactionOps, 4, 'the smaller number of changes holds from the start');
   const limits = new RecordLimits(lowering);
-  const gang = spec({ kind: 'ensemble' });
+  const gang = spec({ kind: JobKind.gang });
   assert.ok(limits.canRecord(gang, 100));
   assert.ok(!limits.canRecord(gang, 100_000), 'a gang that no record holds');
-  const wordy = spec({
+  const largeSpec = spec({
     machineTypes: Array.from({ length: 16 }, () => 'y'.repeat(60)),
     image: 'x'.repeat(120),
   });
-  assert.ok(limits.canRecord(wordy, 1));
+  assert.ok(limits.canRecord(largeSpec, 1));
   assert.ok(
-    !new RecordLimits({ ...before, next: { ...after, valueBytes: 1024 } }).canRecord(wordy, 1),
+    !new RecordLimits({ ...present, next: { ...lower, valueBytes: 1024 } }).canRecord(largeSpec, 1),
   );
 });
 
@@ -152,9 +162,11 @@
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const network = new Network(time, () => 0.5);
-  const state = new StateService(time, before);
+  const state = new StateService(time, present);
   const endpoint = '10.2.0.1:2379';
-  network.attach(endpoint, 'r', (m, p, b, from) => state.handle(m, p, b, from));
+  network.attach(endpoint, 'r', (method, path, body, from) =>
+    state.handle(method, path, body, from),
+  );
   const { node } = parseSettings(settingsFile());
   const store = new StoreClient(
     network.client(node, 'r', clock),
@@ -174,8 +186,8 @@
     onDeposed: () => assert.fail('deposed'),
   };
   const put = { writes: [{ put: 'leader', data: {} }] };
-  const made = state.handle('POST', '/multi', put, node) as { body: { ledger_rev: number } };
-  const epoch = Epoch(made.body.ledger_rev);
+  const written = state.handle('POST', '/multi', put, node) as { body: { ledger_rev: number } };
+  const epoch = Epoch(written.body.ledger_rev);
   const ledger = new Ledger({
     store,
     epoch,
@@ -188,19 +200,20 @@
   return { time, state, limits, ledger, committed };
 }
 
-const wideJob = (n: number, entries: number): Job => {
+/** A job that is to be created. */
+const newJob = (n: number, taskCount: number): Job => {
   const name = JobId(`run-${String(n).padStart(6, '0')}`);
-  const job = new Job(name, spec({ id: name, taskCount: entries }), WallMs(0), Revision(0));
-  job.markChanged(0);
+  const job = new Job(name, spec({ id: name, taskCount }), WallMs(0), Revision(0));
+  job.markChanged(WritePriority.admission);
   return job;
 };
 
-void test('limits that fall while a ledger writes: one refusal, and all is written', async () => {
+void test('limits are lowered while a ledger writes: few refusals, and all is written', async () => {
   for (const lowerAfter of [0, 1, 3, 5, 8, 20, 200]) {
     const { time, state, limits, ledger, committed } = ledgerOnStore();
-    const jobs = [1, 2, 3, 4].map((n) => wideJob(n, n === 2 ? 3 : 120));
+    const jobs = [1, 2, 3, 4].map((n) => newJob(n, n === 2 ? 3 : 120));
     for (const job of jobs) ledger.insert(job);
-    // Their users wait for them.
+    // As their users do.
     for (const job of jobs) void ledger.whenCommitted(job);
     await time.run(lowerAfter);
     for (const job of jobs) {
@@ -210,7 +223,7 @@
       }));
       job.placeTasks(tasks, now);
     }
-    state.lower(after);
+    state.lower(lower);
     await time.run(lowerAfter + 8000);
     assert.ok(limits.isLowered, `after ${lowerAfter} ms`);
     for (const job of jobs)
@@ -218,21 +231,21 @@
     assert.ok(state.tooLarge <= 3, `${state.tooLarge} refused as too large`);
     for (const job of jobs) for (const index of [...job.placements.keys()]) job.complete(index);
     await time.run(lowerAfter + 16_000);
-    assert.equal(committed.filter((c) => c.endsWith('over')).length, 4);
+    assert.equal(committed.filter((entry) => entry.endsWith('over')).length, 4);
     assert.ok(state.tooLarge <= 3);
   }
 });
 
-void test('a record that does not fit even by itself holds up no others, and is written once it has shrunk', async () => {
+void test('a record that does not fit even by itself delays no others, and is written once it has shrunk', async () => {
   const { time, state, limits, ledger, committed } = ledgerOnStore();
-  const large = wideJob(1, 900);
-  const small = [2, 3, 4].map((n) => wideJob(n, 4));
+  const large = newJob(1, 900);
+  const small = [2, 3, 4].map((n) => newJob(n, 4));
   for (const job of [large, ...small]) ledger.insert(job);
   await time.run(2000);
   committed.length = 0;
   limits.noteRefusal();
-  state.lower(after);
-  // As an earlier limit allowed it: scattered over many machines.
+  state.lower(lower);
+  // As the limit before allowed it: on many machines, no two neighbours on the same.
   const tasks = [...large.waiting.indexes()].map((index) => ({
     index,
     machine: MachineId(`vm-${String((index * 7919) % 16_000).padStart(6, '0')}`),
