--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -15,6 +15,7 @@
   finalKey,
   liveKey,
   parseNoticeKey,
+  type NoticeContents,
 } from './store-keys.js';
 
 const STORE_TIMEOUT = ms(1500);
@@ -37,11 +38,8 @@
   | { kind: 'unknown' };
 
 /** A message to the leader in the store: what another node did, or asks for, while it can't reach the leader. */
-export interface Notice {
+export interface Notice extends NoticeContents {
   readonly key: string;
-  readonly id: JobId;
-  /** The job is to be cancelled; otherwise the node has created it. */
-  readonly cancels: boolean;
 }
 
 /** All notices at one revision of the store. */
--- a/src/ledger/job.ts
+++ b/src/ledger/job.ts
@@ -10,8 +10,8 @@
 import { JobKind, JobStatus, type JobSpec } from '../wire/index.js';
 import { IndexRanges } from './index-ranges.js';
 
-/** Where a task is, or may be. It stays until there is proof that the task is not there any more. */
-export interface Placement {
+/** How a task was placed. */
+export interface PlacementOrigin {
   readonly machine: MachineId;
   readonly attempt: Attempt;
   /** The version of the job that made it: its start may be sent once that version is committed. */
@@ -19,6 +19,10 @@
   /** Made by an earlier leader, which may have sent starts that this one does not know of. */
   readonly inherited: boolean;
   readonly placedAt: SteadyMs;
+}
+
+/** Where a task is, or may be. It stays until there is proof that the task is not there any more. */
+export interface Placement extends PlacementOrigin {
   /** The heartbeat whose reply last carried the start. */
   sentInReplyTo?: { readonly session: number; readonly sequence: number };
   /** A heartbeat has shown it. */
@@ -36,14 +40,12 @@
 }
 
 /** A placement that nothing has been sent for and no heartbeat has shown. */
-export const newPlacement = (
-  made: Pick<Placement, 'machine' | 'attempt' | 'version' | 'inherited' | 'placedAt'>,
-): Placement => ({
-  machine: made.machine,
-  attempt: made.attempt,
-  version: made.version,
-  inherited: made.inherited,
-  placedAt: made.placedAt,
+export const newPlacement = (origin: PlacementOrigin): Placement => ({
+  machine: origin.machine,
+  attempt: origin.attempt,
+  version: origin.version,
+  inherited: origin.inherited,
+  placedAt: origin.placedAt,
   isReported: false,
   startPushed: false,
   stopPushed: false,
@@ -188,8 +190,10 @@
     const { version } = this;
     for (const { index, machine } of tasks) {
       if (!this.waiting.remove(index)) throw new Error(`${this.id}/${index} is not waiting`);
-      const made = { machine, attempt, version, inherited: false, placedAt: now };
-      this.placements.set(index, newPlacement(made));
+      this.placements.set(
+        index,
+        newPlacement({ machine, attempt, version, inherited: false, placedAt: now }),
+      );
     }
   }
 
--- a/src/ledger/store-keys.ts
+++ b/src/ledger/store-keys.ts
@@ -25,8 +25,15 @@
 export const cancellationNoticeKey = (id: JobId): string =>
   `${creationNoticeKey(id)}${CANCELLATION_SUFFIX}`;
 
-/** The job that a notice is about, and whether it is to be cancelled. */
-export function parseNoticeKey(key: string): { id: JobId; cancels: boolean } {
+/** What a notice says. */
+export interface NoticeContents {
+  readonly id: JobId;
+  /** The job is to be cancelled; otherwise another node has created it. */
+  readonly cancels: boolean;
+}
+
+/** What the notice with this key says; its value is empty. */
+export function parseNoticeKey(key: string): NoticeContents {
   const cancels = key.endsWith(CANCELLATION_SUFFIX);
   const end = cancels ? -CANCELLATION_SUFFIX.length : undefined;
   return { id: JobId(key.slice(NOTICE_PREFIX.length, end)), cancels };
