--- a/src/capacity/demand.ts
+++ b/src/capacity/demand.ts
@@ -2,7 +2,7 @@
 import type { Objective } from '../config/settings.js';
 import { fits, machineResources, taskResources, type Resources } from '../fleet/resources.js';
 import { isGang } from '../ledger/job.js';
-import { isUrgent, nextDeadline, type QueueEntry } from '../ledger/queue.js';
+import { isUrgent, nextDeadline, type QueueEntry } from '../ledger/queue-order.js';
 import { ms, seconds, type DurationMs, type WallMs } from '../units/index.js';
 import type { JobSpec, MachineType } from '../wire/index.js';
 import { NEVER, NO_WAIT, type Demand } from './types.js';
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -3,7 +3,7 @@
  * wrote the key. Authority ends before the store's lease does.
  */
 import type { Logger } from 'pino';
-import { LEADER_KEY } from '../ledger/codec.js';
+import { LEADER_KEY } from '../ledger/store-keys.js';
 import type { StoreClient } from '../store/client.js';
 import { detach } from '../units/detach.js';
 import {
--- a/src/leader/leader-key.ts
+++ b/src/leader/leader-key.ts
@@ -1,6 +1,6 @@
 /** The leader key: the record of the store that names the leading process, and hangs on its lease. */
 import * as z from 'zod';
-import { LEADER_KEY } from '../ledger/codec.js';
+import { LEADER_KEY } from '../ledger/store-keys.js';
 import type { StoreClient } from '../store/client.js';
 import { detach, type ErrorLog } from '../units/detach.js';
 import { NodeId, ms, type DurationMs, type Revision } from '../units/index.js';
--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -1,7 +1,7 @@
 /** Stops less urgent tasks that have only just started, where urgent ones find no capacity. */
 import type { Machine } from '../fleet/machine.js';
 import type { Job } from '../ledger/job.js';
-import { isUrgent, rankOf, type QueueEntry } from '../ledger/queue.js';
+import { isUrgent, rankOf, type QueueEntry } from '../ledger/queue-order.js';
 import { isAllowed, type Assignment, type RemainingQuota } from '../placer/placer.js';
 import { since, type DurationMs, type MachineId, type SteadyMs } from '../units/index.js';
 import { JobKind } from '../wire/index.js';
--- a/src/leader/rebuild.ts
+++ b/src/leader/rebuild.ts
@@ -1,6 +1,7 @@
 /** What a new leader does first: it reads the records of all live jobs. */
 import type { Logger } from 'pino';
-import { LIVE_PREFIX, decodeJob } from '../ledger/codec.js';
+import { decodeJob } from '../ledger/codec.js';
+import { LIVE_PREFIX } from '../ledger/store-keys.js';
 import type { Job } from '../ledger/job.js';
 import type { RecordLimits } from '../ledger/record-limits.js';
 import type { StoreClient } from '../store/client.js';
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -1,7 +1,7 @@
 /** Decides where waiting tasks go, in placing rounds, and records the placements. */
 import { silenceThreshold } from '../capacity/lost-machines.js';
 import type { Machine } from '../fleet/machine.js';
-import { compareQueueEntries, queueEntryFor, type QueueEntry } from '../ledger/queue.js';
+import { compareQueueEntries, queueEntryFor, type QueueEntry } from '../ledger/queue-order.js';
 import { place, type Assignment, type RemainingQuota } from '../placer/placer.js';
 import type { DurationMs, Epoch, JobId, MachineId, SteadyMs } from '../units/index.js';
 import { AnticipatedWork, type AnticipatedSubmission } from './anticipated-work.js';
--- a/src/leader/task-requests.ts
+++ b/src/leader/task-requests.ts
@@ -1,7 +1,7 @@
 /** Describes the waiting tasks of a job to the placer: how many may start now, and where. */
 import { taskResources } from '../fleet/resources.js';
 import type { Job } from '../ledger/job.js';
-import { isUrgent, type QueueEntry } from '../ledger/queue.js';
+import { isUrgent, type QueueEntry } from '../ledger/queue-order.js';
 import type { RecordLimits } from '../ledger/record-limits.js';
 import type { TaskRequest } from '../placer/placer.js';
 import { parseTaskKey, taskKey, type MachineId, type SteadyMs } from '../units/index.js';
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -7,6 +7,7 @@
 import { Fleet } from '../fleet/fleet.js';
 import { taskResources } from '../fleet/resources.js';
 import type { Job } from '../ledger/job.js';
+import type { LedgerEvents } from '../ledger/ledger-events.js';
 import { Ledger } from '../ledger/ledger.js';
 import type { UnchangedHeartbeat } from '../peer/messages.js';
 import { detach } from '../units/detach.js';
@@ -96,7 +97,7 @@
 
   private createLedger(): Ledger {
     const { clock, log, onDeposed, random, recordLimits, store } = this.deps;
-    return new Ledger(store, this.epoch, recordLimits, clock, random, log, {
+    const events: LedgerEvents = {
       onCommitted: (job) => this.pushStarts(job),
       onReplaced: (job) => this.placements.replaceJob(job),
       onDropped: (job) => this.releasePlacements(job),
@@ -104,6 +105,15 @@
         log.info({ job: job.id, team: final.team, status: final.status }, 'job over');
       },
       onDeposed: () => onDeposed(this.epoch),
+    };
+    return new Ledger({
+      store,
+      epoch: this.epoch,
+      limits: recordLimits,
+      clock,
+      random,
+      log,
+      events,
     });
   }
 
