--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,110 +1,119 @@
+/** The machines of one term, those that are gone, and attempts that no record accounts for. */
 import {
   Endpoint,
   since,
   type DurationMs,
-  type JobId,
   type MachineId,
   type SteadyMs,
   type TaskKey,
 } from '../units/index.js';
-import {
-  Machine,
-  workerLeaseEnd,
-  attemptKey,
-  type AssignedTask,
-  type Load,
-  type MachineKind,
-} from './machine.js';
-import type { WorkerStatus } from './machine.js';
-import type { Resources } from './resources.js';
 import { TaskState } from '../wire/index.js';
+import type { AssignedTask, Load, ResourcesOf } from './load.js';
+import { Machine, type MachineKind } from './machine.js';
+import { workerLeaseEnd } from './worker-lease.js';
+import { attemptKey, type WorkerStatus } from './worker-status.js';
 
-/** Names of this form take a few bytes in a record. */
+/** Machine names of this form take few bytes in a compact record. */
 const NUMBERED_NAME = /\d$/;
 
-/** How long a machine that is gone is remembered. */
-const GONE_MEMORY = 600_000 as DurationMs;
+/** How long a machine that is gone is remembered: ten minutes. */
+const GONE_RETENTION = 600_000 as DurationMs;
+
+/** The kind of a machine that only a record names. */
+const UNKNOWN_KIND: MachineKind = { machineType: '', zone: '', spot: true };
 
+/** What a fleet needs to know from elsewhere. */
 export interface FleetDependencies {
+  /** The beginning of the term. */
   readonly startedAt: SteadyMs;
+  /** The length of a worker's lease. */
   readonly lease: DurationMs;
-  /** The size of a machine type's image cache; undefined as long as it is not known. */
-  readonly cacheSizeOf: (build: string) => number | undefined;
-  /** What the leader before thought to be in a machine's cache. */
+  /** The size of a machine type's image cache in GB; undefined while it is not known. */
+  readonly cacheSizeOf: (machineType: string) => number | undefined;
+  /** The images that an earlier leader believed to be in a machine's cache. */
   readonly imageHintsFor: (
     id: MachineId,
   ) => readonly { readonly name: string; readonly gb: number }[];
-  readonly resourcesOf: (job: JobId) => Resources | undefined;
+  readonly resourcesOf: ResourcesOf;
 }
 
 /** The machines of one epoch, and which attempts may be on them. */
 export class Fleet {
   readonly machines = new Map<MachineId, Machine>();
-  /** Machines that are gone for certain, so that late reports and old lists do not revive them. */
+  /** Machines that are certainly gone, so that late heartbeats and stale lists do not bring them back. */
   private readonly goneSince = new Map<MachineId, SteadyMs>();
-  /** Attempts on machines that no placement accounts for: they must be gone before the task starts again. */
+  /** Running attempts without a placement: they must have ended before their task is started again. */
   private readonly orphans = new Map<TaskKey, Set<MachineId>>();
 
-  /** The length of the longest machine name that is not a number behind what names begin with; 0: none. */
-  private longestUnnumberedName = 0;
+  private longestOtherNameLength = 0;
 
   constructor(private readonly deps: FleetDependencies) {}
 
+  /** The length of the longest machine name that doesn't end in a number; 0 if there is none. */
   get longestOtherName(): number {
-    return this.longestUnnumberedName;
+    return this.longestOtherNameLength;
   }
 
   isGone(id: MachineId): boolean {
     return this.goneSince.has(id);
   }
 
-  observe(id: MachineId, place: MachineKind, addr: string): Machine {
-    const cache = this.deps.cacheSizeOf(place.machineType);
-    const m = this.getOrCreate(id, place);
-    if (m.kind.machineType === '') m.kind = place;
-    if (cache !== undefined && !m.imageHintsTaken) {
-      m.imageHintsTaken = true;
-      m.images.resize(cache);
-      for (const { name, gb } of this.deps.imageHintsFor(id)) m.noteImageUse(name, gb);
+  /**
+   * A heartbeat or the cloud has shown a machine. Returns it, with its kind filled in.
+   *
+   * @param address empty if it was not shown
+   */
+  observe(id: MachineId, kind: MachineKind, address: string): Machine {
+    const cacheGb = this.deps.cacheSizeOf(kind.machineType);
+    const machine = this.getOrCreate(id, kind);
+    if (machine.kind.machineType === '') machine.kind = kind;
+    if (cacheGb !== undefined && !machine.imageHintsTaken) {
+      machine.imageHintsTaken = true;
+      machine.images.resize(cacheGb);
+      for (const { name, gb } of this.deps.imageHintsFor(id)) machine.noteImageUse(name, gb);
     }
-    if (addr !== '') m.address = Endpoint(addr);
-    return m;
+    if (address !== '') machine.address = Endpoint(address);
+    return machine;
   }
 
-  private getOrCreate(id: MachineId, place: MachineKind): Machine {
-    let m = this.machines.get(id);
-    if (!m) {
-      m = new Machine(id, place, 0, workerLeaseEnd(this.deps.startedAt, this.deps.lease));
-      this.machines.set(id, m);
-      if (!NUMBERED_NAME.test(id))
-        this.longestUnnumberedName = Math.max(this.longestUnnumberedName, id.length);
-    }
-    return m;
+  private getOrCreate(id: MachineId, kind: MachineKind): Machine {
+    const known = this.machines.get(id);
+    if (known) return known;
+    // An earlier leader's authority, and so its last reply to the worker, ended before this term began.
+    const leaseExpiresAt = workerLeaseEnd(this.deps.startedAt, this.deps.lease);
+    const machine = new Machine(id, kind, 0, leaseExpiresAt);
+    this.machines.set(id, machine);
+    if (!NUMBERED_NAME.test(id))
+      this.longestOtherNameLength = Math.max(this.longestOtherNameLength, id.length);
+    return machine;
   }
 
-  /** A record places it there. */
+  /** A record places a task on a machine, which need not have been observed yet. */
   assign(id: MachineId, key: TaskKey, task: AssignedTask): void {
-    this.getOrCreate(id, { machineType: '', zone: '', spot: true }).assign(key, task);
+    this.getOrCreate(id, UNKNOWN_KIND).assign(key, task);
   }
 
+  /** The attempt is not on the machine any more. A later attempt of the task there stays. */
   release(id: MachineId, key: TaskKey, attempt: number): void {
-    const m = this.machines.get(id);
-    if (m?.assignments.get(key)?.attempt === attempt) m.unassign(key);
+    const machine = this.machines.get(id);
+    if (machine?.assignments.get(key)?.attempt === attempt) machine.unassign(key);
   }
 
-  load(m: Machine): Load {
-    return m.load(this.deps.resourcesOf);
+  load(machine: Machine): Load {
+    return machine.load(this.deps.resourcesOf);
   }
 
-  remove(m: Machine, now: SteadyMs): void {
-    this.machines.delete(m.id);
-    this.goneSince.set(m.id, now);
-    m.expireLease();
+  /** The machine is certainly gone. */
+  remove(machine: Machine, now: SteadyMs): void {
+    this.machines.delete(machine.id);
+    this.goneSince.set(machine.id, now);
+    machine.expireLease();
   }
 
+  /** Drops the machines that have been gone for long. */
   forgetGone(now: SteadyMs): void {
     for (const [id, at] of this.goneSince)
-      if (since(at, now) > GONE_MEMORY) this.goneSince.delete(id);
+      if (since(at, now) > GONE_RETENTION) this.goneSince.delete(id);
   }
 
   // --- attempts that no placement accounts for --------------------------------------------------
@@ -117,24 +126,34 @@
     return this.orphans.has(key);
   }
 
+  /** A machine runs an attempt of the task that no placement accounts for. */
   noteOrphan(key: TaskKey, machine: MachineId): void {
-    const set = this.orphans.get(key) ?? new Set<MachineId>();
-    set.add(machine);
-    this.orphans.set(key, set);
+    const machines = this.orphans.get(key) ?? new Set<MachineId>();
+    machines.add(machine);
+    this.orphans.set(key, machines);
   }
 
-  /** Drops the strays that a machine's newest report does not show any more. */
-  sweepOrphans(m: Machine, r: WorkerStatus | undefined): void {
-    for (const [key, set] of this.orphans) {
-      if (!set.has(m.id)) continue;
-      const own = m.assignments.get(key);
-      const mine = own && attemptKey(key, own.attempt);
-      let still = false;
-      for (const [attempt, e] of r?.byAttempt ?? []) {
-        if (e.task === key && e.state !== TaskState.exited && attempt !== mine) still = true;
-      }
-      if (!still) set.delete(m.id);
-      if (set.size === 0) this.orphans.delete(key);
+  /**
+   * Drops the orphans that a machine does not run any more.
+   *
+   * @param status its newest status; undefined if its session is over, and with it all its tasks
+   */
+  sweepOrphans(machine: Machine, status: WorkerStatus | undefined): void {
+    for (const [key, machines] of this.orphans) {
+      if (!machines.has(machine.id)) continue;
+      if (!runsOrphan(machine, key, status)) machines.delete(machine.id);
+      if (machines.size === 0) this.orphans.delete(key);
     }
   }
 }
+
+/** Whether a status shows an attempt of the task that runs and is not the one assigned to the machine. */
+function runsOrphan(machine: Machine, key: TaskKey, status: WorkerStatus | undefined): boolean {
+  if (!status) return false;
+  const assigned = machine.assignments.get(key);
+  const assignedAttempt = assigned && attemptKey(key, assigned.attempt);
+  for (const [attempt, { task, state }] of status.byAttempt) {
+    if (task === key && state !== TaskState.exited && attempt !== assignedAttempt) return true;
+  }
+  return false;
+}
--- a/src/fleet/images.ts
+++ b/src/fleet/images.ts
@@ -1,29 +1,34 @@
-/** What a machine probably has in its cache: the images used last, up to its size. */
+/** An estimate of which images a machine holds in its cache. */
+
+/** The most recently used images that fit the cache together, least recently used first. */
 export class ImageCache {
   private readonly sizes = new Map<string, number>();
-  private used = 0;
+  private usedGb = 0;
 
-  constructor(private sizeGb: number) {}
+  constructor(private capacityGb: number) {}
 
-  resize(sizeGb: number): void {
-    this.sizeGb = sizeGb;
+  /** Sets the capacity. What exceeds it is dropped with the next use of an image. */
+  resize(capacityGb: number): void {
+    this.capacityGb = capacityGb;
   }
 
-  use(image: string, gb: number): void {
-    const known = this.sizes.get(image);
-    if (known !== undefined) {
+  /** Notes the use of an image. One that is larger than the cache is kept, alone. */
+  use(image: string, sizeGb: number): void {
+    const knownSize = this.sizes.get(image);
+    if (knownSize !== undefined) {
       this.sizes.delete(image);
-      this.used -= known;
+      this.usedGb -= knownSize;
     }
-    this.sizes.set(image, gb);
-    this.used += gb;
+    this.sizes.set(image, sizeGb);
+    this.usedGb += sizeGb;
     for (const [oldest, size] of this.sizes) {
-      if (this.used <= this.sizeGb || oldest === image) break;
+      if (this.usedGb <= this.capacityGb || oldest === image) break;
       this.sizes.delete(oldest);
-      this.used -= size;
+      this.usedGb -= size;
     }
   }
 
+  /** The images with their sizes in GB, least recently used first. */
   list(): { name: string; gb: number }[] {
     return Array.from(this.sizes, ([name, gb]) => ({ name, gb }));
   }
@@ -31,9 +36,4 @@
   has(image: string): boolean {
     return this.sizes.has(image);
   }
-
-  clear(): void {
-    this.sizes.clear();
-    this.used = 0;
-  }
 }
--- /dev/null
+++ b/src/fleet/load.ts
@@ -0,0 +1,78 @@
+/** The resources of a machine that are in use, or may be. */
+import { parseTaskKey, taskKey, type JobId, type SteadyMs, type TaskKey } from '../units/index.js';
+import { TaskState, type TaskStatus } from '../wire/index.js';
+import type { ImageCache } from './images.js';
+import type { Resources } from './resources.js';
+import { attemptKey, type WorkerStatus } from './worker-status.js';
+
+/** A task that a job's record places on a machine. */
+export interface AssignedTask {
+  readonly job: JobId;
+  readonly index: number;
+  readonly attempt: number;
+  readonly resources: Resources;
+  readonly image: string;
+  readonly placedAt: SteadyMs;
+}
+
+/** What is in use on a machine, or may be. */
+export interface Load {
+  readonly used: Resources;
+  /** A task of unknown size runs on the machine, so its free resources are unknown. */
+  readonly hasUnknownTasks: boolean;
+  /** Images that are being fetched, or will be. */
+  readonly imagesBeingFetched: ReadonlySet<string>;
+}
+
+/** What the load of a machine is computed from; a `Machine` is one. */
+export interface LoadSource {
+  readonly assignments: ReadonlyMap<TaskKey, AssignedTask>;
+  readonly images: ImageCache;
+  readonly status: WorkerStatus | undefined;
+}
+
+/** The resources of one task of a job; undefined if the job is not known. */
+export type ResourcesOf = (job: JobId) => Resources | undefined;
+
+class ResourceSum {
+  cpus = 0;
+  gpus = 0;
+  memoryGb = 0;
+
+  add(resources: Resources): void {
+    this.cpus += resources.cpus;
+    this.gpus += resources.gpus;
+    this.memoryGb += resources.memoryGb;
+  }
+}
+
+/** The sum of all tasks that records place on a machine and all others that its status shows. */
+export function loadOf(machine: LoadSource, resourcesOf: ResourcesOf): Load {
+  const sum = new ResourceSum();
+  const imagesBeingFetched = new Set<string>();
+  for (const [key, assigned] of machine.assignments) {
+    sum.add(assigned.resources);
+    if (isFetchingImage(machine, key, assigned)) imagesBeingFetched.add(assigned.image);
+  }
+  let hasUnknownTasks = false;
+  for (const status of machine.status?.tasks ?? []) {
+    if (status.state === TaskState.exited) continue;
+    const ref = parseTaskKey(status.task);
+    if (ref && isAssigned(machine, taskKey(ref.job, ref.index), status)) continue;
+    const resources = ref && resourcesOf(ref.job);
+    if (resources) sum.add(resources);
+    else hasUnknownTasks = true;
+  }
+  const used = { cpus: sum.cpus, gpus: sum.gpus, memoryGb: sum.memoryGb };
+  return { used, hasUnknownTasks, imagesBeingFetched };
+}
+
+const isAssigned = (machine: LoadSource, key: TaskKey, status: TaskStatus): boolean =>
+  machine.assignments.get(key)?.attempt === status.attempt;
+
+/** Whether the image of an assigned task is not on the machine yet, as far as is known. */
+function isFetchingImage(machine: LoadSource, key: TaskKey, assigned: AssignedTask): boolean {
+  if (machine.images.has(assigned.image)) return false;
+  const status = machine.status?.byAttempt.get(attemptKey(key, assigned.attempt));
+  return !status || status.state === TaskState.fetching;
+}
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -1,327 +1,198 @@
-import { TaskState, type Heartbeat, type TaskStatus } from '../wire/index.js';
+/** One machine as the leader knows it. */
 import {
   later,
-  stretched,
-  ms,
-  parseTaskKey,
-  taskKey,
-  type DurationMs,
   type Endpoint,
   type Epoch,
-  type JobId,
   type MachineId,
   type NodeId,
   type SteadyMs,
   type TaskKey,
 } from '../units/index.js';
 import { ImageCache } from './images.js';
-import type { Resources } from './resources.js';
+import { loadOf, type AssignedTask, type Load, type ResourcesOf } from './load.js';
+import { PushedStarts } from './pushed-starts.js';
+import { isAfter, type WorkerStatus } from './worker-status.js';
 
-/** After so many answers in a row that it did not heed, a machine counts as deaf. */
-const MAX_UNHEEDED_REPLIES = 2;
-/** Beyond the drift of clocks: how much later than computed we call a worker's lease expired. */
-const LEASE_MARGIN = ms(500);
+/** After this many ignored replies in a row, a machine counts as not receiving. */
+const MAX_IGNORED_REPLIES = 2;
 
-export interface AssignedTask {
-  readonly job: JobId;
-  readonly index: number;
-  readonly attempt: number;
-  readonly resources: Resources;
-  readonly image: string;
-  readonly placedAt: SteadyMs;
-}
-
-/** What is in use on a machine, or may be. */
-export interface Load {
-  readonly used: Resources;
-  /** Something runs there whose size nobody knows. */
-  readonly hasUnknownTasks: boolean;
-  /** Images under way to it. */
-  readonly imagesBeingFetched: ReadonlySet<string>;
-}
-
-/** What kind of machine it is, and where. */
+/** The type of a machine, and where and how it is rented. */
 export interface MachineKind {
+  /** Empty if not known yet. */
   readonly machineType: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** Which of two messages of a worker is the newer one. */
-export interface MessageOrder {
-  readonly session: number;
-  readonly sequence: number;
-}
-
-/** A worker's report, wherever it came from. */
-export interface WorkerStatus extends MessageOrder {
-  /** The highest fencing token that the worker has seen. */
-  readonly fencingToken: number;
-  /** How long until the cloud takes the machine away, if it has said so. */
-  readonly reclaimNotice: DurationMs | undefined;
-  readonly tasks: readonly TaskStatus[];
-  /** The tasks by attempt, so that each is found without a look at all. */
-  readonly byAttempt: ReadonlyMap<string, TaskStatus>;
-  /** By which a follower refers to it when a later report shows the same; none if it came another way. */
-  readonly baseline?: number;
-}
-
-export const attemptKey = (entry: string, attempt: number): string => `${entry}#${attempt}`;
-
-export const toWorkerStatus = (
-  b: Pick<Heartbeat, 'session' | 'sequence' | 'fencingToken' | 'reclaimNoticeSeconds' | 'tasks'>,
-): WorkerStatus => ({
-  session: b.session,
-  sequence: b.sequence,
-  fencingToken: b.fencingToken,
-  reclaimNotice:
-    b.reclaimNoticeSeconds === null || b.reclaimNoticeSeconds === undefined
-      ? undefined
-      : ms(b.reclaimNoticeSeconds * 1000),
-  tasks: b.tasks,
-  byAttempt: new Map(b.tasks.map((e) => [attemptKey(e.task, e.attempt), e])),
-});
-
-/**
- * A machine as this leader knows it: what is placed on it by record (and may be there), what its
- * newest report showed, and what may still arrive there.
- */
+/** What records place on a machine, what its newest status shows, and what may still be delivered to it. */
 export class Machine {
   address: Endpoint | undefined;
-  /** The other node that its reports come through; none if they come straight to the leader. */
+  /** The node that relays its heartbeats; undefined if they come directly to the leader. */
   relayNode: NodeId | undefined;
+  /** The newest status; undefined before the first one and after the worker lease has expired. */
   status: WorkerStatus | undefined;
-  /** Sessions before this one are certainly over; what they send is stale. */
+  /** Earlier sessions are certainly over, and their messages are stale. */
   minSession = 0;
-  /** Heard from under this epoch, and not given up since. */
+  /** A status has arrived under this epoch, and the worker lease has not expired since. */
   isUp = false;
+  /** When the newest status arrived. */
   lastHeardAt: SteadyMs | undefined;
-  /** When the worker's lease has certainly run out, unless it is answered again. */
+  /** When the worker lease has certainly expired unless another heartbeat is answered. */
   leaseExpiresAt: SteadyMs;
-  /** When the cloud will take it away, by its own word. */
+  /** When the cloud is going to reclaim it, as announced by its newest status. */
   reclaimAt: SteadyMs | undefined;
-  /** To be given back or given up: no new tasks. */
+  /** To be given back or given up: gets no new tasks. */
   isReturning = false;
-  /** A delete was sent and may be carried out at any time. */
+  /** A delete was sent and may be executed at any time. */
   deleteSent = false;
   rentedAt: SteadyMs | undefined;
+  /** When the cloud's list first showed it. */
   listedAt: SteadyMs | undefined;
+  /** How many lists in a row have lacked it. */
   missedLists = 0;
   bootingSince: SteadyMs | undefined;
-  /** First listed as running, without having been heard from. */
+  /** When it was first listed as running, while no status of it had arrived. */
   listedRunningSince: SteadyMs | undefined;
   idleSince: SteadyMs | undefined;
-  /** Refused or failed starts hold the machine back for a while. */
+  /** After a refused or failed start it gets no tasks until then. */
   quarantinedUntil = 0 as SteadyMs;
   failureCount = 0;
+  /** After an unanswered push, commands go only with replies to heartbeats until then. */
   commandsPausedUntil = 0 as SteadyMs;
   commandInFlight = false;
-  /** Reports in a row that show nothing of what the answers to earlier ones told it. */
-  private unheededReplies = 0;
-  /** Since when it is taken to hear nothing: its reports arrive, but not what it is told. */
+  /** Heartbeats in a row that show no effect of the replies to earlier ones. */
+  private ignoredReplies = 0;
+  /** Since when its heartbeats arrive but nothing that is sent to it does; undefined if that is not so. */
   notReceivingSince: SteadyMs | undefined;
-  /** When it last said what was older than what we knew. */
+  /** When a status arrived that was older than the newest one. */
   staleStatusAt: SteadyMs | undefined;
-  /** When it was last asked straight whether it hears us. */
+  /** When it was last probed. */
   probedAt: SteadyMs | undefined;
-  private readonly tasks = new Map<TaskKey, AssignedTask>();
+  private readonly assignedTasks = new Map<TaskKey, AssignedTask>();
   private cachedLoad: Load | undefined;
-  /** Attempts whose start was sent directly and not answered: it may still arrive. */
-  readonly unacknowledgedStarts = new Set<string>();
-  /** Attempts of this session whose start was sent straight and carried out, and when they ended. */
-  readonly acknowledgedStarts = new Map<string, { ended: SteadyMs | undefined }>();
+  readonly pushedStarts = new PushedStarts();
   readonly images: ImageCache;
-  /** What another leader knew of its images has been taken in. */
+  /** The images that an earlier leader knew of have been added. */
   imageHintsTaken = false;
 
   constructor(
     readonly id: MachineId,
-    /** Unknown (empty) for a machine that only a record names, until it is listed or reports. */
+    /** Its `machineType` is empty while only a record names the machine. */
     public kind: MachineKind,
     cacheGb: number,
-    expires: SteadyMs,
+    leaseExpiresAt: SteadyMs,
   ) {
-    this.leaseExpiresAt = expires;
+    this.leaseExpiresAt = leaseExpiresAt;
     this.images = new ImageCache(cacheGb);
   }
 
-  /** What records place here: it may be here until there is proof that it is not. */
+  /** What records place here. Each task may run here until its absence is proven. */
   get assignments(): ReadonlyMap<TaskKey, AssignedTask> {
-    return this.tasks;
+    return this.assignedTasks;
   }
 
   assign(key: TaskKey, task: AssignedTask): void {
-    this.tasks.set(key, task);
+    this.assignedTasks.set(key, task);
     this.cachedLoad = undefined;
     this.idleSince = undefined;
   }
 
   unassign(key: TaskKey): void {
-    if (this.tasks.delete(key)) this.cachedLoad = undefined;
+    if (this.assignedTasks.delete(key)) this.cachedLoad = undefined;
   }
 
-  noteImageUse(image: string, gb: number): void {
+  noteImageUse(image: string, sizeGb: number): void {
     if (!this.images.has(image)) this.cachedLoad = undefined;
-    this.images.use(image, gb);
+    this.images.use(image, sizeGb);
   }
 
-  /** Worked out anew only after something has changed: it is asked for far more often. */
-  load(sizeOf: (job: JobId) => Resources | undefined): Load {
-    this.cachedLoad ??= loadOf(this, sizeOf);
+  /** The load, computed again only after a change: it is read far more often than it changes. */
+  load(resourcesOf: ResourcesOf): Load {
+    this.cachedLoad ??= loadOf(this, resourcesOf);
     return this.cachedLoad;
   }
 
-  isNewer(r: WorkerStatus): boolean {
-    return r.session >= this.minSession && (!this.status || isAfter(r, this.status));
+  private isNewer(status: WorkerStatus): boolean {
+    return status.session >= this.minSession && (!this.status || isAfter(status, this.status));
   }
 
-  /** Takes a report in; false if it is older than what we know. */
-  recordStatus(r: WorkerStatus, now: SteadyMs): boolean {
-    if (!this.isNewer(r)) {
+  /** Takes a status as the newest one; false if it is stale, and nothing but `staleStatusAt` changes. */
+  recordStatus(status: WorkerStatus, now: SteadyMs): boolean {
+    if (!this.isNewer(status)) {
       this.staleStatusAt = now;
       return false;
     }
-    // A new session has dropped the tasks of the old one and refuses its commands.
-    if (this.status && r.session > this.status.session) this.endSession();
-    this.status = r;
+    // A new session has dropped the tasks of the old one and refuses commands that were sent to it.
+    if (this.status && status.session > this.status.session) this.pushedStarts.clear();
+    this.status = status;
     this.cachedLoad = undefined;
     this.isUp = true;
     this.lastHeardAt = now;
     this.bootingSince = undefined;
-    // By the newest word alone: a late copy may have shown a notice that is not this machine's any more.
-    if (r.reclaimNotice === undefined) this.reclaimAt = undefined;
-    else {
-      const at = later(now, r.reclaimNotice);
-      if (this.reclaimAt === undefined || at < this.reclaimAt) this.reclaimAt = at;
-    }
+    this.recordReclaimNotice(status, now);
     return true;
   }
 
+  /** Only the newest status counts: a late copy may carry a notice that does not apply any more. */
+  private recordReclaimNotice({ reclaimNotice }: WorkerStatus, now: SteadyMs): void {
+    if (reclaimNotice === undefined) {
+      this.reclaimAt = undefined;
+      return;
+    }
+    const reclaimAt = later(now, reclaimNotice);
+    if (this.reclaimAt === undefined || reclaimAt < this.reclaimAt) this.reclaimAt = reclaimAt;
+  }
+
   /**
-   * The machine was back so soon that nobody missed it, and counts its sessions or messages from the
-   * start again: all that it says would count as old. `r` answers a request of ours, so it is new.
+   * The machine was restarted too quickly to be missed and numbers its sessions or messages from the start
+   * again, so that all its messages would count as stale.
+   *
+   * @param status the reply to a request of this leader, which proves that it is new
    */
-  noteRestarted(r: WorkerStatus, now: SteadyMs): void {
+  noteRestarted(status: WorkerStatus, now: SteadyMs): void {
     this.status = undefined;
-    this.minSession = r.session;
-    this.recordStatus(r, now);
+    this.minSession = status.session;
+    this.recordStatus(status, now);
   }
 
-  /** What was told in an answer came to nothing. One answer may get lost; several in a row do not. */
-  noteUnheeded(now: SteadyMs): void {
-    this.unheededReplies++;
-    if (this.unheededReplies >= MAX_UNHEEDED_REPLIES) this.notReceivingSince ??= now;
+  /** A heartbeat shows no effect of the reply to an earlier one. A single reply may be lost, not several in a row. */
+  noteIgnoredReply(now: SteadyMs): void {
+    this.ignoredReplies++;
+    if (this.ignoredReplies >= MAX_IGNORED_REPLIES) this.notReceivingSince ??= now;
   }
 
+  /** Something that was sent to the machine has arrived. */
   noteReceiving(): void {
-    this.unheededReplies = 0;
+    this.ignoredReplies = 0;
     this.notReceivingSince = undefined;
   }
 
-  /** A 200 was given to a report whose lease has certainly run out by then. */
-  extendLease(expires: SteadyMs): void {
-    if (expires > this.leaseExpiresAt) this.leaseExpiresAt = expires;
+  /** A heartbeat was accepted that renews the worker lease until then at most. */
+  extendLease(expiresAt: SteadyMs): void {
+    if (expiresAt > this.leaseExpiresAt) this.leaseExpiresAt = expiresAt;
   }
 
-  /** The lease has certainly expired: the session is over, with all its tasks. */
+  /** The worker lease has certainly expired: the session is over, and so are all its tasks. */
   expireLease(): void {
     if (this.status) this.minSession = this.status.session + 1;
     this.status = undefined;
     this.cachedLoad = undefined;
     this.isUp = false;
-    this.endSession();
-  }
-
-  /** The session before is over: nothing that was sent to it is carried out any more. */
-  private endSession(): void {
-    this.unacknowledgedStarts.clear();
-    this.acknowledgedStarts.clear();
+    this.pushedStarts.clear();
   }
 
-  /** Heard of only by reports from before an epoch, which may be late copies from a machine long gone. */
+  /** Only statuses from before the epoch are known. They may be late copies from a machine that is long gone. */
   isUnconfirmed(epoch: Epoch): boolean {
     return this.status !== undefined && this.status.fencingToken < epoch;
   }
 
-  /** Unsure, and not there when it was told something. */
+  /** Unconfirmed, and its worker did not answer a pushed command lately. */
   isUnconfirmedAndUnreachable(epoch: Epoch, now: SteadyMs): boolean {
     return this.commandsPausedUntil > now && this.isUnconfirmed(epoch);
   }
 
-  /** Takes no new tasks, and those that are not there yet go elsewhere. */
+  /** Gets no new tasks, and those that are proven not to be there are placed elsewhere. */
   get isDraining(): boolean {
     return this.isReturning || this.reclaimAt !== undefined || this.notReceivingSince !== undefined;
   }
 }
-
-/** Which of two messages of a worker is the newer one. */
-export function isAfter(a: MessageOrder, b: MessageOrder): boolean {
-  return a.session > b.session || (a.session === b.session && a.sequence > b.sequence);
-}
-
-/** What may be on a machine: all that records place there, and all that it reports beside. */
-export function loadOf(m: Machine, sizeOf: (job: JobId) => Resources | undefined): Load {
-  let cpus = 0;
-  let gpus = 0;
-  let ramGb = 0;
-  let unknown = false;
-  const fetching = new Set<string>();
-  const add = (s: Resources): void => {
-    cpus += s.cpus;
-    gpus += s.gpus;
-    ramGb += s.memoryGb;
-  };
-  for (const [key, a] of m.assignments) {
-    add(a.resources);
-    if (m.images.has(a.image)) continue;
-    const e = m.status?.byAttempt.get(attemptKey(key, a.attempt));
-    if (!e || e.state === TaskState.fetching) fetching.add(a.image);
-  }
-  for (const e of m.status?.tasks ?? []) {
-    if (e.state === TaskState.exited) continue;
-    const ref = parseTaskKey(e.task);
-    if (ref && m.assignments.get(taskKey(ref.job, ref.index))?.attempt === e.attempt) continue;
-    const size = ref && sizeOf(ref.job);
-    if (size) add(size);
-    else unknown = true;
-  }
-  return {
-    used: { cpus, gpus, memoryGb: ramGb },
-    hasUnknownTasks: unknown,
-    imagesBeingFetched: fetching,
-  };
-}
-
-export const workerLeaseEnd = (from: SteadyMs, lease: DurationMs): SteadyMs =>
-  later(from, ms(stretched(lease) + LEASE_MARGIN));
-
-/**
- * Whether a report proves that an attempt is not on the machine and can't come there any more.
- * `sent`: the report whose answer last carried its start, which a worker carries out before it
- * reports again or never. `inherited`: an earlier leader may have sent it straight to the worker,
- * which refuses that once it has seen our epoch. Only reports of their own (beats) count against
- * `sent`: answers to commands overtake the answer to a report that is under way.
- */
-export function isProvenAbsent(
-  report: WorkerStatus,
-  beat: boolean,
-  key: string,
-  attempt: number,
-  how: {
-    readonly inherited: boolean;
-    readonly sent: MessageOrder | undefined;
-  },
-  doubts: ReadonlySet<string>,
-  epoch: Epoch,
-): boolean {
-  const own = attemptKey(key, attempt);
-  const e = report.byAttempt.get(own);
-  if (e && e.state !== TaskState.exited) return false;
-  if (doubts.has(own)) return false;
-  if (how.inherited && report.fencingToken < epoch) return false;
-  if (how.sent) {
-    if (report.session > how.sent.session) return true;
-    return beat && report.sequence > how.sent.sequence;
-  }
-  return true;
-}
--- a/src/fleet/resources.ts
+++ b/src/fleet/resources.ts
@@ -1,34 +1,39 @@
+/** Amounts of resources, of tasks and of machines. */
 import type { MachineType, JobSpec } from '../wire/index.js';
 
-/** What a task takes of its machine, or a machine has. */
+/** What a task needs, or what a machine has. */
 export interface Resources {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
-/** Amounts are decimal numbers, and sums of them are not exact. */
+/** Tolerance of comparisons: amounts are decimal numbers, and sums of them are not exact. */
 export const EPSILON = 1e-6;
 
-export const fits = (size: Resources, room: Resources): boolean =>
-  size.cpus <= room.cpus + EPSILON &&
-  size.gpus <= room.gpus + EPSILON &&
-  size.memoryGb <= room.memoryGb + EPSILON;
+/** Whether the needed resources are within the free ones. */
+export const fits = (needed: Resources, free: Resources): boolean =>
+  needed.cpus <= free.cpus + EPSILON &&
+  needed.gpus <= free.gpus + EPSILON &&
+  needed.memoryGb <= free.memoryGb + EPSILON;
 
-export const taskResources = (s: JobSpec): Resources => ({
-  cpus: s.cpus,
-  gpus: s.gpus,
-  memoryGb: s.memoryGb,
+/** What each task of a job needs. */
+export const taskResources = (spec: JobSpec): Resources => ({
+  cpus: spec.cpus,
+  gpus: spec.gpus,
+  memoryGb: spec.memoryGb,
 });
 
-export const machineResources = (f: MachineType): Resources => ({
-  cpus: f.cpus,
-  gpus: f.gpus,
-  memoryGb: f.memoryGb,
+/** What a machine of a type has in all. */
+export const machineResources = (machineType: MachineType): Resources => ({
+  cpus: machineType.cpus,
+  gpus: machineType.gpus,
+  memoryGb: machineType.memoryGb,
 });
 
-export const subtract = (a: Resources, b: Resources): Resources => ({
-  cpus: a.cpus - b.cpus,
-  gpus: a.gpus - b.gpus,
-  memoryGb: a.memoryGb - b.memoryGb,
+/** What is left of `total`; negative where more than that is used. */
+export const subtract = (total: Resources, used: Resources): Resources => ({
+  cpus: total.cpus - used.cpus,
+  gpus: total.gpus - used.gpus,
+  memoryGb: total.memoryGb - used.memoryGb,
 });
--- /dev/null
+++ b/src/fleet/worker-status.ts
@@ -0,0 +1,59 @@
+/** The status that a worker reports of its machine, and the order of such messages. */
+import { ms, type DurationMs } from '../units/index.js';
+import type { Heartbeat, TaskStatus } from '../wire/index.js';
+
+/** Orders the messages of one worker: by session, then by sequence number. */
+export interface MessageOrder {
+  readonly session: number;
+  readonly sequence: number;
+}
+
+/** The status of a machine, from a heartbeat or from a worker's reply to commands. */
+export interface WorkerStatus extends MessageOrder {
+  /** The highest fencing token that the worker has seen. */
+  readonly fencingToken: number;
+  /** How long until the cloud reclaims the machine; undefined if it has announced nothing. */
+  readonly reclaimNotice: DurationMs | undefined;
+  readonly tasks: readonly TaskStatus[];
+  /** The same tasks by `attemptKey`, so that one is found without a scan. */
+  readonly byAttempt: ReadonlyMap<string, TaskStatus>;
+  /** The number by which a follower refers to this status; undefined if it came another way. */
+  readonly baseline?: number;
+}
+
+/**
+ * How a status reached the leader. The reply to pushed commands may overtake the reply to a heartbeat, so
+ * only a heartbeat proves that the replies to earlier heartbeats have been processed or lost.
+ */
+export type StatusSource = 'heartbeat' | 'commandReply';
+
+/** Identifies one attempt of a task among all attempts on a machine. */
+export const attemptKey = (task: string, attempt: number): string => `${task}#${attempt}`;
+
+/** The status that a heartbeat carries. */
+export const toWorkerStatus = (
+  heartbeat: Pick<
+    Heartbeat,
+    'session' | 'sequence' | 'fencingToken' | 'reclaimNoticeSeconds' | 'tasks'
+  >,
+): WorkerStatus => ({
+  session: heartbeat.session,
+  sequence: heartbeat.sequence,
+  fencingToken: heartbeat.fencingToken,
+  reclaimNotice:
+    heartbeat.reclaimNoticeSeconds === null || heartbeat.reclaimNoticeSeconds === undefined
+      ? undefined
+      : ms(heartbeat.reclaimNoticeSeconds * 1000),
+  tasks: heartbeat.tasks,
+  byAttempt: new Map(
+    heartbeat.tasks.map((status) => [attemptKey(status.task, status.attempt), status]),
+  ),
+});
+
+/** Whether one message of a worker was made after another one. */
+export function isAfter(message: MessageOrder, other: MessageOrder): boolean {
+  return (
+    message.session > other.session ||
+    (message.session === other.session && message.sequence > other.sequence)
+  );
+}
--- a/src/leader/gang-controller.ts
+++ b/src/leader/gang-controller.ts
@@ -1,17 +1,27 @@
-/** Gangs on machines: ends attempts that lost a task, saves those whose machine is taken, completes them. */
+/** Applies the life cycle of gangs: ends attempts that lost a task, saves those whose machine is reclaimed. */
+import type { Machine } from '../fleet/machine.js';
 import type { Job, Placement } from '../ledger/job.js';
-import { ms, seconds, since, type Clock } from '../units/index.js';
+import { ms, seconds, since, type Clock, type MachineId } from '../units/index.js';
+import { nextAction, type GangState, type GangTask } from './gang-lifecycle.js';
 import { canSave, type PlacementIndex } from './placement-index.js';
-import { nextAction, type GangTask, type GangView } from './gang-lifecycle.js';
-import type { CommandSender } from './command-sender.js';
+import { isStartUnsent } from './placement-state.js';
 
+/** How stops reach machines. */
+export interface StopSender {
+  /** Pushes the stops of a machine's tasks soon. */
+  schedulePush(machine: MachineId): void;
+  /** Whether a command can be pushed to a machine now. */
+  canReach(machine: Machine): boolean;
+}
+
+/** Carries out what `nextAction` decides for each gang. */
 export class GangController {
-  /** To be looked at in the next turn: what broke them may be half done. */
+  /** Gangs to be reviewed in the next turn: the change that broke them may be half done. */
   private readonly broken = new Set<Job>();
 
   constructor(
     private readonly placements: PlacementIndex,
-    private readonly commands: CommandSender,
+    private readonly commands: StopSender,
     private readonly clock: Clock,
   ) {}
 
@@ -27,12 +37,12 @@
     for (const job of broken) this.review(job);
   }
 
-  /** Looks for gangs on machines that the cloud is about to take. */
+  /** Reviews the gangs on machines that the cloud is about to reclaim. */
   reviewLeaving(): void {
     const leaving = new Set<Job>();
-    for (const m of this.placements.fleet.machines.values()) {
-      if (m.reclaimAt === undefined) continue;
-      for (const { job: id } of m.assignments.values()) {
+    for (const machine of this.placements.fleet.machines.values()) {
+      if (machine.reclaimAt === undefined) continue;
+      for (const { job: id } of machine.assignments.values()) {
         const job = this.placements.ledger.jobs.get(id);
         if (job?.isGang) leaving.add(job);
       }
@@ -40,21 +50,14 @@
     for (const job of leaving) this.review(job);
   }
 
-  /** If one task of a gang is done, all are: they complete together, whatever becomes of their machines. */
-  completeJob(job: Job): void {
-    for (let index = 0; index < job.spec.taskCount; index++) {
-      if (!job.isDone(index)) this.placements.completeTask(job, index);
-    }
-  }
-
   private review(job: Job): void {
-    // A cancelled job's tasks are being stopped already; of one that was replaced, others are placed now.
+    // The tasks of a cancelled job are being stopped already. A replaced job has other placements now.
     if (job.cancelled || this.placements.ledger.jobs.get(job.id) !== job) return;
-    switch (nextAction(this.viewOf(job))) {
+    switch (nextAction(this.stateOf(job))) {
       case 'none':
         return;
       case 'complete':
-        this.completeJob(job);
+        this.placements.completeGang(job);
         return;
       case 'endAttempt':
         this.stopAll(job, 0);
@@ -65,40 +68,36 @@
     }
   }
 
-  private stopAll(job: Job, graceS: number): void {
-    for (const [index, p] of [...job.placements]) {
-      if (isStartUnsent(p)) {
+  private stopAll(job: Job, graceSeconds: number): void {
+    for (const [index, placement] of [...job.placements]) {
+      if (isStartUnsent(placement)) {
         this.placements.requeueTask(job, index, 'its gang lost a task');
       } else {
-        this.placements.stopTask(job, index, p, graceS);
-        this.commands.schedulePush(p.machine);
+        this.placements.stopTask(job, index, placement, graceSeconds);
+        this.commands.schedulePush(placement.machine);
       }
     }
   }
 
-  private viewOf(job: Job): GangView {
+  private stateOf(job: Job): GangState {
     return {
       taskCount: job.spec.taskCount,
       waitingCount: job.waiting.size,
       doneCount: job.doneCount,
-      tasks: [...job.placements.values()].map((p) => this.taskOf(p)),
+      tasks: Array.from(job.placements.values(), (placement) => this.taskOf(placement)),
       checkpointTime: canSave(job) ? seconds(job.spec.checkpointSeconds) : undefined,
     };
   }
 
-  private taskOf(p: Placement): GangTask {
-    const m = this.placements.fleet.machines.get(p.machine);
+  private taskOf(placement: Placement): GangTask {
+    const machine = this.placements.fleet.machines.get(placement.machine);
     const now = this.clock.steady();
     return {
-      isReported: p.isReported,
-      isRunning: p.hasRun === true,
-      isStopping: p.evictionGraceSeconds !== undefined,
-      machineLeavesIn: m?.reclaimAt === undefined ? undefined : since(now, m.reclaimAt),
-      isReachable: m !== undefined && this.commands.canReach(m),
+      isReported: placement.isReported,
+      isRunning: placement.hasRun === true,
+      isStopping: placement.evictionGraceSeconds !== undefined,
+      machineLeavesIn: machine?.reclaimAt === undefined ? undefined : since(now, machine.reclaimAt),
+      isReachable: machine !== undefined && this.commands.canReach(machine),
     };
   }
 }
-
-/** Whether its start has not left, so that its machine can't know of it. */
-export const isStartUnsent = (p: Placement): boolean =>
-  !p.inherited && !p.isReported && !p.startPushed && !p.sentInReplyTo;
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -1,3 +1,4 @@
+/** The placements of jobs and the assignments of machines, kept in agreement. */
 import type { Logger } from 'pino';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
@@ -14,16 +15,18 @@
   type TaskKey,
 } from '../units/index.js';
 
-/** Work younger than this may be lost to make room for an urgent task. */
+/** A task that started within this time may be preempted, since little work is lost. */
 export const RECENT_START_WINDOW = seconds(8);
 
+/** Is notified of changes of placements. */
 export interface PlacementEvents {
-  /** Something changed that may let a waiting task be placed. */
-  onRoomChanged(): void;
-  /** A task of a gang was lost, or found lost, while others of it may be on machines. */
+  /** A waiting task may find free resources now. */
+  onCapacityChanged(): void;
+  /** A gang has lost a task, or was found without one, while others of it may be on machines. */
   onGangBroken(job: Job): void;
 }
 
+/** A task that has begun to run lately. */
 export interface RecentStart {
   readonly job: Job;
   readonly index: number;
@@ -31,58 +34,73 @@
   readonly startedAt: SteadyMs;
 }
 
+/** What the index uses. */
+export interface PlacementIndexOptions {
+  readonly ledger: Ledger;
+  readonly fleet: Fleet;
+  readonly clock: Clock;
+  readonly log: Logger;
+  readonly events: PlacementEvents;
+}
+
 /**
- * Jobs and machines together: each change of where a task is goes through here, so that record and
- * fleet agree, and what placing asks for often is kept up to date.
+ * Each change of where a task is goes through here, so that records and fleet agree. The index also keeps what the
+ * scheduler asks for often: the tasks that are being stopped and those that have started lately.
  */
 export class PlacementIndex {
-  /** Tasks that were told to stop for others and have not yet, with their processors. */
-  private readonly stopping = new Map<TaskKey, number>();
-  /** Tasks that began to run lately, oldest first. */
+  readonly ledger: Ledger;
+  readonly fleet: Fleet;
+  private readonly clock: Clock;
+  private readonly log: Logger;
+  private readonly events: PlacementEvents;
+  /** The CPUs of tasks that were told to stop and have not yet. */
+  private readonly stoppingCpus = new Map<TaskKey, number>();
+  /** Oldest first. */
   private recentStarts: RecentStart[] = [];
 
-  constructor(
-    readonly ledger: Ledger,
-    readonly fleet: Fleet,
-    private readonly clock: Clock,
-    private readonly log: Logger,
-    private readonly events: PlacementEvents,
-  ) {}
+  constructor({ ledger, fleet, clock, log, events }: PlacementIndexOptions) {
+    this.ledger = ledger;
+    this.fleet = fleet;
+    this.clock = clock;
+    this.log = log;
+    this.events = events;
+  }
 
-  assignTask(job: Job, index: number, p: Placement): void {
-    this.fleet.assign(p.machine, taskKey(job.id, index), {
+  assignTask(job: Job, index: number, placement: Placement): void {
+    this.fleet.assign(placement.machine, taskKey(job.id, index), {
       job: job.id,
       index,
-      attempt: p.attempt,
+      attempt: placement.attempt,
       resources: taskResources(job.spec),
       image: job.spec.image,
-      placedAt: p.placedAt,
+      placedAt: placement.placedAt,
     });
   }
 
-  /** It is on no machine any more, or its place was never sent. */
+  /** The task is on no machine any more, or its start was never sent. The job itself does not change. */
   releaseTask(job: Job, index: number): void {
-    const p = job.placements.get(index);
-    if (!p) return;
+    const placement = job.placements.get(index);
+    if (!placement) return;
     const key = taskKey(job.id, index);
-    this.fleet.release(p.machine, key, p.attempt);
-    this.stopping.delete(key);
-    this.events.onRoomChanged();
+    this.fleet.release(placement.machine, key, placement.attempt);
+    this.stoppingCpus.delete(key);
+    this.events.onCapacityChanged();
   }
 
-  /** Proof was found that the task is on no machine. */
-  requeueTask(job: Job, index: number, why: string): void {
-    const p = job.placements.get(index);
-    if (!p) return;
-    this.log.debug({ job: job.id, index, machine: p.machine, why }, 'task is free again');
+  /** The task is proven to be on no machine, and waits again. */
+  requeueTask(job: Job, index: number, reason: string): void {
+    const placement = job.placements.get(index);
+    if (!placement) return;
+    const { machine } = placement;
+    this.log.debug({ job: job.id, index, machine, reason }, 'task is free again');
     this.releaseTask(job, index);
     job.requeue(index);
     this.checkGang(job);
   }
 
-  /** Takes in a job that the store holds, with its placements. */
+  /** Assigns the placed tasks of a job that the store holds. */
   addJob(job: Job): void {
-    for (const [index, p] of job.placements) this.assignTask(job, index, p);
+    for (const [index, placement] of job.placements) this.assignTask(job, index, placement);
     this.checkGang(job);
   }
 
@@ -95,64 +113,79 @@
     job.complete(index);
   }
 
-  /** The store holds another record of it than we had: where its tasks are is as that says. */
+  /** When one task of a gang is done, all of them are, whatever becomes of their machines. */
+  completeGang(job: Job): void {
+    for (let index = 0; index < job.spec.taskCount; index++) {
+      if (!job.isDone(index)) this.completeTask(job, index);
+    }
+  }
+
+  /** The store holds another record of the job than expected, whose placements replace the known ones. */
   replaceJob(job: Job): void {
-    for (const m of this.fleet.machines.values()) {
-      for (const [key, a] of m.assignments) if (a.job === job.id) m.unassign(key);
+    for (const machine of this.fleet.machines.values()) {
+      for (const [key, assigned] of machine.assignments)
+        if (assigned.job === job.id) machine.unassign(key);
     }
-    for (const key of this.stopping.keys()) {
-      if (parseTaskKey(key)?.job === job.id) this.stopping.delete(key);
+    for (const key of this.stoppingCpus.keys()) {
+      if (parseTaskKey(key)?.job === job.id) this.stoppingCpus.delete(key);
     }
     this.addJob(job);
-    this.events.onRoomChanged();
+    this.events.onCapacityChanged();
   }
 
-  /** To be stopped, so that it can run elsewhere or later; it saves first if it can. */
-  preempt(job: Job, index: number, p: Placement): void {
-    if (p.evictionGraceSeconds === undefined)
-      this.stopTask(job, index, p, canSave(job) ? job.spec.checkpointSeconds : 0);
+  /** The task is to stop so that it can run elsewhere or later; it saves a checkpoint first if it can. */
+  preempt(job: Job, index: number, placement: Placement): void {
+    if (placement.evictionGraceSeconds === undefined)
+      this.stopTask(job, index, placement, canSave(job) ? job.spec.checkpointSeconds : 0);
   }
 
-  /** To be stopped within so many seconds; less time than before replaces what was told first. */
-  stopTask(job: Job, index: number, p: Placement, graceS: number): void {
-    if (p.evictionGraceSeconds !== undefined && p.evictionGraceSeconds <= graceS) return;
-    p.evictionGraceSeconds = graceS;
-    p.stopPushed = false;
-    this.stopping.set(taskKey(job.id, index), job.spec.cpus);
+  /** The task is to stop within the grace period. A shorter one replaces that of an earlier call. */
+  stopTask(job: Job, index: number, placement: Placement, graceSeconds: number): void {
+    const { evictionGraceSeconds } = placement;
+    if (evictionGraceSeconds !== undefined && evictionGraceSeconds <= graceSeconds) return;
+    placement.evictionGraceSeconds = graceSeconds;
+    placement.stopPushed = false;
+    this.stoppingCpus.set(taskKey(job.id, index), job.spec.cpus);
   }
 
-  /** Processors of tasks that were told to stop and have not yet. */
+  /** The CPUs of all tasks that were told to stop and have not yet. */
   get cpusBeingFreed(): number {
-    let cpus = 0;
-    for (const c of this.stopping.values()) cpus += c;
-    return cpus;
+    let total = 0;
+    for (const cpus of this.stoppingCpus.values()) total += cpus;
+    return total;
   }
 
-  noteRunning(job: Job, index: number, p: Placement): void {
-    p.hasRun = true;
-    this.recentStarts.push({ job, index, placement: p, startedAt: this.clock.steady() });
+  /** The task was seen running for the first time. */
+  noteRunning(job: Job, index: number, placement: Placement): void {
+    placement.hasRun = true;
+    this.recentStarts.push({ job, index, placement, startedAt: this.clock.steady() });
   }
 
+  /** Tasks that started within `RECENT_START_WINDOW`, oldest first. They may have ended since. */
   startedRecently(now: SteadyMs): readonly RecentStart[] {
-    const old = this.recentStarts.findIndex((b) => since(b.startedAt, now) <= RECENT_START_WINDOW);
-    if (old !== 0) this.recentStarts = old < 0 ? [] : this.recentStarts.slice(old);
+    const first = this.recentStarts.findIndex(
+      ({ startedAt }) => since(startedAt, now) <= RECENT_START_WINDOW,
+    );
+    if (first !== 0) this.recentStarts = first < 0 ? [] : this.recentStarts.slice(first);
     return this.recentStarts;
   }
 
-  releaseMachine(m: Machine, why: string): void {
-    for (const a of [...m.assignments.values()]) {
-      const job = this.ledger.jobs.get(a.job);
-      if (job?.placements.get(a.index)?.machine === m.id) this.requeueTask(job, a.index, why);
+  /** Everything on the machine is over: its tasks are queued again. */
+  releaseMachine(machine: Machine, reason: string): void {
+    for (const assigned of [...machine.assignments.values()]) {
+      const job = this.ledger.jobs.get(assigned.job);
+      if (job?.placements.get(assigned.index)?.machine === machine.id)
+        this.requeueTask(job, assigned.index, reason);
     }
-    for (const key of [...m.assignments.keys()]) m.unassign(key);
-    this.fleet.sweepOrphans(m, undefined);
-    this.events.onRoomChanged();
+    for (const key of [...machine.assignments.keys()]) machine.unassign(key);
+    this.fleet.sweepOrphans(machine, undefined);
+    this.events.onCapacityChanged();
   }
 }
 
 /** Whether the tasks of a job are not all in the same state: placed, waiting or done. */
 const isDivided = (job: Job): boolean =>
-  [job.placements.size, job.waiting.size, job.doneCount].filter((n) => n > 0).length > 1;
+  [job.placements.size, job.waiting.size, job.doneCount].filter((count) => count > 0).length > 1;
 
-/** Whether a task of the job can save its progress when it is stopped. */
+/** Whether a task of the job can save a checkpoint when it is stopped. */
 export const canSave = (job: Job): boolean => job.spec.checkpointIntervalSeconds > 0;
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -23,10 +23,13 @@
 import { PlacementIndex } from './placement-index.js';
 import type { TermDependencies } from './dependencies.js';
 import { Scheduler } from './scheduler.js';
-import { GangController, isStartUnsent } from './gang-controller.js';
+import { GangController } from './gang-controller.js';
 import { ImageHintSender } from './image-hints.js';
 import { CommandSender } from './command-sender.js';
 import { HeartbeatHandler } from './heartbeat-handler.js';
+import { isStartUnsent } from './placement-state.js';
+import { ReplyCommands } from './reply-commands.js';
+import { StatusReconciler } from './status-reconciler.js';
 import { shouldRedirectWorkers } from './worker-redirects.js';
 
 const TICK_INTERVAL = ms(500);
@@ -105,23 +108,28 @@
         return job && taskResources(job.spec);
       },
     });
-    this.placements = new PlacementIndex(this.ledger, this.fleet, clock, log, {
-      onRoomChanged: () => this.scheduler.schedulePlacing(),
-      onGangBroken: (job) => this.gangs.noteBroken(job),
+    this.placements = new PlacementIndex({
+      ledger: this.ledger,
+      fleet: this.fleet,
+      clock,
+      log,
+      events: {
+        onCapacityChanged: () => this.scheduler.schedulePlacing(),
+        onGangBroken: (job) => this.gangs.noteBroken(job),
+      },
     });
-    this.commands = new CommandSender(epoch, this.placements, deps, (m, r) =>
-      this.heartbeats.observe(m, r, false),
-    );
+    const observer = new StatusReconciler(epoch, this.placements, deps);
+    this.commands = new CommandSender(epoch, this.placements, observer, deps);
     this.gangs = new GangController(this.placements, this.commands, clock);
-    const wake = (): void => this.scheduler.schedulePlacing();
-    this.heartbeats = new HeartbeatHandler(
+    this.heartbeats = new HeartbeatHandler({
       epoch,
-      this.placements,
-      this.commands,
-      this.gangs,
-      deps,
-      wake,
-    );
+      clock,
+      lease: settings.workers.lease,
+      placements: this.placements,
+      observer,
+      replies: new ReplyCommands(this.ledger, deps),
+      onMachineUp: () => this.scheduler.schedulePlacing(),
+    });
     this.scheduler = new Scheduler(epoch, this.placements, this.commands, deps);
     this.autoscaler = new Autoscaler(
       {
--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -1,7 +1,8 @@
+/** Fleets for unit tests. */
 import { Fleet } from '../../src/fleet/fleet.js';
 import { SteadyMs, type DurationMs } from '../../src/units/index.js';
 
-/** A fleet that knows nothing yet, under an epoch that has just begun. */
+/** A fleet without machines, at the beginning of a term. */
 export const emptyFleet = (lease: DurationMs): Fleet =>
   new Fleet({
     startedAt: SteadyMs(0),
--- a/test/unit/heartbeat-handler.test.ts
+++ b/test/unit/failure-backoff.test.ts
@@ -1,12 +1,10 @@
+/** Back-off after failed tasks, as it follows from the statuses of machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import { toWorkerStatus } from '../../src/fleet/machine.js';
+import { toWorkerStatus } from '../../src/fleet/worker-status.js';
 import type { PlacementIndex } from '../../src/leader/placement-index.js';
-import type { TermDependencies } from '../../src/leader/dependencies.js';
-import type { GangController } from '../../src/leader/gang-controller.js';
-import type { CommandSender } from '../../src/leader/command-sender.js';
-import { HeartbeatHandler } from '../../src/leader/heartbeat-handler.js';
+import { StatusReconciler } from '../../src/leader/status-reconciler.js';
 import { Job } from '../../src/ledger/job.js';
 import { Epoch, JobId, MachineId, Revision, WallMs, seconds } from '../../src/units/index.js';
 import { emptyFleet } from '../support/fleet.js';
@@ -21,35 +19,35 @@
   const placements = {
     fleet,
     ledger: { jobs: new Map([[job.id, job]]) },
-    requeueTask: (j: Job, index: number) => j.requeue(index),
+    requeueTask: (requeued: Job, index: number) => requeued.requeue(index),
   };
-  const deps = { clock, log: pino({ level: 'silent' }) };
-  const heartbeats = new HeartbeatHandler(
-    Epoch(5),
-    placements as unknown as PlacementIndex,
-    {} as CommandSender,
-    {} as GangController,
-    deps as unknown as TermDependencies,
-    () => undefined,
-  );
+  const reconciler = new StatusReconciler(Epoch(5), placements as unknown as PlacementIndex, {
+    clock,
+    log: pino({ level: 'silent' }),
+  });
   for (let i = 0; i < 15; i++) {
     const id = MachineId(`vm-${i % 3}`);
-    const m = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, '');
+    const machine = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, '');
     job.placeTasks([{ index: 0, machine: id }], clock.steady());
     const attempt = job.placements.get(0)?.attempt ?? 0;
-    const entry = { task: `${job.id}/0`, attempt, state: 'exited', exitReason: 'error' };
-    const beat = {
+    const task = { task: `${job.id}/0`, attempt, state: 'exited', exitReason: 'error' };
+    const heartbeat = {
       session: 1,
       sequence: i,
       fencingToken: 5,
       reclaimNoticeSeconds: null,
-      tasks: [entry],
+      tasks: [task],
     };
-    heartbeats.observe(m, toWorkerStatus(beat), true);
+    reconciler.observe(machine, toWorkerStatus(heartbeat), 'heartbeat');
     assert.equal(job.placements.size, 0);
-    const most = clock.steady() + seconds(60);
-    for (const until of [job.heldBackUntil, m.quarantinedUntil, ...job.avoidedMachines.values()]) {
-      assert.ok(until <= most, `failure ${i}: held until ${until} of ${most}`);
+    const latest = clock.steady() + seconds(60);
+    const heldUntil = [
+      job.heldBackUntil,
+      machine.quarantinedUntil,
+      ...job.avoidedMachines.values(),
+    ];
+    for (const until of heldUntil) {
+      assert.ok(until <= latest, `failure ${i}: held until ${until} of ${latest}`);
     }
     await time.run(time.now + 70_000);
   }
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -1,20 +1,23 @@
+/** What is known of a machine: its newest status, its lease, its load, and what is proven absent. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
+import { isProvenAbsent, type StartRecord } from '../../src/fleet/absence.js';
+import { ImageCache } from '../../src/fleet/images.js';
+import { loadOf } from '../../src/fleet/load.js';
+import { Machine } from '../../src/fleet/machine.js';
+import { workerLeaseEnd } from '../../src/fleet/worker-lease.js';
 import {
-  Machine,
-  workerLeaseEnd,
-  loadOf,
-  isProvenAbsent,
+  attemptKey,
   toWorkerStatus,
+  type StatusSource,
   type WorkerStatus,
-} from '../../src/fleet/machine.js';
-import { ImageCache } from '../../src/fleet/images.js';
+} from '../../src/fleet/worker-status.js';
 import { Epoch, JobId, MachineId, SteadyMs, seconds, taskKey } from '../../src/units/index.js';
 
 const epoch = Epoch(50);
 const key = 'run-000001/0';
-const report = (change: Partial<Parameters<typeof toWorkerStatus>[0]>): WorkerStatus =>
+const statusWith = (change: Partial<Parameters<typeof toWorkerStatus>[0]>): WorkerStatus =>
   toWorkerStatus({
     session: 1,
     sequence: 10,
@@ -23,98 +26,115 @@
     tasks: [],
     ...change,
   });
-const machine = (): Machine =>
+const newMachine = (): Machine =>
   new Machine(MachineId('vm-1'), { machineType: 'a', zone: 'z', spot: true }, 10, SteadyMs(0));
 
-void test('reports are ordered by shift and tally, whichever way they came', () => {
-  const cases: [string, [number, number], [number, number], boolean][] = [
+void test('statuses are ordered by session and sequence number, whichever way they came', () => {
+  type Order = [session: number, sequence: number];
+  const cases: [name: string, first: Order, second: Order, isFresh: boolean][] = [
     ['the next one', [1, 10], [1, 11], true],
     ['a repeat', [1, 10], [1, 10], false],
-    ['one that was held back', [1, 10], [1, 9], false],
-    ['a new session counts from anew', [1, 10], [2, 1], true],
+    ['one that was delayed', [1, 10], [1, 9], false],
+    ['a new session numbers its messages from the start', [1, 10], [2, 1], true],
     ['a late one of the session before', [2, 1], [1, 99], false],
   ];
-  for (const [name, [s0, t0], [s1, t1], fresh] of cases) {
-    const m = machine();
-    assert.ok(m.recordStatus(report({ session: s0, sequence: t0 }), SteadyMs(1)));
-    assert.equal(m.recordStatus(report({ session: s1, sequence: t1 }), SteadyMs(2)), fresh, name);
+  for (const [name, [session1, sequence1], [session2, sequence2], isFresh] of cases) {
+    const machine = newMachine();
+    const first = statusWith({ session: session1, sequence: sequence1 });
+    assert.ok(machine.recordStatus(first, SteadyMs(1)));
+    const second = statusWith({ session: session2, sequence: sequence2 });
+    assert.equal(machine.recordStatus(second, SteadyMs(2)), isFresh, name);
   }
 });
 
-void test('what a session left behind ends with its lease', () => {
-  const m = machine();
-  m.recordStatus(report({ session: 3, sequence: 5 }), SteadyMs(1));
-  m.unacknowledgedStarts.add('run-000001/0#1');
-  m.expireLease();
-  assert.equal(m.unacknowledgedStarts.size, 0);
-  // Held back on the way: the worker has long dropped these tasks.
-  assert.equal(m.recordStatus(report({ session: 3, sequence: 6 }), SteadyMs(9)), false);
-  assert.equal(m.recordStatus(report({ session: 4, sequence: 1 }), SteadyMs(9)), true);
+void test('pushed starts and late messages of a session end with its lease', () => {
+  const machine = newMachine();
+  machine.recordStatus(statusWith({ session: 3, sequence: 5 }), SteadyMs(1));
+  machine.pushedStarts.noteSent('run-000001/0#1');
+  machine.expireLease();
+  assert.equal(machine.pushedStarts.unacknowledged.size, 0);
+  // Delayed on the way: the worker has long dropped these tasks.
+  const late = statusWith({ session: 3, sequence: 6 });
+  assert.equal(machine.recordStatus(late, SteadyMs(9)), false);
+  const next = statusWith({ session: 4, sequence: 1 });
+  assert.equal(machine.recordStatus(next, SteadyMs(9)), true);
 });
 
-void test('a notice that newer reports do not show was a late copy of another time', () => {
-  const m = machine();
-  m.recordStatus(report({ sequence: 5, reclaimNoticeSeconds: 9 }), SteadyMs(1));
-  assert.ok(m.isDraining);
-  m.recordStatus(report({ sequence: 6 }), SteadyMs(2));
-  assert.equal(m.isDraining, false);
+void test('a reclaim notice that newer statuses do not show came from a late copy', () => {
+  const machine = newMachine();
+  machine.recordStatus(statusWith({ sequence: 5, reclaimNoticeSeconds: 9 }), SteadyMs(1));
+  assert.ok(machine.isDraining);
+  machine.recordStatus(statusWith({ sequence: 6 }), SteadyMs(2));
+  assert.equal(machine.isDraining, false);
 });
 
 void test('a lease counts as expired only when it has on every clock', () => {
   assert.ok(workerLeaseEnd(SteadyMs(0), seconds(24)) > 24_000 * 1.0005);
 });
 
-void test('proofs of absence', () => {
-  const entry = { task: key, attempt: 2, state: 'running' };
-  const none = new Set<string>();
+void test('what proves the absence of an attempt', () => {
+  const task = { task: key, attempt: 2, state: 'running' };
+  const none: readonly string[] = [];
   type Case = [
     name: string,
-    report: Parameters<typeof report>[0],
-    beat: boolean,
-    how: Parameters<typeof isProvenAbsent>[4],
-    doubts: ReadonlySet<string>,
-    proven: boolean,
+    change: Parameters<typeof statusWith>[0],
+    source: StatusSource,
+    start: StartRecord,
+    unacknowledged: readonly string[],
+    isProven: boolean,
   ];
-  const never = { inherited: false, sent: undefined };
-  const sent = { inherited: false, sent: { session: 1, sequence: 9 } };
-  const old = { inherited: true, sent: undefined };
+  const unsent = { inherited: false };
+  const sent = { inherited: false, sentInReplyTo: { session: 1, sequence: 9 } };
+  const inherited = { inherited: true };
+  const beat = 'heartbeat';
   const cases: Case[] = [
-    ['never sent', {}, true, never, none, true],
-    ['it is there', { tasks: [entry] }, true, never, none, false],
-    ['another attempt is there', { tasks: [{ ...entry, attempt: 1 }] }, true, never, none, true],
-    ['it has ended there', { tasks: [{ ...entry, state: 'exited' }] }, true, never, none, true],
-    ['sent with the answer to an earlier report', {}, true, sent, none, true],
-    ['sent with the answer to this very report', { sequence: 9 }, true, sent, none, false],
-    // The answer with the start is still on its way to the worker that answered our command.
-    ['only an answer to a command is newer', {}, false, sent, none, false],
-    ['a new session since it was sent', { session: 2, sequence: 1 }, false, sent, none, true],
-    ['a direct start may still arrive', {}, true, never, new Set([`${key}#2`]), false],
-    ['a direct start of another attempt may', {}, true, never, new Set([`${key}#1`]), true],
-    // What an earlier leader sent is refused only once our epoch was seen.
-    ['inherited, our epoch not seen', { fencingToken: 49 }, true, old, none, false],
-    ['inherited, our epoch seen', {}, true, old, none, true],
+    ['never sent', {}, beat, unsent, none, true],
+    ['it is there', { tasks: [task] }, beat, unsent, none, false],
+    ['another attempt is there', { tasks: [{ ...task, attempt: 1 }] }, beat, unsent, none, true],
+    ['it has ended there', { tasks: [{ ...task, state: 'exited' }] }, beat, unsent, none, true],
+    ['sent in reply to an earlier heartbeat', {}, beat, sent, none, true],
+    ['sent in reply to this very heartbeat', { sequence: 9 }, beat, sent, none, false],
+    // The reply with the start is still on its way to the worker that answered our command.
+    ['only the reply to a command is newer', {}, 'commandReply', sent, none, false],
+    [
+      'a new session since it was sent',
+      { session: 2, sequence: 1 },
+      'commandReply',
+      sent,
+      none,
+      true,
+    ],
+    ['a pushed start may still be delivered', {}, beat, unsent, [`${key}#2`], false],
+    ['a pushed start of another attempt may', {}, beat, unsent, [`${key}#1`], true],
+    // What an earlier leader sent is refused only once the worker has seen our epoch.
+    ['inherited, our epoch not seen', { fencingToken: 49 }, beat, inherited, none, false],
+    ['inherited, our epoch seen', {}, beat, inherited, none, true],
   ];
-  for (const [name, r, beat, how, doubts, proven] of cases) {
-    assert.equal(isProvenAbsent(report(r), beat, key, 2, how, doubts, epoch), proven, name);
+  for (const [name, change, source, start, unacknowledged, isProven] of cases) {
+    const evidence = {
+      status: statusWith(change),
+      source,
+      attempt: attemptKey(key, 2),
+      start,
+      unacknowledgedStarts: new Set(unacknowledged),
+      epoch,
+    };
+    assert.equal(isProvenAbsent(evidence), isProven, name);
   }
 });
 
-void test('the load that is kept is the load worked out anew', () => {
+void test('the load that is kept equals the load computed again', () => {
   const sizes = [1, 2, 4].map((cpus) => ({ cpus, gpus: 0, memoryGb: cpus }));
-  const sizeOf = (job: JobId) => sizes[Number(job.slice(-1))];
-  const status = fc.constantFrom('fetching', 'running', 'exited');
-  const entries = fc.array(fc.tuple(fc.nat(3), fc.nat(2), status), { maxLength: 6 });
-  const move = fc.tuple(
-    fc.constantFrom('assign', 'unassign', 'report', 'image'),
-    fc.nat(3),
-    entries,
-  );
+  const resourcesOf = (job: JobId) => sizes[Number(job.slice(-1))];
+  const state = fc.constantFrom('fetching', 'running', 'exited');
+  const tasks = fc.array(fc.tuple(fc.nat(3), fc.nat(2), state), { maxLength: 6 });
+  const step = fc.tuple(fc.constantFrom('assign', 'unassign', 'report', 'image'), fc.nat(3), tasks);
   fc.assert(
-    fc.property(fc.array(move, { maxLength: 40 }), (moves) => {
-      const m = machine();
-      let tally = 0;
-      for (const [what, n, list] of moves) {
-        // A job that nobody knows (3) may be reported but is never placed.
+    fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
+      const machine = newMachine();
+      let sequence = 0;
+      for (const [kind, n, list] of steps) {
+        // A job of unknown size (3) may be reported but is never placed.
         const job = JobId(`run-${n}`);
         const task = {
           job,
@@ -124,27 +144,32 @@
           image: `img-${n % 2}`,
           placedAt: SteadyMs(0),
         };
-        if (what === 'assign' && n < 3) m.assign(taskKey(job, 0), task);
-        else if (what === 'unassign') m.unassign(taskKey(job, 0));
-        else if (what === 'image') m.noteImageUse(`img-${n}`, 4);
+        if (kind === 'assign' && n < 3) machine.assign(taskKey(job, 0), task);
+        else if (kind === 'unassign') machine.unassign(taskKey(job, 0));
+        else if (kind === 'image') machine.noteImageUse(`img-${n}`, 4);
         else {
-          const shown = list.map(([k, t, s]) => ({ task: `run-${k}/0`, attempt: t, state: s }));
-          m.recordStatus(report({ sequence: ++tally, tasks: shown }), SteadyMs(tally));
+          const reported = list.map(([k, attempt, s]) => ({
+            task: `run-${k}/0`,
+            attempt,
+            state: s,
+          }));
+          const status = statusWith({ sequence: ++sequence, tasks: reported });
+          machine.recordStatus(status, SteadyMs(sequence));
         }
-        assert.deepEqual(m.load(sizeOf), loadOf(m, sizeOf));
+        assert.deepEqual(machine.load(resourcesOf), loadOf(machine, resourcesOf));
       }
     }),
     { seed: 20261202 },
   );
 });
 
-void test('the image cache forgets what was used least lately', () => {
-  const c = new ImageCache(10);
-  c.use('a', 4);
-  c.use('b', 4);
-  c.use('a', 4);
-  c.use('c', 4);
-  assert.deepEqual([c.has('a'), c.has('b'), c.has('c')], [true, false, true]);
-  c.use('huge', 20);
-  assert.deepEqual([c.has('a'), c.has('huge')], [false, true]);
+void test('the image cache forgets the least recently used images', () => {
+  const cache = new ImageCache(10);
+  cache.use('a', 4);
+  cache.use('b', 4);
+  cache.use('a', 4);
+  cache.use('c', 4);
+  assert.deepEqual([cache.has('a'), cache.has('b'), cache.has('c')], [true, false, true]);
+  cache.use('huge', 20);
+  assert.deepEqual([cache.has('a'), cache.has('huge')], [false, true]);
 });
--- a/test/unit/gangs.test.ts
+++ b/test/unit/gangs.test.ts
@@ -1,17 +1,19 @@
+/** The life cycle of gangs, and what is done about it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { pino } from 'pino';
 import {
   nextAction,
   phaseOf,
   type GangAction,
   type GangPhase,
   type GangTask,
-  type GangView,
+  type GangState,
 } from '../../src/leader/gang-lifecycle.js';
-import type { PlacementIndex } from '../../src/leader/placement-index.js';
+import { PlacementIndex } from '../../src/leader/placement-index.js';
 import { GangController } from '../../src/leader/gang-controller.js';
-import type { CommandSender } from '../../src/leader/command-sender.js';
 import { Job } from '../../src/ledger/job.js';
+import type { Ledger } from '../../src/ledger/ledger.js';
 import {
   JobId,
   MachineId,
@@ -20,9 +22,10 @@
   WallMs,
   ms,
   seconds,
-  type Clock,
 } from '../../src/units/index.js';
+import { emptyFleet } from '../support/fleet.js';
 import { spec } from '../support/jobs.js';
+import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 const running: GangTask = {
   isReported: true,
@@ -35,8 +38,8 @@
 const placed: GangTask = { ...gathering, isReported: false };
 const leaving = (inMs: number): GangTask => ({ ...running, machineLeavesIn: ms(inMs) });
 
-/** A gang of three that saves within three seconds. */
-const gang = (tasks: readonly GangTask[], change: Partial<GangView> = {}): GangView => ({
+/** A gang of three tasks that takes three seconds to save a checkpoint. */
+const gang = (tasks: readonly GangTask[], change: Partial<GangState> = {}): GangState => ({
   taskCount: 3,
   waitingCount: 3 - tasks.length,
   doneCount: 0,
@@ -45,16 +48,21 @@
   ...change,
 });
 
-void test('the life cycle of a gang: its phase, and what is to be done', () => {
-  const cases: [name: string, view: GangView, phase: GangPhase, action: GangAction][] = [
-    ['nothing of it is anywhere', gang([]), 'waiting', 'none'],
+void test('the phase of a gang and the action that follows from the states of its tasks', () => {
+  const cases: [name: string, state: GangState, phase: GangPhase, action: GangAction][] = [
+    ['no task is placed', gang([]), 'waiting', 'none'],
     ['not all reported', gang([placed, gathering, gathering]), 'placed', 'none'],
-    ['waits for an image', gang([gathering, gathering, running]), 'gathering', 'none'],
-    ['runs', gang([running, running, running]), 'running', 'none'],
+    [
+      'one has not started, for want of its image',
+      gang([gathering, gathering, running]),
+      'gathering',
+      'none',
+    ],
+    ['all run', gang([running, running, running]), 'running', 'none'],
     ['lost a task before it ran', gang([gathering, placed]), 'stopping', 'endAttempt'],
-    ['lost a task as it ran', gang([running, running]), 'stopping', 'endAttempt'],
+    ['lost a task while running', gang([running, running]), 'stopping', 'endAttempt'],
     [
-      'lost a task as it saved',
+      'lost a task while saving',
       gang([{ ...running, isStopping: true }, running]),
       'stopping',
       'endAttempt',
@@ -65,23 +73,33 @@
       'stopping',
       'none',
     ],
-    ['a machine leaves late', gang([running, running, leaving(9000)]), 'running', 'none'],
-    ['a machine leaves soon', gang([running, leaving(5500), running]), 'running', 'saveAndStop'],
+    [
+      'a machine is reclaimed much later',
+      gang([running, running, leaving(9000)]),
+      'running',
+      'none',
+    ],
+    [
+      'a machine is reclaimed soon',
+      gang([running, leaving(5500), running]),
+      'running',
+      'saveAndStop',
+    ],
     ['too soon to save', gang([running, leaving(2500), running]), 'running', 'none'],
     [
-      'it can not save',
+      'it has no checkpoints',
       gang([running, leaving(5500), running], { checkpointTime: undefined }),
       'running',
       'none',
     ],
     [
-      'one could not be told',
+      'one machine can not be reached',
       gang([leaving(5500), running, { ...running, isReachable: false }]),
       'running',
       'none',
     ],
     [
-      'one is done, the others have not been heard of since',
+      'one is done, the others still count as running',
       gang([running, running], { doneCount: 1, waitingCount: 0 }),
       'done',
       'complete',
@@ -94,13 +112,13 @@
     ],
     ['all are done', gang([], { doneCount: 3, waitingCount: 0 }), 'done', 'none'],
   ];
-  for (const [name, view, phase, action] of cases) {
-    assert.equal(phaseOf(view), phase, name);
-    assert.equal(nextAction(view), action, name);
+  for (const [name, state, phase, action] of cases) {
+    assert.equal(phaseOf(state), phase, name);
+    assert.equal(nextAction(state), action, name);
   }
 });
 
-void test('if one task of a gang is done, all are, wherever the others were seen last', () => {
+void test('when one task of a gang is done, all are, wherever the others were seen last', async () => {
   const job = new Job(
     JobId('run-000001'),
     spec({ kind: 'ensemble', taskCount: 3 }),
@@ -114,20 +132,22 @@
   );
   job.requeue(2);
   job.complete(0);
-  const placements = {
-    completeTask: (j: Job, index: number) => j.complete(index),
-    ledger: { jobs: new Map([[job.id, job]]) },
-    fleet: { machines: new Map() },
-  };
-  let review = (): void => undefined;
-  const clock = { after: (_: unknown, run: () => void) => (review = run), steady: () => 0 };
-  const gangs = new GangController(
-    placements as unknown as PlacementIndex,
-    {} as CommandSender,
-    clock as unknown as Clock,
-  );
+  const time = new VirtualTime();
+  const clock = new ProcessClock(time, 0, 0);
+  const ledger = { jobs: new Map([[job.id, job]]) };
+  const placements = new PlacementIndex({
+    ledger: ledger as unknown as Ledger,
+    fleet: emptyFleet(seconds(24)),
+    clock,
+    log: pino({ level: 'silent' }),
+    events: { onCapacityChanged: () => undefined, onGangBroken: () => undefined },
+  });
+  const unreachable = { canReach: () => false, schedulePush: () => assert.fail('stops a task') };
+  const gangs = new GangController(placements, unreachable, clock);
   gangs.noteBroken(job);
-  review();
+  const wasSettledAtOnce = job.isSettled;
+  await time.run(1);
+  assert.equal(wasSettledAtOnce, false, 'it is reviewed in a later turn');
   assert.ok(job.isSettled && job.doneCount === 3);
   assert.equal(job.finalState().status, 'done');
 });
--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -4,12 +4,10 @@
 import { pino } from 'pino';
 import { parseSettings } from '../../src/config/settings.js';
 import type { Fleet } from '../../src/fleet/fleet.js';
-import { toWorkerStatus } from '../../src/fleet/machine.js';
+import { toWorkerStatus } from '../../src/fleet/worker-status.js';
 import type { PlacementIndex } from '../../src/leader/placement-index.js';
-import type { TermDependencies } from '../../src/leader/dependencies.js';
-import type { GangController } from '../../src/leader/gang-controller.js';
-import type { CommandSender } from '../../src/leader/command-sender.js';
 import { HeartbeatHandler } from '../../src/leader/heartbeat-handler.js';
+import { StatusReconciler } from '../../src/leader/status-reconciler.js';
 import type { Peer } from '../../src/peer/channel.js';
 import {
   decodeRequest,
@@ -57,15 +55,19 @@
     readonly epoch: Epoch,
     clock: ProcessClock,
   ) {
-    const placements = { fleet: this.fleet, ledger: { jobs: new Map() } };
-    this.reports = new HeartbeatHandler(
+    const placements = {
+      fleet: this.fleet,
+      ledger: { jobs: new Map() },
+    } as unknown as PlacementIndex;
+    this.reports = new HeartbeatHandler({
       epoch,
-      placements as unknown as PlacementIndex,
-      { commandsForReply: () => [] } as unknown as CommandSender,
-      {} as GangController,
-      { clock, settings, log: pino({ level: 'silent' }) } as unknown as TermDependencies,
-      () => undefined,
-    );
+      clock,
+      lease: settings.workers.lease,
+      placements,
+      observer: new StatusReconciler(epoch, placements, { clock, log: pino({ level: 'silent' }) }),
+      replies: { commandsForReply: () => [] },
+      onMachineUp: () => undefined,
+    });
   }
 
   /** What they say, without what tells how it was learnt. */
