--- a/src/leader/gang-lifecycle.ts
+++ b/src/leader/gang-lifecycle.ts
@@ -17,7 +17,7 @@
   /** Every task is on its machine; not all have been seen running. */
   | 'gathering'
   | 'running'
-  /** Its tasks were told to stop, or one of them is lost. */
+  /** Its tasks are being stopped, or one of them is lost. */
   | 'stopping'
   | 'done';
 
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -53,7 +53,7 @@
   private readonly clock: Clock;
   private readonly log: Logger;
   private readonly events: PlacementEvents;
-  /** The CPUs of tasks that were told to stop and have not yet. */
+  /** The CPUs of tasks that are to stop and may still run. */
   private readonly stoppingCpus = new Map<TaskKey, number>();
   /** Oldest first. */
   private recentStarts: RecentStart[] = [];
@@ -148,7 +148,7 @@
     this.stoppingCpus.set(taskKey(job.id, index), job.spec.cpus);
   }
 
-  /** The CPUs of all tasks that were told to stop and have not yet. */
+  /** The CPUs of all tasks that are to stop and may still run. */
   get cpusBeingFreed(): number {
     let total = 0;
     for (const cpus of this.stoppingCpus.values()) total += cpus;
--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -1,6 +1,20 @@
-/** Fleets for unit tests. */
+/** Fleets and placed tasks for unit tests. */
+import assert from 'node:assert/strict';
 import { Fleet } from '../../src/fleet/fleet.js';
-import { SteadyMs, type DurationMs } from '../../src/units/index.js';
+import { taskResources } from '../../src/fleet/resources.js';
+import { Job, type Placement } from '../../src/ledger/job.js';
+import {
+  JobId,
+  Revision,
+  SteadyMs,
+  WallMs,
+  taskKey,
+  type DurationMs,
+  type MachineId,
+  type TaskKey,
+} from '../../src/units/index.js';
+import type { JobSpec } from '../../src/wire/index.js';
+import { spec } from './jobs.js';
 
 /** A fleet without machines, at the beginning of a term. */
 export const emptyFleet = (lease: DurationMs): Fleet =>
@@ -11,3 +25,39 @@
     imageHintsFor: () => [],
     resourcesOf: () => undefined,
   });
+
+/** A task that is placed on a machine. */
+export interface PlacedTask {
+  readonly job: Job;
+  readonly placement: Placement;
+  readonly key: TaskKey;
+}
+
+/** A new job of one task, placed on the machine by a committed record. */
+export function placedTask(
+  fleet: Fleet,
+  machine: MachineId,
+  now: SteadyMs,
+  change: Partial<JobSpec> = {},
+): PlacedTask {
+  const job = new Job(
+    JobId('run-000001'),
+    spec({ taskCount: 1, ...change }),
+    WallMs(0),
+    Revision(1),
+  );
+  job.placeTasks([{ index: 0, machine }], now);
+  job.committedVersion = job.version;
+  const placement = job.placements.get(0);
+  assert.ok(placement);
+  const key = taskKey(job.id, 0);
+  fleet.assign(machine, key, {
+    job: job.id,
+    index: 0,
+    attempt: placement.attempt,
+    resources: taskResources(job.spec),
+    image: job.spec.image,
+    placedAt: now,
+  });
+  return { job, placement, key };
+}
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -9,26 +9,16 @@
 import { attemptKey, toWorkerStatus } from '../../src/fleet/worker-status.js';
 import type { PlacementIndex } from '../../src/leader/placement-index.js';
 import { CommandSender, type CommandSenderDependencies } from '../../src/leader/command-sender.js';
+import { takePush } from '../../src/leader/push-commands.js';
 import { ReplyCommands } from '../../src/leader/reply-commands.js';
-import { Job, type Placement } from '../../src/ledger/job.js';
-import {
-  Epoch,
-  JobId,
-  MachineId,
-  Revision,
-  WallMs,
-  taskKey,
-  type SteadyMs,
-} from '../../src/units/index.js';
+import { Epoch, MachineId, SteadyMs, seconds } from '../../src/units/index.js';
 import { encodeHeartbeat, type Priority } from '../../src/wire/index.js';
-import { emptyFleet } from '../support/fleet.js';
-import { spec } from '../support/jobs.js';
+import { emptyFleet, placedTask, type PlacedTask } from '../support/fleet.js';
 import { settingsFile } from '../support/settings.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 const epoch = Epoch(50);
 const id = MachineId('vm-1');
-const key = taskKey(JobId('run-000001'), 0);
 const heartbeat = {
   machine: id,
   address: '10.1.0.1:9000',
@@ -45,33 +35,6 @@
 const observeMachine = (fleet: Fleet): Machine =>
   fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, heartbeat.address);
 
-/** A job whose only task is placed on the machine, by a committed record. */
-function placedJob(
-  fleet: Fleet,
-  now: SteadyMs,
-  priority: Priority,
-): { job: Job; placement: Placement } {
-  const job = new Job(
-    JobId('run-000001'),
-    spec({ taskCount: 1, priority }),
-    WallMs(0),
-    Revision(1),
-  );
-  job.placeTasks([{ index: 0, machine: id }], now);
-  job.committedVersion = job.version;
-  const placement = job.placements.get(0);
-  assert.ok(placement);
-  fleet.assign(id, key, {
-    job: job.id,
-    index: 0,
-    attempt: placement.attempt,
-    resources: { cpus: 2, gpus: 0, memoryGb: 4 },
-    image: 'x',
-    placedAt: now,
-  });
-  return { job, placement };
-}
-
 void test('the reply to a command extends a lease only as the first message of a new session', async () => {
   const settings = parseSettings(settingsFile());
   const { lease } = settings.workers;
@@ -96,7 +59,7 @@
     const machine = observeMachine(fleet);
     machine.recordStatus(toWorkerStatus(heartbeat), clock.steady());
     machine.extendLease(workerLeaseEnd(clock.steady(), lease));
-    const { job } = placedJob(fleet, clock.steady(), priority);
+    const { job } = placedTask(fleet, id, clock.steady(), { priority });
     const deps = {
       settings,
       clock,
@@ -143,7 +106,7 @@
     const clock = new ProcessClock(new VirtualTime(), 0, 0);
     const fleet = emptyFleet(settings.workers.lease);
     const machine = observeMachine(fleet);
-    const { job, placement } = placedJob(fleet, clock.steady(), 'normal');
+    const { job, placement, key } = placedTask(fleet, id, clock.steady());
     if (isEvicted) placement.evictionGraceSeconds = 0;
     if (mayStillArrive) machine.pushedStarts.noteSent(attemptKey(key, placement.attempt));
     const ledger = { jobs: new Map([[job.id, job]]), finalState: () => undefined };
@@ -156,3 +119,61 @@
     );
   }
 });
+
+void test('what is pushed to a machine, and that it is pushed once', () => {
+  type Change = (task: PlacedTask, machine: Machine) => void;
+  const cases: [name: string, mayStart: boolean, change: Change, commands: string[]][] = [
+    ['placed', true, () => undefined, ['launch']],
+    ['placed, but starts are left to replies', false, () => undefined, []],
+    ['not committed', true, ({ job }) => (job.committedVersion = 0), []],
+    ['sent in a reply', true, ({ placement }) => (placement.sentInReplyTo = heartbeat), []],
+    ['reported', true, ({ placement }) => (placement.isReported = true), []],
+    ['the machine is draining', true, (_, machine) => (machine.isReturning = true), []],
+    ['cancelled, not sent', true, ({ job }) => (job.cancelled = true), []],
+    [
+      'cancelled, sent in a reply',
+      false,
+      ({ job, placement }) => {
+        job.cancelled = true;
+        placement.sentInReplyTo = heartbeat;
+      },
+      ['kill 0'],
+    ],
+    [
+      'evicted, reported',
+      true,
+      ({ placement }) => {
+        placement.evictionGraceSeconds = 7;
+        placement.isReported = true;
+      },
+      ['kill 7'],
+    ],
+    [
+      'evicted, then cancelled',
+      true,
+      ({ job, placement }) => {
+        placement.evictionGraceSeconds = 7;
+        placement.isReported = true;
+        job.cancelled = true;
+      },
+      ['kill 0'],
+    ],
+  ];
+  for (const [name, mayStart, change, expected] of cases) {
+    const fleet = emptyFleet(seconds(24));
+    const machine = observeMachine(fleet);
+    const task = placedTask(fleet, id, SteadyMs(0));
+    change(task, machine);
+    const jobs = new Map([[task.job.id, task.job]]);
+    const { commands, started } = takePush(machine, jobs, mayStart);
+    const shown = commands.map((command) =>
+      command.type === 'kill' ? `kill ${command.gracePeriodSeconds}` : command.type,
+    );
+    assert.deepEqual(shown, expected, name);
+    const attempt = attemptKey(task.key, task.placement.attempt);
+    const isStart = expected.includes('launch');
+    assert.deepEqual(started, isStart ? [attempt] : [], name);
+    assert.equal(machine.pushedStarts.isUnacknowledged(attempt), isStart, name);
+    assert.deepEqual(takePush(machine, jobs, mayStart).commands, [], `${name}: once`);
+  }
+});
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -86,14 +86,28 @@
   const unsent = { inherited: false };
   const sent = { inherited: false, sentInReplyTo: { session: 1, sequence: 9 } };
   const inherited = { inherited: true };
-  const beat = 'heartbeat';
+  const heartbeat = 'heartbeat';
   const cases: Case[] = [
-    ['never sent', {}, beat, unsent, none, true],
-    ['it is there', { tasks: [task] }, beat, unsent, none, false],
-    ['another attempt is there', { tasks: [{ ...task, attempt: 1 }] }, beat, unsent, none, true],
-    ['it has ended there', { tasks: [{ ...task, state: 'exited' }] }, beat, unsent, none, true],
-    ['sent in reply to an earlier heartbeat', {}, beat, sent, none, true],
-    ['sent in reply to this very heartbeat', { sequence: 9 }, beat, sent, none, false],
+    ['never sent', {}, heartbeat, unsent, none, true],
+    ['it is there', { tasks: [task] }, heartbeat, unsent, none, false],
+    [
+      'another attempt is there',
+      { tasks: [{ ...task, attempt: 1 }] },
+      heartbeat,
+      unsent,
+      none,
+      true,
+    ],
+    [
+      'it has ended there',
+      { tasks: [{ ...task, state: 'exited' }] },
+      heartbeat,
+      unsent,
+      none,
+      true,
+    ],
+    ['sent in reply to an earlier heartbeat', {}, heartbeat, sent, none, true],
+    ['sent in reply to this very heartbeat', { sequence: 9 }, heartbeat, sent, none, false],
     // The reply with the start is still on its way to the worker that answered our command.
     ['only the reply to a command is newer', {}, 'commandReply', sent, none, false],
     [
@@ -104,11 +118,11 @@
       none,
       true,
     ],
-    ['a pushed start may still be delivered', {}, beat, unsent, [`${key}#2`], false],
-    ['a pushed start of another attempt may', {}, beat, unsent, [`${key}#1`], true],
+    ['a pushed start may still be delivered', {}, heartbeat, unsent, [`${key}#2`], false],
+    ['a pushed start of another attempt may', {}, heartbeat, unsent, [`${key}#1`], true],
     // What an earlier leader sent is refused only once the worker has seen our epoch.
-    ['inherited, our epoch not seen', { fencingToken: 49 }, beat, inherited, none, false],
-    ['inherited, our epoch seen', {}, beat, inherited, none, true],
+    ['inherited, our epoch not seen', { fencingToken: 49 }, heartbeat, inherited, none, false],
+    ['inherited, our epoch seen', {}, heartbeat, inherited, none, true],
   ];
   for (const [name, change, source, start, unacknowledged, isProven] of cases) {
     const evidence = {
@@ -128,7 +142,7 @@
   const resourcesOf = (job: JobId) => sizes[Number(job.slice(-1))];
   const state = fc.constantFrom('fetching', 'running', 'exited');
   const tasks = fc.array(fc.tuple(fc.nat(3), fc.nat(2), state), { maxLength: 6 });
-  const step = fc.tuple(fc.constantFrom('assign', 'unassign', 'report', 'image'), fc.nat(3), tasks);
+  const step = fc.tuple(fc.constantFrom('assign', 'unassign', 'status', 'image'), fc.nat(3), tasks);
   fc.assert(
     fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
       const machine = newMachine();
--- a/test/unit/gangs.test.ts
+++ b/test/unit/gangs.test.ts
@@ -68,7 +68,7 @@
       'endAttempt',
     ],
     [
-      'told to save',
+      'being saved',
       gang([running, running, { ...running, isStopping: true }]),
       'stopping',
       'none',
