--- a/test/unit/gangs.test.ts
+++ b/test/unit/gangs.test.ts
@@ -67,12 +67,7 @@
       'stopping',
       'endAttempt',
     ],
-    [
-      'being saved',
-      gang([running, running, { ...running, isStopping: true }]),
-      'stopping',
-      'none',
-    ],
+    ['being saved', gang([running, running, { ...running, isStopping: true }]), 'stopping', 'none'],
     [
       'a machine is reclaimed much later',
       gang([running, running, leaving(9000)]),
