--- a/src/leader/job-requests.ts
+++ b/src/leader/job-requests.ts
@@ -5,8 +5,8 @@
 import { JobId, Revision, ms, type Clock, type DurationMs } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
 import type { CommandSender } from './command-sender.js';
-import { isStartUnsent } from './gang-controller.js';
 import type { PlacementIndex } from './placement-index.js';
+import { isStartUnsent } from './placement-state.js';
 import type { Scheduler } from './scheduler.js';
 
 /** A submission that would wait longer for its turn to be written is refused at once. */
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -24,7 +24,9 @@
 import { PeriodicWork } from './periodic-work.js';
 import { PlacementIndex } from './placement-index.js';
 import { Rebuild } from './rebuild.js';
+import { ReplyCommands } from './reply-commands.js';
 import { Scheduler } from './scheduler.js';
+import { StatusReconciler } from './status-reconciler.js';
 
 /** From the gain of an epoch to its loss. `start` it once; `close` ends all that it does. */
 export class Term {
@@ -53,23 +55,11 @@
     this.rebuild = new Rebuild(deps, (job) => this.jobs.adopt(job));
     this.ledger = this.createLedger();
     this.fleet = this.createFleet(startedAt);
-    this.placements = new PlacementIndex(this.ledger, this.fleet, clock, log, {
-      onRoomChanged: () => this.scheduler.schedulePlacing(),
-      onGangBroken: (job) => this.gangs.noteBroken(job),
-    });
-    this.commands = new CommandSender(epoch, this.placements, deps, (machine, status) =>
-      this.heartbeats.observe(machine, status, false),
-    );
+    this.placements = this.createPlacements();
+    const observer = new StatusReconciler(epoch, this.placements, deps);
+    this.commands = new CommandSender(epoch, this.placements, observer, deps);
     this.gangs = new GangController(this.placements, this.commands, clock);
-    const wake = (): void => this.scheduler.schedulePlacing();
-    this.heartbeats = new HeartbeatHandler(
-      epoch,
-      this.placements,
-      this.commands,
-      this.gangs,
-      deps,
-      wake,
-    );
+    this.heartbeats = this.createHeartbeats(observer);
     this.scheduler = new Scheduler(epoch, this.placements, this.commands, deps);
     this.contacts = new ContactHistory(deps.peers, startedAt);
     this.machineLoss = new MachineLoss(this.fleet, this.placements, clock, log);
@@ -131,6 +121,33 @@
     });
   }
 
+  private createPlacements(): PlacementIndex {
+    const { clock, log } = this.deps;
+    return new PlacementIndex({
+      ledger: this.ledger,
+      fleet: this.fleet,
+      clock,
+      log,
+      events: {
+        onCapacityChanged: () => this.scheduler.schedulePlacing(),
+        onGangBroken: (job) => this.gangs.noteBroken(job),
+      },
+    });
+  }
+
+  private createHeartbeats(observer: StatusReconciler): HeartbeatHandler {
+    const { clock, settings } = this.deps;
+    return new HeartbeatHandler({
+      epoch: this.epoch,
+      clock,
+      lease: settings.workers.lease,
+      placements: this.placements,
+      observer,
+      replies: new ReplyCommands(this.ledger, this.deps),
+      onMachineUp: () => this.scheduler.schedulePlacing(),
+    });
+  }
+
   private createAutoscaler(): Autoscaler {
     const { catalog, clock, cloud, log, operator, random, settings } = this.deps;
     const autoscaler = new Autoscaler(
