--- a/src/api/job-queries.ts
+++ b/src/api/job-queries.ts
@@ -77,7 +77,7 @@
     while (this.clock.steady() < until) {
       await sleep(this.clock, CANCEL_POLL_INTERVAL);
       const stored = await this.jobRecords.lookup(JobId(id));
-      if (stored.kind === 'final' || (stored.kind === 'live' && stored.job.cancelled)) {
+      if (stored.kind === 'final' || (stored.kind === 'live' && stored.job.isCancelled)) {
         return storedJobReply(id, stored);
       }
     }
--- a/src/api/job-replies.ts
+++ b/src/api/job-replies.ts
@@ -53,13 +53,13 @@
 function liveBody(job: Job): object {
   // Only what is committed is shown; a cancellation that a follower wrote is.
   const cancelled =
-    job.committedProgress.cancelled || (job.cancelled && job.committedVersion >= job.version);
-  const status = statusOf({ ...job.committedProgress, cancelled }, job.spec.taskCount);
+    job.committedProgress.isCancelled || (job.isCancelled && job.committedVersion >= job.version);
+  const status = statusOf({ ...job.committedProgress, isCancelled: cancelled }, job.spec.taskCount);
   return encodeJobState({
     id: job.id,
     status,
-    done: job.committedProgress.done,
-    running: status === JobStatus.cancelled ? 0 : job.committedProgress.running,
+    done: job.committedProgress.doneCount,
+    running: status === JobStatus.cancelled ? 0 : job.committedProgress.placedCount,
     team: job.spec.team,
   });
 }
@@ -68,7 +68,7 @@
   encodeJobState({
     id,
     status: final.status,
-    done: final.done,
+    done: final.doneCount,
     running: 0,
     team: final.team,
     reason: final.reason,
--- a/src/capacity/demand.ts
+++ b/src/capacity/demand.ts
@@ -88,7 +88,7 @@
   if (waited > MAX_AFFORDABLE_WAIT) return NO_WAIT;
   // Into an empty fleet spot machines are rented first; their answers show what is missing.
   if (isFleetEmpty && waited < EMPTY_FLEET_GRACE) return NEVER;
-  const { due, late } = nextDeadline(job, objectives, now, runtime);
+  const { dueAt: due, isLate: late } = nextDeadline(job, objectives, now, runtime);
   const slack = due - now - runtime * RUNTIME_MARGIN;
   const isHopeless = late && slack + runtime + bootTime < 0;
   return isHopeless ? NEVER : ms(Math.max(0, slack));
--- a/src/capacity/lost-machines.ts
+++ b/src/capacity/lost-machines.ts
@@ -117,7 +117,7 @@
   machine: Machine,
   { now, listeningSince }: LivenessView,
 ): DurationMs | undefined {
-  const last = machine.lastHeardAt ?? machine.listedRunningSince;
+  const last = machine.lastStatusAt ?? machine.listedRunningSince;
   if (last === undefined) return undefined;
   // Silence counts only while heartbeats were answered: not before this term, nor while they got a 503.
   return since(SteadyMs(Math.max(last, listeningSince)), now);
@@ -135,10 +135,10 @@
  * nothing about the others. The worker's lease decides in the end.
  */
 function isReconnecting(machine: Machine, { unreachableAt }: LivenessView): boolean {
-  if (machine.lastHeardAt === undefined) return true;
+  if (machine.lastStatusAt === undefined) return true;
   if (machine.relayNode === undefined) return false;
   const relayLostAt = unreachableAt.get(machine.relayNode);
-  return relayLostAt !== undefined && relayLostAt >= machine.lastHeardAt;
+  return relayLostAt !== undefined && relayLostAt >= machine.lastStatusAt;
 }
 
 /** Whether a machine is silent for too long even if its whole zone is silent. */
--- a/src/capacity/machine-list.ts
+++ b/src/capacity/machine-list.ts
@@ -47,7 +47,7 @@
     // It stopped on its own: its tasks are gone. The delete only takes it off the list.
     machine.isReturning = true;
     machine.deleteSent = true;
-  } else if (!machine.isUp && machine.lastHeardAt === undefined) {
+  } else if (!machine.isUp && machine.lastStatusAt === undefined) {
     // A running machine has booted long ago, and only this leader has had no heartbeat of it yet. After a
     // failover that is the whole fleet, and none of it may be given up for a boot that took too long.
     if (status === 'running') {
--- a/src/fleet/absence.ts
+++ b/src/fleet/absence.ts
@@ -6,7 +6,7 @@
 /** How the start of an attempt was sent. A `Placement` is one. */
 export interface StartRecord {
   /** Placed by an earlier leader, which may have pushed the start without recording that. */
-  readonly inherited: boolean;
+  readonly isInherited: boolean;
   /** The heartbeat whose reply last carried the start; undefined if none did. */
   readonly sentInReplyTo?: MessageOrder;
 }
@@ -42,7 +42,7 @@
   const reported = status.byAttempt.get(attempt);
   if (reported && reported.state !== TaskState.exited) return false;
   if (unacknowledgedStarts.has(attempt)) return false;
-  if (start.inherited && status.fencingToken < epoch) return false;
+  if (start.isInherited && status.fencingToken < epoch) return false;
   const { sentInReplyTo } = start;
   if (!sentInReplyTo || status.session > sentInReplyTo.session) return true;
   return source === 'heartbeat' && status.sequence > sentInReplyTo.sequence;
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -36,7 +36,7 @@
   /** A status has arrived under this epoch, and the worker lease has not expired since. */
   isUp = false;
   /** When the newest status arrived. */
-  lastHeardAt: SteadyMs | undefined;
+  lastStatusAt: SteadyMs | undefined;
   /** When the worker lease has certainly expired unless another heartbeat is answered. */
   leaseExpiresAt: SteadyMs;
   /** When the cloud is going to reclaim it, as announced by its newest status. */
@@ -127,7 +127,7 @@
     this.status = status;
     this.cachedLoad = undefined;
     this.isUp = true;
-    this.lastHeardAt = now;
+    this.lastStatusAt = now;
     this.bootingSince = undefined;
     this.recordReclaimNotice(status, now);
     return true;
--- a/src/leader/attempt-clearance.ts
+++ b/src/leader/attempt-clearance.ts
@@ -51,7 +51,7 @@
   private mustNotRunAgain(job: Job | undefined, final: FinalState | undefined): boolean {
     if (this.hasQuota(job?.spec.team ?? final?.team ?? '')) return true;
     if (!job) return final?.status !== JobStatus.done;
-    return job.cancelled || job.spec.singleZone || job.spec.spreadZones;
+    return job.isCancelled || job.spec.singleZone || job.spec.spreadZones;
   }
 
   private hasQuota(teamName: string): boolean {
@@ -62,5 +62,5 @@
 
 /** Whether the store has all completions of a job. */
 function areCompletionsStored(job: Job): boolean {
-  return job.committedVersion >= job.version || job.committedProgress.done >= job.doneCount;
+  return job.committedVersion >= job.version || job.committedProgress.doneCount >= job.doneCount;
 }
--- a/src/leader/candidate-machines.ts
+++ b/src/leader/candidate-machines.ts
@@ -23,7 +23,7 @@
   const candidates: CandidateMachine[] = [];
   for (const machine of fleet.machines.values()) {
     if (!acceptsTasks(machine, now) || machine.isUnconfirmedAndUnreachable(epoch, now)) continue;
-    if (machine.lastHeardAt === undefined || since(machine.lastHeardAt, now) > silenceThreshold)
+    if (machine.lastStatusAt === undefined || since(machine.lastStatusAt, now) > silenceThreshold)
       continue;
     const candidate = describe(machine, fleet, catalog);
     if (candidate) candidates.push(candidate);
--- a/src/leader/fleet-log.ts
+++ b/src/leader/fleet-log.ts
@@ -61,7 +61,7 @@
   private waitingTasksByClass(): Record<string, number> {
     const waiting: Record<string, number> = {};
     for (const job of this.deps.ledger.jobs.values()) {
-      if (job.cancelled || job.waiting.size === 0) continue;
+      if (job.isCancelled || job.waiting.size === 0) continue;
       waiting[job.spec.jobClass] = (waiting[job.spec.jobClass] ?? 0) + job.waiting.size;
     }
     return waiting;
--- a/src/leader/gang-controller.ts
+++ b/src/leader/gang-controller.ts
@@ -52,7 +52,7 @@
 
   private review(job: Job): void {
     // The tasks of a cancelled job are being stopped already. A replaced job has other placements now.
-    if (job.cancelled || this.placements.ledger.jobs.get(job.id) !== job) return;
+    if (job.isCancelled || this.placements.ledger.jobs.get(job.id) !== job) return;
     switch (nextAction(this.stateOf(job))) {
       case 'none':
         return;
--- a/src/leader/job-requests.ts
+++ b/src/leader/job-requests.ts
@@ -42,7 +42,7 @@
   readonly ledger: Ledger;
   readonly placements: PlacementIndex;
   readonly commands: Pick<CommandSender, 'schedulePush'>;
-  readonly scheduler: Pick<Scheduler, 'standby' | 'schedulePlacing' | 'placeWaiting'>;
+  readonly scheduler: Pick<Scheduler, 'submissions' | 'schedulePlacing' | 'placeWaiting'>;
   readonly jobRecords: Pick<JobRecords, 'lookup'>;
   readonly clock: Clock;
 }
@@ -81,7 +81,7 @@
     const job = new Job(id, spec, clock.wall(), Revision(0));
     job.markChanged(WritePriority.admission);
     ledger.insert(job);
-    scheduler.standby.noteSubmission(spec, clock.steady());
+    scheduler.submissions.noteSubmission(spec, clock.steady());
     // What fits on a machine now is placed in the same transaction that creates the job.
     scheduler.placeWaiting();
     const isCommitted = await ledger.whenCommitted(job);
@@ -89,7 +89,7 @@
     if (latest?.kind === 'final') return latest;
     if (latest?.kind !== 'live' || latest.job.revision === 0) return UNKNOWN;
     // It may have been cancelled, too, while it was being written.
-    const isCreated = isCommitted && latest.job === job && !job.cancelled;
+    const isCreated = isCommitted && latest.job === job && !job.isCancelled;
     return isCreated ? { kind: 'created' } : latest;
   }
 
@@ -135,7 +135,7 @@
   adopt(job: Job): void {
     const { clock, ledger, placements, scheduler } = this.deps;
     ledger.insert(job);
-    scheduler.standby.noteSubmission(job.spec, clock.steady());
+    scheduler.submissions.noteSubmission(job.spec, clock.steady());
     placements.addJob(job);
     if (job.isSettled) job.markChanged(WritePriority.completion);
     scheduler.schedulePlacing();
@@ -156,9 +156,9 @@
    */
   private async latestInMemory(id: JobId): Promise<JobAnswer | undefined> {
     const known = this.inMemory(id);
-    if (known?.kind !== 'live' || !known.job.terminalWriteInFlight) return known;
+    if (known?.kind !== 'live' || !known.job.hasTerminalWriteInFlight) return known;
     await this.deps.ledger.whenCommitted(known.job);
     const latest = this.inMemory(id);
-    return latest?.kind === 'live' && latest.job.terminalWriteInFlight ? UNKNOWN : latest;
+    return latest?.kind === 'live' && latest.job.hasTerminalWriteInFlight ? UNKNOWN : latest;
   }
 }
--- a/src/leader/machine-probe.ts
+++ b/src/leader/machine-probe.ts
@@ -81,7 +81,7 @@
 /** Whether a machine seems not to receive, or only stale statuses of it arrive. */
 function isSuspect(machine: Machine, silenceThreshold: DurationMs, now: SteadyMs): boolean {
   if (machine.notReceivingSince !== undefined) return true;
-  const { staleStatusAt, lastHeardAt } = machine;
+  const { staleStatusAt, lastStatusAt: lastHeardAt } = machine;
   return (
     staleStatusAt !== undefined &&
     since(staleStatusAt, now) < silenceThreshold &&
--- a/src/leader/notice-watcher.ts
+++ b/src/leader/notice-watcher.ts
@@ -33,7 +33,7 @@
     }
   }
 
-  private async carryOut({ key, id, cancels }: Notice): Promise<void> {
+  private async carryOut({ key, id, isCancellation: cancels }: Notice): Promise<void> {
     const answer = cancels ? await this.jobs.cancel(id) : await this.jobs.find(id);
     if (this.closed) return;
     // One that is written again while it is being deleted asks for nothing that has not been done.
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -144,7 +144,7 @@
     const { evictionGraceSeconds } = placement;
     if (evictionGraceSeconds !== undefined && evictionGraceSeconds <= graceSeconds) return;
     placement.evictionGraceSeconds = graceSeconds;
-    placement.stopPushed = false;
+    placement.isStopPushed = false;
     this.stoppingCpus.set(taskKey(job.id, index), job.spec.cpus);
   }
 
--- a/src/leader/placement-state.ts
+++ b/src/leader/placement-state.ts
@@ -18,14 +18,14 @@
 
 /** Whether the start was certainly never sent, so that the machine can't have the task. */
 export const isStartUnsent = (placement: Placement): boolean =>
-  !placement.inherited &&
+  !placement.isInherited &&
   !placement.isReported &&
-  !placement.startPushed &&
+  !placement.isStartPushed &&
   !placement.sentInReplyTo;
 
 /** Whether the task is to be stopped, because its job is cancelled or it has to make way. */
 export const isToBeStopped = (job: Job, placement: Placement): boolean =>
-  job.cancelled || placement.evictionGraceSeconds !== undefined;
+  job.isCancelled || placement.evictionGraceSeconds !== undefined;
 
 /** Whether the record of the placement is in the store, which must be so before its start is sent. */
 export const isCommitted = (job: Job, placement: Placement): boolean =>
--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -93,7 +93,7 @@
 function isPreemptibleFor(job: Job, { job: other, placement }: RecentStart): boolean {
   return (
     rankOf(other.spec.priority) > rankOf(job.spec.priority) &&
-    !other.cancelled &&
+    !other.isCancelled &&
     other.spec.kind === JobKind.array &&
     placement.evictionGraceSeconds === undefined
   );
--- a/src/leader/push-commands.ts
+++ b/src/leader/push-commands.ts
@@ -30,7 +30,7 @@
     if (!job || !placement || !isCommitted(job, placement)) continue;
     if (isToBeStopped(job, placement)) addStop(push, key, attempt, job, placement);
     else if (mayStartHere && isStartUnsent(placement)) {
-      placement.startPushed = true;
+      placement.isStartPushed = true;
       addStart(push, machine, key, attempt);
     }
   }
@@ -44,9 +44,9 @@
   job: Job,
   placement: Placement,
 ): void {
-  if (placement.stopPushed || isStartUnsent(placement)) return;
-  placement.stopPushed = true;
-  const graceSeconds = job.cancelled ? 0 : (placement.evictionGraceSeconds ?? 0);
+  if (placement.isStopPushed || isStartUnsent(placement)) return;
+  placement.isStopPushed = true;
+  const graceSeconds = job.isCancelled ? 0 : (placement.evictionGraceSeconds ?? 0);
   commands.push(kill(key, attempt, graceSeconds));
 }
 
--- a/src/leader/reply-commands.ts
+++ b/src/leader/reply-commands.ts
@@ -50,7 +50,7 @@
       const isClear = !placement && this.clearance.mayClear(machine, status, ref, job);
       return isClear ? clear(task, attempt) : undefined;
     }
-    if (!placement || job?.cancelled) return kill(task, attempt, 0);
+    if (!placement || job?.isCancelled) return kill(task, attempt, 0);
     const { evictionGraceSeconds } = placement;
     return evictionGraceSeconds === undefined
       ? undefined
@@ -82,4 +82,4 @@
 
 /** An inherited placement is not started but queued again once its task is proven absent. */
 const isStartable = (job: Job, placement: Placement): boolean =>
-  !placement.inherited && isCommitted(job, placement);
+  !placement.isInherited && isCommitted(job, placement);
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -123,7 +123,7 @@
         jobClass: job.spec.jobClass,
         sinceSubmitMs: Math.round(clock.wall() - job.submittedAt),
         sincePlacedMs: Math.round(since(placement.placedAt, clock.steady())),
-        hadImage: placement.imageWasCached,
+        hadImage: placement.wasImageCached,
       },
       'running',
     );
@@ -137,5 +137,5 @@
  */
 const isUnwanted = (machine: Machine, job: Job, placement: Placement): boolean =>
   isToBeStopped(job, placement) ||
-  placement.inherited ||
+  placement.isInherited ||
   (machine.isDraining && isCommitted(job, placement));
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -157,7 +157,7 @@
         unreachableAt: this.contacts.unreachableAt,
         queue: () => this.scheduler.queue(),
         specOf: (id) => this.ledger.jobs.get(id)?.spec,
-        anticipatedWork: () => this.scheduler.anticipatedWork(),
+        anticipatedWork: () => this.scheduler.anticipatedSubmissions(),
         noteRemoved: (machine, reason) => this.machineLoss.remove(machine, reason),
       },
       { cloud, catalog, epoch: this.epoch, settings, operator, clock, random, log },
@@ -232,7 +232,7 @@
   /** Placements are committed: their starts may leave. */
   private pushStarts(job: Job): void {
     for (const placement of job.placements.values()) {
-      const isStartDue = !placement.isReported && !placement.startPushed;
+      const isStartDue = !placement.isReported && !placement.isStartPushed;
       if (isStartDue && placement.version <= job.committedVersion) {
         this.commands.schedulePush(placement.machine);
       }
--- a/src/ledger/batch.ts
+++ b/src/ledger/batch.ts
@@ -83,10 +83,10 @@
       finalState,
     });
     job.hasWriteInFlight = true;
-    job.terminalWriteInFlight =
+    job.hasTerminalWriteInFlight =
       job.isTerminalOutcomeUnknown ||
       finalState !== undefined ||
-      job.cancelled !== job.committedProgress.cancelled;
+      job.isCancelled !== job.committedProgress.isCancelled;
     job.writePriority = WritePriority.none;
     return true;
   }
--- a/src/ledger/codec.ts
+++ b/src/ledger/codec.ts
@@ -52,7 +52,7 @@
 function restoreJob(id: JobId, record: JobRecord, revision: Revision, now: SteadyMs): Job {
   const job = new Job(id, record.spec, record.submittedAt, revision);
   job.waiting.replaceWith(record.waiting);
-  job.cancelled = record.isCancelled;
+  job.isCancelled = record.isCancelled;
   job.boundZone = record.boundZone;
   job.nextAttempt = record.nextAttempt;
   for (const { from, to, attempt, machine } of record.placements) {
@@ -62,7 +62,7 @@
       }
       job.placements.set(
         index,
-        newPlacement({ machine, attempt, version: 0, inherited: true, placedAt: now }),
+        newPlacement({ machine, attempt, version: 0, isInherited: true, placedAt: now }),
       );
     }
   }
--- a/src/ledger/final-record.ts
+++ b/src/ledger/final-record.ts
@@ -29,7 +29,7 @@
   f: FORMAT_V1,
   s: final.status,
   n: final.taskCount,
-  d: final.done,
+  d: final.doneCount,
   [TEAM_FIELD]: final.team,
   why: final.reason,
 });
@@ -39,5 +39,5 @@
   const parsed = FinalRecord.safeParse(data);
   if (!parsed.success) throw new RecordError('unreadable final record', { cause: parsed.error });
   const { s: status, n: taskCount, d: done, [TEAM_FIELD]: team, why: reason } = parsed.data;
-  return { status, taskCount, done, team, reason };
+  return { status, taskCount, doneCount: done, team, reason };
 }
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -112,7 +112,7 @@
    */
   async cancel(id: JobId): Promise<StoredJob> {
     const found = await this.lookup(id);
-    if (found.kind !== 'live' || found.job.cancelled) return found;
+    if (found.kind !== 'live' || found.job.isCancelled) return found;
     const { job } = found;
     job.cancel();
     const conditions = [
--- a/src/ledger/job.ts
+++ b/src/ledger/job.ts
@@ -17,7 +17,7 @@
   /** The version of the job that made it: its start may be sent once that version is committed. */
   readonly version: number;
   /** Made by an earlier leader, which may have sent starts that this one does not know of. */
-  readonly inherited: boolean;
+  readonly isInherited: boolean;
   readonly placedAt: SteadyMs;
 }
 
@@ -28,15 +28,15 @@
   /** A heartbeat has shown it. */
   isReported: boolean;
   /** Its start was sent straight to the worker. */
-  startPushed: boolean;
+  isStartPushed: boolean;
   /** Its stop was sent straight to the worker. */
-  stopPushed: boolean;
+  isStopPushed: boolean;
   /** Set if it is to be stopped so that it can run elsewhere or later: the seconds that it has to save its state. */
   evictionGraceSeconds?: number;
   /** A heartbeat has shown it running. */
   hasRun?: boolean;
   /** Whether its image was thought to be on the machine when it was placed: for the log. */
-  imageWasCached?: boolean;
+  wasImageCached?: boolean;
 }
 
 /** A placement that nothing has been sent for and no heartbeat has shown. */
@@ -44,20 +44,20 @@
   machine: origin.machine,
   attempt: origin.attempt,
   version: origin.version,
-  inherited: origin.inherited,
+  isInherited: origin.isInherited,
   placedAt: origin.placedAt,
   isReported: false,
-  startPushed: false,
-  stopPushed: false,
+  isStartPushed: false,
+  isStopPushed: false,
 });
 
 /** What users are shown of a job: that of a version which is in the store. */
 export interface CommittedProgress {
-  readonly cancelled: boolean;
+  readonly isCancelled: boolean;
   /** How many tasks are done. */
-  readonly done: number;
+  readonly doneCount: number;
   /** How many tasks are placed. */
-  readonly running: number;
+  readonly placedCount: number;
 }
 
 /** What remains of a job for good. */
@@ -65,7 +65,7 @@
   readonly status: typeof JobStatus.done | typeof JobStatus.cancelled;
   readonly taskCount: number;
   /** How many tasks are done. */
-  readonly done: number;
+  readonly doneCount: number;
   readonly team: string;
   /** The reason of the status, for users. */
   readonly reason: string;
@@ -88,7 +88,7 @@
 export class Job {
   // --- what the record says ---------------------------------------------------------------------
 
-  cancelled = false;
+  isCancelled = false;
   /** Indexes of the tasks that wait to be placed. */
   readonly waiting: IndexRanges;
   /** Placed tasks by index. */
@@ -107,7 +107,7 @@
   /** The revision of the record in the store; 0 if there is none. The next write replaces just this one. */
   revision: Revision;
   /** The progress at the version that is in the store. */
-  committedProgress: CommittedProgress = { cancelled: false, done: 0, running: 0 };
+  committedProgress: CommittedProgress = { isCancelled: false, doneCount: 0, placedCount: 0 };
 
   // --- writing ----------------------------------------------------------------------------------
 
@@ -116,7 +116,7 @@
   /** A transaction with its record is under way, or its outcome is being found out. */
   hasWriteInFlight = false;
   /** The write under way makes it cancelled or final: others may already read that in the store. */
-  terminalWriteInFlight = false;
+  hasTerminalWriteInFlight = false;
   /**
    * A write that makes it cancelled or final was not answered: it may be carried out at any time, until a later
    * write of the record is.
@@ -160,7 +160,7 @@
 
   /** No task waits or may run, so it can be moved to its final record. */
   get isSettled(): boolean {
-    return this.placements.size === 0 && (this.cancelled || this.waiting.size === 0);
+    return this.placements.size === 0 && (this.isCancelled || this.waiting.size === 0);
   }
 
   /** Tasks that are not done below the highest placed one: they decide how large its record is. */
@@ -192,7 +192,7 @@
       if (!this.waiting.remove(index)) throw new Error(`${this.id}/${index} is not waiting`);
       this.placements.set(
         index,
-        newPlacement({ machine, attempt, version, inherited: false, placedAt: now }),
+        newPlacement({ machine, attempt, version, isInherited: false, placedAt: now }),
       );
     }
   }
@@ -201,7 +201,7 @@
   requeue(index: number): void {
     if (!this.placements.delete(index)) return;
     this.waiting.add(index);
-    this.markChanged(this.cancelled ? WritePriority.completion : WritePriority.progress);
+    this.markChanged(this.isCancelled ? WritePriority.completion : WritePriority.progress);
   }
 
   /** The task is done, wherever it was thought to be. */
@@ -215,8 +215,8 @@
   }
 
   cancel(): void {
-    if (this.cancelled) return;
-    this.cancelled = true;
+    if (this.isCancelled) return;
+    this.isCancelled = true;
     this.markChanged(WritePriority.admission);
   }
 
@@ -232,7 +232,7 @@
     this.nextAttempt = Attempt(Math.max(this.nextAttempt, before.nextAttempt));
     for (const [index, { machine, attempt }] of this.placements) {
       const known = before.placements.get(index);
-      if (known?.machine === machine && known.attempt === attempt && !known.inherited) {
+      if (known?.machine === machine && known.attempt === attempt && !known.isInherited) {
         this.placements.set(index, { ...known, version: this.committedVersion });
       }
     }
@@ -244,24 +244,28 @@
 
   /** How far it is in memory; users are shown `committedProgress`. */
   progress(): CommittedProgress {
-    return { cancelled: this.cancelled, done: this.doneCount, running: this.placements.size };
+    return {
+      isCancelled: this.isCancelled,
+      doneCount: this.doneCount,
+      placedCount: this.placements.size,
+    };
   }
 
   /** What remains of it once it is settled. */
   finalState(): FinalState {
     return {
-      status: this.cancelled ? JobStatus.cancelled : JobStatus.done,
+      status: this.isCancelled ? JobStatus.cancelled : JobStatus.done,
       taskCount: this.spec.taskCount,
-      done: this.doneCount,
+      doneCount: this.doneCount,
       team: this.spec.team,
-      reason: this.cancelled ? 'cancelled by its user' : 'all tasks done',
+      reason: this.isCancelled ? 'cancelled by its user' : 'all tasks done',
     };
   }
 }
 
 /** The status of a job with `taskCount` tasks that has got so far. */
 export function statusOf(progress: CommittedProgress, taskCount: number): JobStatus {
-  if (progress.cancelled) return JobStatus.cancelled;
-  if (progress.done >= taskCount) return JobStatus.done;
-  return progress.running > 0 ? JobStatus.running : JobStatus.pending;
+  if (progress.isCancelled) return JobStatus.cancelled;
+  if (progress.doneCount >= taskCount) return JobStatus.done;
+  return progress.placedCount > 0 ? JobStatus.running : JobStatus.pending;
 }
--- a/src/ledger/queue-order.ts
+++ b/src/ledger/queue-order.ts
@@ -68,9 +68,9 @@
 /** The deadline that a job is placed by. */
 export interface Deadline {
   /** Milliseconds since 1970. */
-  readonly due: number;
+  readonly dueAt: number;
   /** It can't be met any more. */
-  readonly late: boolean;
+  readonly isLate: boolean;
 }
 
 /**
@@ -86,8 +86,8 @@
   const deadlines = deadlinesOf(job, objectives);
   const next = deadlines.find((deadline) => now + runtime <= deadline);
   return next === undefined
-    ? { due: deadlines.at(-1) ?? now, late: true }
-    : { due: next, late: false };
+    ? { dueAt: deadlines.at(-1) ?? now, isLate: true }
+    : { dueAt: next, isLate: false };
 }
 
 /** For `Array.sort`: the entry to be placed first comes first. Ids decide between equals, so that the order is fixed. */
@@ -124,7 +124,7 @@
     };
   }
   const runtime = ms(job.spec.expectedRuntimeSeconds * 1000);
-  const { due, late } = nextDeadline(job, objectives, wall, runtime);
+  const { dueAt: due, isLate: late } = nextDeadline(job, objectives, wall, runtime);
   return {
     rank: PRIORITY_RANK[job.spec.priority],
     isLate: late,
--- a/src/ledger/record-outcomes.ts
+++ b/src/ledger/record-outcomes.ts
@@ -30,7 +30,7 @@
     const { queue, waiters, events } = this.options;
     const { job } = record;
     job.hasWriteInFlight = false;
-    job.terminalWriteInFlight = false;
+    job.hasTerminalWriteInFlight = false;
     job.isTerminalOutcomeUnknown = false;
     job.isCreationOutcomeUnknown = false;
     job.revision = revision;
@@ -57,7 +57,7 @@
   notCommitted({ job, writePriority }: PendingRecord): void {
     const { table, queue, waiters, events } = this.options;
     job.hasWriteInFlight = false;
-    job.terminalWriteInFlight = job.isTerminalOutcomeUnknown;
+    job.hasTerminalWriteInFlight = job.isTerminalOutcomeUnknown;
     // A creation that was certainly not carried out is the user's to repeat.
     if (job.revision === 0 && !job.isCreationOutcomeUnknown && !waiters.has(job.id)) {
       queue.untrack(job);
--- a/src/ledger/record.ts
+++ b/src/ledger/record.ts
@@ -47,7 +47,7 @@
 export const recordOf = (job: Job, epoch: Epoch): JobRecord => ({
   spec: job.spec,
   submittedAt: job.submittedAt,
-  isCancelled: job.cancelled,
+  isCancelled: job.isCancelled,
   boundZone: job.boundZone,
   nextAttempt: job.nextAttempt,
   doneCount: job.doneCount,
--- a/src/ledger/store-keys.ts
+++ b/src/ledger/store-keys.ts
@@ -29,12 +29,12 @@
 export interface NoticeContents {
   readonly id: JobId;
   /** The job is to be cancelled; otherwise another node has created it. */
-  readonly cancels: boolean;
+  readonly isCancellation: boolean;
 }
 
 /** What the notice with this key says; its value is empty. */
 export function parseNoticeKey(key: string): NoticeContents {
   const cancels = key.endsWith(CANCELLATION_SUFFIX);
   const end = cancels ? -CANCELLATION_SUFFIX.length : undefined;
-  return { id: JobId(key.slice(NOTICE_PREFIX.length, end)), cancels };
+  return { id: JobId(key.slice(NOTICE_PREFIX.length, end)), isCancellation: cancels };
 }
--- a/src/ledger/transaction-writer.ts
+++ b/src/ledger/transaction-writer.ts
@@ -109,7 +109,7 @@
     for (const { job, version } of batch.records) {
       if (job.revision === 0) job.isCreationOutcomeUnknown = true;
       // It may still be carried out, and others read the job's end in the store, until a later write is.
-      if (job.terminalWriteInFlight) job.isTerminalOutcomeUnknown = true;
+      if (job.hasTerminalWriteInFlight) job.isTerminalOutcomeUnknown = true;
       // Those who wait are answered now: it may take long to find out the outcome.
       waiters.settle(job.id, version, false);
     }
--- a/test/unit/attempt-clearance.test.ts
+++ b/test/unit/attempt-clearance.test.ts
@@ -27,7 +27,7 @@
 const finalState = (status: FinalState['status'], team: string): FinalState => ({
   status,
   taskCount: 1,
-  done: 1,
+  doneCount: 1,
   team,
   reason: '',
 });
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -129,12 +129,12 @@
     ['sent in a reply', true, ({ placement }) => (placement.sentInReplyTo = heartbeat), []],
     ['reported', true, ({ placement }) => (placement.isReported = true), []],
     ['the machine is draining', true, (_, machine) => (machine.isReturning = true), []],
-    ['cancelled, not sent', true, ({ job }) => (job.cancelled = true), []],
+    ['cancelled, not sent', true, ({ job }) => (job.isCancelled = true), []],
     [
       'cancelled, sent in a reply',
       false,
       ({ job, placement }) => {
-        job.cancelled = true;
+        job.isCancelled = true;
         placement.sentInReplyTo = heartbeat;
       },
       ['kill 0'],
@@ -154,7 +154,7 @@
       ({ job, placement }) => {
         placement.evictionGraceSeconds = 7;
         placement.isReported = true;
-        job.cancelled = true;
+        job.isCancelled = true;
       },
       ['kill 0'],
     ],
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -83,9 +83,9 @@
     unacknowledged: readonly string[],
     isProven: boolean,
   ];
-  const unsent = { inherited: false };
-  const sent = { inherited: false, sentInReplyTo: { session: 1, sequence: 9 } };
-  const inherited = { inherited: true };
+  const unsent = { isInherited: false };
+  const sent = { isInherited: false, sentInReplyTo: { session: 1, sequence: 9 } };
+  const inherited = { isInherited: true };
   const heartbeat = 'heartbeat';
   const cases: Case[] = [
     ['never sent', {}, heartbeat, unsent, none, true],
--- a/test/unit/live-records.test.ts
+++ b/test/unit/live-records.test.ts
@@ -35,7 +35,7 @@
       );
       assert.deepEqual(restored.waiting.list(), job.waiting.list());
       assert.equal(restored.doneCount, job.doneCount);
-      assert.equal(restored.cancelled, job.cancelled);
+      assert.equal(restored.isCancelled, job.isCancelled);
       assert.equal(restored.nextAttempt, job.nextAttempt);
       assert.deepEqual(placedTasks(restored), placedTasks(job));
     }),
@@ -75,7 +75,7 @@
   const usedVersion = ours.version;
   late.inheritFrom(ours);
   const kept = late.placements.get(0);
-  assert.deepEqual([kept?.sentInReplyTo, kept?.inherited], [{ session: 1, sequence: 9 }, false]);
+  assert.deepEqual([kept?.sentInReplyTo, kept?.isInherited], [{ session: 1, sequence: 9 }, false]);
   assert.equal(late.placements.has(1), false);
   assert.ok(late.version > usedVersion && late.committedVersion === late.version);
   late.placeTasks([{ index: 1, machine }], now);
--- a/test/unit/lost-machines.test.ts
+++ b/test/unit/lost-machines.test.ts
@@ -17,7 +17,7 @@
   const kind = { machineType: 'small', zone: 'a', spot: true };
   const machine = new Machine(MachineId(id), kind, 20, at(1000));
   machine.isUp = second !== undefined;
-  machine.lastHeardAt = second === undefined ? undefined : at(second);
+  machine.lastStatusAt = second === undefined ? undefined : at(second);
   machine.listedRunningSince = at(0);
   return Object.assign(machine, change);
 }
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -50,7 +50,7 @@
 const contents = (job: Job): unknown => ({
   spec: job.spec,
   submittedAt: job.submittedAt,
-  isCancelled: job.cancelled,
+  isCancelled: job.isCancelled,
   zone: job.boundZone,
   nextAttempt: job.nextAttempt,
   waiting: job.waiting.list(),
--- a/test/unit/remaining-quotas.test.ts
+++ b/test/unit/remaining-quotas.test.ts
@@ -31,7 +31,7 @@
 const finished: FinalState = {
   status: 'done',
   taskCount: 1,
-  done: 1,
+  doneCount: 1,
   team: 'vision',
   reason: 'all tasks done',
 };
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -118,7 +118,13 @@
 
 void test('a follower without a leader: a late answer of the store is given only if it is final', async () => {
   const job = new Job(JOB, spec({}), WallMs(0), Revision(5));
-  const final: FinalState = { status: 'done', taskCount: 4, done: 4, team: 'vision', reason: '' };
+  const final: FinalState = {
+    status: 'done',
+    taskCount: 4,
+    doneCount: 4,
+    team: 'vision',
+    reason: '',
+  };
   const cases: [name: string, stored: StoredJob, took: number, status: number][] = [
     ['a live job, at once', { kind: 'live', job }, 100, 200],
     ['a live job, late: it may be cancelled by now', { kind: 'live', job }, 400, 503],
