--- a/test/unit/queue-order.test.ts
+++ b/test/unit/queue-order.test.ts
@@ -48,10 +48,10 @@
     ['that is for gangs only', { deadlineSeconds: null }, [wait], 0, 600_000, false],
     ['an unknown kind', { deadlineSeconds: null }, [objective({ kind: 'x' })], 0, 600_000, false],
   ];
-  for (const [name, change, objectives, now, due, late] of cases) {
+  for (const [name, change, objectives, now, dueAt, isLate] of cases) {
     const job = jobOf(change);
     const runtime = ms(10_000);
-    assert.deepEqual(nextDeadline(job, objectives, WallMs(now), runtime), { due, late }, name);
+    assert.deepEqual(nextDeadline(job, objectives, WallMs(now), runtime), { dueAt, isLate }, name);
   }
 });
 
