--- a/eslint.config.js
+++ b/eslint.config.js
@@ -210,7 +210,6 @@
   ['src/net/http.ts', 'max-lines-per-function', 63, '`send`: listeners that share the state of one request'],
   ['src/node.ts', 'max-lines-per-function', 61, 'the constructor makes the parts of a node in their order'],
   ['src/placer/fill.ts', 'complexity', 15, '`fillGang`: zones and halves are tried in one search'],
-  ['src/store/client.ts', 'complexity', 15, '`multi`: the outcomes of a transaction, by status'],
   ['test/standin/day.ts', 'complexity', 64, '`badDay`: the mishaps of a day, one condition each; its order of draws fixes the seeds'],
   ['test/standin/day.ts', 'max-lines-per-function', 168, '`badDay`: as its complexity'],
   ['test/standin/state.ts', 'complexity', 16, '`multi`, `handle`: the answers of the service, one branch each'],
--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -18,7 +18,7 @@
 } from '../fleet/resources.js';
 import { isGang } from '../ledger/job.js';
 import { nextDeadline, isUrgent, type QueueEntry } from '../ledger/queue.js';
-import { Backoff } from '../store/budget.js';
+import { Backoff } from '../store/backoff.js';
 import type { SteadyMs } from '../units/index.js';
 import {
   MachineId,
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,5 +1,5 @@
 import type { HttpClient, Outcome, Request } from '../net/http.js';
-import { TokenBucket } from '../store/budget.js';
+import { TokenBucket } from '../store/token-bucket.js';
 import { MachineId, ms, type Clock, type DurationMs, type Endpoint } from '../units/index.js';
 import {
   decodeMachinePage,
@@ -66,7 +66,7 @@
       path: '/machines',
       body: encodeScaleOutRequest(request),
     });
-    if (o.kind !== 'answer') return { kind: 'retry', why: o.why };
+    if (o.kind !== 'answer') return { kind: 'retry', why: o.reason };
     if (o.status === 200) {
       const machines = decodeScaleOutResponse(o.body);
       if (machines) return { kind: 'rented', machines: machines.map(MachineId) };
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -59,14 +59,14 @@
     private readonly environment: ControllerEnvironment,
   ) {
     const { clock, random, http, log } = environment;
-    this.store = new StoreClient(
+    this.store = new StoreClient({
       http,
-      settings.storeEndpoint,
+      endpoint: settings.storeEndpoint,
       clock,
       random,
-      settings.state,
-      settings.nodes,
-    );
+      limits: settings.state,
+      nodeCount: settings.nodes,
+    });
     const recordLimits = new RecordLimits(settings.state, () => {
       log.info('the state service has lowered its limits');
       this.store.lowerRates();
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -164,7 +164,7 @@
   private async followOrAcquire(): Promise<void> {
     // Listed rather than read, since a list says at which revision: the key's own may be older than
     // what the store keeps of its history, and a watch from there would be refused at once, for ever.
-    const listed = await this.store.list(LEADER_KEY, CALL_TIMEOUT, true);
+    const listed = await this.store.list(LEADER_KEY, CALL_TIMEOUT, { urgent: true });
     if (!listed) {
       await sleep(this.clock, ms(RETRY_PAUSE * (0.5 + this.random())));
       return;
@@ -208,7 +208,7 @@
       nudged,
     ]);
     this.wakeWatch = undefined;
-    if (change === undefined || change === 'stale')
+    if (change === 'failed' || change === 'stale')
       await sleep(this.clock, ms(RETRY_PAUSE * (0.5 + this.random())));
   }
 
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -161,7 +161,7 @@
   async start(): Promise<void> {
     for (;;) {
       if (this.closed) return;
-      const listed = await this.deps.store.list(LIVE_PREFIX, STORE_TIMEOUT, true);
+      const listed = await this.deps.store.list(LIVE_PREFIX, STORE_TIMEOUT, { urgent: true });
       if (this.closed) return;
       if (!listed) {
         await sleep(this.deps.clock, ms(300));
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -157,6 +157,6 @@
 
   /** Waits for a further notice; false if that could not be done. */
   async watchNotices(from: Revision): Promise<boolean> {
-    return (await this.store.watch(NOTICE_PREFIX, from, WATCH_TIMEOUT)) !== undefined;
+    return (await this.store.watch(NOTICE_PREFIX, from, WATCH_TIMEOUT)) !== 'failed';
   }
 }
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -1,7 +1,8 @@
 import { Mutex } from 'async-mutex';
 import type { Logger } from 'pino';
-import type { CommitResult, StoreClient } from '../store/client.js';
-import { Backoff } from '../store/budget.js';
+import type { StoreClient } from '../store/client.js';
+import type { CommitResult } from '../store/results.js';
+import { Backoff } from '../store/backoff.js';
 import {
   later,
   ms,
@@ -262,15 +263,15 @@
 
   private assemble(): Batch | undefined {
     const due = this.due(this.clock.steady());
-    const room = this.store.writeRoom();
+    const available = this.store.availableWrites();
     const batch = new BatchBuilder(
       this.epoch,
       this.limits,
-      Math.min(this.limits.transactionOps, room.writes),
+      Math.min(this.limits.transactionOps, available.count),
     );
     for (const job of due) {
       const isSpare = job.writePriority >= WritePriority.progress;
-      if (isSpare && room.share < PROGRESS_MIN_SHARE) {
+      if (isSpare && available.share < PROGRESS_MIN_SHARE) {
         this.retryAfter(ms(500));
         break;
       }
@@ -300,7 +301,7 @@
     try {
       result = await this.store.transact(batch.conditions, batch.writes, TRANSACTION_TIMEOUT);
     } catch (e) {
-      result = { kind: 'unknown', why: (e as Error).message };
+      result = { kind: 'unknown', reason: (e as Error).message };
     }
     if (this.closed) return;
     if (result.kind !== 'committed')
@@ -330,7 +331,10 @@
         return;
       }
       case 'unknown':
-        this.log.warn({ why: result.why, jobs: batch.records.length }, 'commit outcome unknown');
+        this.log.warn(
+          { reason: result.reason, jobs: batch.records.length },
+          'commit outcome unknown',
+        );
         this.backoff.noteFailure();
         for (const s of batch.records) {
           if (s.job.revision === 0) s.job.creationOutcomeUnknown = true;
@@ -346,7 +350,7 @@
         return;
       case 'leaseExpired':
       case 'refused':
-        this.log.info({ why: result.kind === 'refused' ? result.why : '' }, 'commit refused');
+        this.log.info({ reason: result.kind === 'refused' ? result.reason : '' }, 'commit refused');
         this.backoff.noteFailure();
         for (const s of batch.records) {
           this.resolveWaiters(s.job.id, s.version, false);
--- a/src/net/http.ts
+++ b/src/net/http.ts
@@ -23,8 +23,8 @@
  */
 export type Outcome =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
-  | { readonly kind: 'undelivered'; readonly why: string }
-  | { readonly kind: 'unknown'; readonly why: string };
+  | { readonly kind: 'undelivered'; readonly reason: string }
+  | { readonly kind: 'unknown'; readonly reason: string };
 
 export interface HttpClient {
   send(request: Request): Promise<Outcome>;
@@ -117,7 +117,7 @@
     const lane = request.lane ?? 'worker';
     const toWorker = lane === 'worker';
     if (toWorker && !this.roomFor(request.endpoint)) {
-      return Promise.resolve({ kind: 'undelivered', why: 'no socket is free' });
+      return Promise.resolve({ kind: 'undelivered', reason: 'no socket is free' });
     }
     if (toWorker) this.inFlight++;
     return new Promise((resolve) => {
@@ -131,8 +131,8 @@
         clearTimeout(timer);
         resolve(outcome);
       };
-      const lost = (why: string): void =>
-        settle(connected ? { kind: 'unknown', why } : { kind: 'undelivered', why });
+      const lost = (reason: string): void =>
+        settle(connected ? { kind: 'unknown', reason } : { kind: 'undelivered', reason });
       const bytes = request.body === undefined ? undefined : encode(request.body);
       const req = http.request({
         host: request.endpoint.slice(0, cut),
--- a/src/relay/worker-call.ts
+++ b/src/relay/worker-call.ts
@@ -33,7 +33,7 @@
   return {
     type: 'commandResult',
     outcome: OUTCOMES[outcome.kind],
-    reason: outcome.kind === 'answer' ? '' : outcome.why,
+    reason: outcome.kind === 'answer' ? '' : outcome.reason,
     heartbeat: outcome.kind === 'answer' ? (decodeHeartbeat(outcome.body) ?? null) : null,
   };
 }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,8 +1,7 @@
+/** The client of the state service: reads, compare-and-swap, leases and watches. */
 import type { HttpClient, Outcome, Request } from '../net/http.js';
-import { TokenBucket } from './budget.js';
 import {
   Revision,
-  later,
   ms,
   type Clock,
   type DurationMs,
@@ -22,88 +21,55 @@
   type Condition,
   type Write,
 } from '../wire/index.js';
-
-export type ReadResult =
-  | { kind: 'found'; data: unknown; revision: Revision; leaseId: number | undefined }
-  | { kind: 'absent' }
-  | { kind: 'failed'; why: string };
-
-/** `refused`: surely not carried out. `unknown`: reread before believing anything. */
-export type CommitResult =
-  | { kind: 'committed'; revision: Revision }
-  | { kind: 'conflict'; failed: readonly string[] }
-  | { kind: 'leaseExpired' }
-  /** Not carried out, and never will be as it is: it exceeds the limits of the state service. */
-  | { kind: 'tooLarge' }
-  | { kind: 'refused'; why: string }
-  | { kind: 'unknown'; why: string };
-
-export interface ListResult {
-  readonly items: readonly { key: string; data: unknown; revision: Revision }[];
-  readonly revision: Revision;
-}
-
-export interface Changes {
-  readonly revision: Revision;
-  readonly keys: readonly string[];
-}
-
-export interface StoreRates {
-  readonly requestRate: number;
-  readonly writeRate: number;
-}
-
-export interface StoreLimits extends StoreRates {
-  /** The rates from a moment on that shows only by the answers. */
-  readonly next?: StoreRates | undefined;
-}
-
-/** What a node does decides its share of the store's rates. */
-export type Role = 'leading' | 'following' | 'leaderless';
-
-/**
- * The leader writes nearly everything. Followers read for users whom the leader does not answer, and
- * take a job in now and then. While there is no leader, all are alike.
- */
-const RATE_SHARES: Record<Role, { requests: number; writes: number }> = {
-  leading: { requests: 0.5, writes: 0.85 },
-  following: { requests: 0.45, writes: 0.12 },
-  leaderless: { requests: 0.95, writes: 0.95 },
-};
-
+import { CallQueue } from './call-queue.js';
+import { RateBudget, type Role, type StoreRateLimits } from './rate-budget.js';
+import type {
+  CommitResult,
+  ListResult,
+  ReadResult,
+  RenewalResult,
+  WatchResult,
+} from './results.js';
+
+/** Small, so that a process with little processor time does its other work, above all its lease, between pages. */
 const PAGE_SIZE = 40;
+/** How much longer than the watch itself its answer may take. */
+const WATCH_MARGIN_MS = 3000;
+
+/** How a call leaves. */
+export interface CallOptions {
+  /** Leaves at once, whatever the budget holds, on connections of its own: for leases and the rebuild. */
+  readonly urgent?: boolean;
+  /** How long the call may wait for its turn; without it, as long as it takes. */
+  readonly patience?: DurationMs;
+}
 
-interface QueuedCall {
-  readonly writes: number;
-  readonly until: SteadyMs;
-  readonly resolve: (turn: boolean) => void;
+/** What a `StoreClient` works with. */
+export interface StoreClientOptions {
+  readonly http: HttpClient;
+  readonly endpoint: Endpoint;
+  readonly clock: Clock;
+  readonly random: Random;
+  readonly limits: StoreRateLimits;
+  /** How many controllers share the rates. */
+  readonly nodeCount: number;
 }
 
-/**
- * The state service. Requests and writes leave under token buckets: all nodes share its rates, and
- * what it turns away with 429 would cost as much as what it carries out.
- */
+/** The state service, called within this node's share of its rates. */
 export class StoreClient {
-  private rates: StoreRates;
-  private requests: TokenBucket;
-  private writes: TokenBucket;
-  private role: Role = 'leaderless';
+  private readonly http: HttpClient;
+  private readonly endpoint: Endpoint;
+  private readonly clock: Clock;
+  private readonly budget: RateBudget;
+  private readonly queue: CallQueue;
   private lastServedAt: SteadyMs;
-  /** Calls that wait for their turn under the budgets, in the order in which they came. */
-  private queue: QueuedCall[] = [];
-  private draining = false;
 
-  constructor(
-    private readonly http: HttpClient,
-    private readonly endpoint: Endpoint,
-    private readonly clock: Clock,
-    private readonly random: Random,
-    private readonly limits: StoreLimits,
-    private readonly nodes: number,
-  ) {
-    this.rates = limits;
-    this.requests = this.newBucket(limits.requestRate, 'requests');
-    this.writes = this.newBucket(limits.writeRate, 'writes');
+  constructor({ http, endpoint, clock, random, limits, nodeCount }: StoreClientOptions) {
+    this.http = http;
+    this.endpoint = endpoint;
+    this.clock = clock;
+    this.budget = new RateBudget(clock, limits, nodeCount);
+    this.queue = new CallQueue(this.budget, clock, random);
     this.lastServedAt = clock.steady();
   }
 
@@ -112,159 +78,78 @@
     return this.lastServedAt;
   }
 
-  private newBucket(rate: number, what: 'requests' | 'writes'): TokenBucket {
-    const alike =
-      this.role === 'leading' ? 1 : this.role === 'following' ? this.nodes - 1 : this.nodes;
-    const share = this.nodes === 1 ? 0.95 : RATE_SHARES[this.role][what] / Math.max(1, alike);
-    // Whoever has the smallest share may still need a handful at once.
-    return new TokenBucket(this.clock, rate * share, Math.max(4, rate * share));
-  }
-
-  /** Who writes most changes with leadership, and so do the shares of the rates. */
+  /** Adapts this node's share of the rates to what it does. */
   setRole(role: Role): void {
-    if (role === this.role) return;
-    this.role = role;
-    this.requests = this.newBucket(this.rates.requestRate, 'requests');
-    this.writes = this.newBucket(this.rates.writeRate, 'writes');
+    this.budget.setRole(role);
   }
 
-  /** From now on the rates to come are kept, where they are the lower ones. */
+  /** From now on the announced rates are kept, where they are the lower ones. */
   lowerRates(): void {
-    const { next } = this.limits;
-    if (
-      !next ||
-      (next.requestRate >= this.rates.requestRate && next.writeRate >= this.rates.writeRate)
-    )
-      return;
-    this.rates = {
-      requestRate: Math.min(next.requestRate, this.rates.requestRate),
-      writeRate: Math.min(next.writeRate, this.rates.writeRate),
-    };
-    this.requests = this.newBucket(this.rates.requestRate, 'requests');
-    this.writes = this.newBucket(this.rates.writeRate, 'writes');
+    this.budget.lowerRates();
   }
 
-  /** Waits for its turn; false, at once, if that would not come within `patience`. */
-  private waitForTurn(writes: number, patience: DurationMs): Promise<boolean> {
-    if (this.queue.length === 0 && this.tryTake(writes)) return Promise.resolve(true);
-    const until = later(this.clock.steady(), patience);
-    if (this.expectedWait() > patience) return Promise.resolve(false);
-    return new Promise((resolve) => {
-      this.queue.push({ writes, until, resolve });
-      this.drainQueue();
-    });
+  /** About when `count` more writes will have left, in as many transactions as they take. */
+  writeBacklog(count: number): DurationMs {
+    return this.budget.writeBacklog(count);
   }
 
-  private tryTake(writes: number): boolean {
-    if (this.writes.waitFor(writes) > 0 || !this.requests.tryTake(1)) return false;
-    this.writes.forceTake(writes);
-    return true;
+  /** How long a transaction of `count` writes would have to wait for its turn. */
+  writeWait(count: number): DurationMs {
+    return this.budget.waitFor(count);
   }
 
-  private expectedWait(): DurationMs {
-    return this.requests.backlog(this.queue.length + 1);
-  }
-
-  /** First come, first served, but what waits for writes holds up nobody who only reads. */
-  private drainQueue(): void {
-    if (this.draining) return;
-    const now = this.clock.steady();
-    let pause = Infinity;
-    const rest: QueuedCall[] = [];
-    for (const w of this.queue) {
-      // Whoever asked has been told to come back by now: the answer would be for nobody.
-      if (now > w.until) w.resolve(false);
-      else if (this.tryTake(w.writes)) w.resolve(true);
-      else {
-        rest.push(w);
-        pause = Math.min(pause, Math.max(this.requests.waitFor(1), this.writes.waitFor(w.writes)));
-      }
-    }
-    this.queue = rest;
-    if (rest.length === 0) return;
-    this.draining = true;
-    this.clock.after(ms(Math.max(1, pause) + this.random() * 5), () => {
-      this.draining = false;
-      this.drainQueue();
-    });
+  /** How many writes may leave now, and which share of a full burst they are. */
+  availableWrites(): { readonly count: number; readonly share: number } {
+    return this.budget.availableWrites();
   }
 
   private async send(
     request: Omit<Request, 'endpoint' | 'lane'>,
-    opts: { urgent?: boolean; writes?: number; patience?: DurationMs } = {},
+    options: CallOptions = {},
+    writes = 0,
   ): Promise<Outcome> {
-    const writes = opts.writes ?? 0;
-    if (opts.urgent) {
-      this.requests.forceTake(1);
-      this.writes.forceTake(writes);
-    } else if (!(await this.waitForTurn(writes, opts.patience ?? ms(Infinity)))) {
-      return { kind: 'undelivered', why: 'no turn in time' };
+    const { urgent = false, patience = ms(Infinity) } = options;
+    if (urgent) this.budget.forceTake(writes);
+    else if (!(await this.queue.waitForTurn(writes, patience))) {
+      return { kind: 'undelivered', reason: 'no turn in time' };
     }
     const outcome = await this.http.send({
       ...request,
-      lane: opts.urgent ? 'lease' : 'store',
+      lane: urgent ? 'lease' : 'store',
       endpoint: this.endpoint,
     });
-    if (outcome.kind === 'answer' && outcome.status !== 503)
-      this.lastServedAt = this.clock.steady();
-    if (outcome.kind === 'answer' && outcome.status === 429) {
-      this.lowerRates();
-      this.requests.drain();
-      if (writes > 0) this.writes.drain();
-    }
+    if (outcome.kind !== 'answer') return outcome;
+    if (outcome.status !== 503) this.lastServedAt = this.clock.steady();
+    if (outcome.status === 429) this.budget.noteThrottled(writes);
     return outcome;
   }
 
-  /** About when `n` more writes will have left, in as many transactions as they take. */
-  writeBacklog(n: number): DurationMs {
-    return this.writes.backlog(n);
-  }
-
-  /** How long a transaction of `n` writes would have to wait for its turn. */
-  writeWait(n: number): DurationMs {
-    return ms(Math.max(this.writes.waitFor(n), this.requests.waitFor(1)));
-  }
-
-  /** Writes that may leave now, and the share of a full burst that they are. */
-  writeRoom(): { writes: number; share: number } {
-    const { tokens, burst } = this.writes.level();
-    return { writes: Math.floor(tokens), share: tokens / burst };
-  }
-
-  /** How many writes a second this node may make in the long run. */
-  get writeRate(): number {
-    return this.writes.rate;
-  }
-
-  /** `patience`: how long it may wait for its turn under the budgets. */
-  async get(
-    key: string,
-    timeout: DurationMs,
-    opts: { urgent?: boolean; patience?: DurationMs } = {},
-  ): Promise<ReadResult> {
-    const o = await this.send({ method: 'GET', path: `/store/${key}`, timeout }, opts);
-    if (o.kind !== 'answer') return { kind: 'failed', why: o.why };
-    if (o.status === 404) return { kind: 'absent' };
-    const value = o.status === 200 ? decodeStoredValue(o.body) : undefined;
-    if (!value) return { kind: 'failed', why: `status ${o.status}` };
+  /** Reads one key. */
+  async get(key: string, timeout: DurationMs, options: CallOptions = {}): Promise<ReadResult> {
+    const outcome = await this.send({ method: 'GET', path: `/store/${key}`, timeout }, options);
+    if (outcome.kind !== 'answer') return { kind: 'failed', reason: outcome.reason };
+    if (outcome.status === 404) return { kind: 'absent' };
+    const value = outcome.status === 200 ? decodeStoredValue(outcome.body) : undefined;
+    if (!value) return { kind: 'failed', reason: `status ${outcome.status}` };
     const { data, leaseId } = value;
     return { kind: 'found', data, revision: Revision(value.revision), leaseId };
   }
 
-  /**
-   * Every key under a prefix, page by page; undefined if a page could not be had. Pages are small, so that
-   * a process with little processor time gets to its other work, above all its lease, between them.
-   */
-  async list(prefix: string, timeout: DurationMs, urgent = false): Promise<ListResult | undefined> {
-    const items: { key: string; data: unknown; revision: Revision }[] = [];
+  /** Reads every key under a prefix, page by page; undefined if a page could not be read. */
+  async list(
+    prefix: string,
+    timeout: DurationMs,
+    options: CallOptions = {},
+  ): Promise<ListResult | undefined> {
+    const items: ListResult['items'][number][] = [];
     let from: string | undefined;
     for (;;) {
       // Keys hold no character that a query would have to escape.
       const after = from === undefined ? '' : `&from=${from}`;
       const path = `/store?starts=${prefix}${after}&limit=${PAGE_SIZE}`;
-      const o = await this.send({ method: 'GET', path, timeout }, { urgent });
-      if (o.kind !== 'answer' || o.status !== 200) return undefined;
-      const page = decodeValuePage(o.body);
+      const outcome = await this.send({ method: 'GET', path, timeout }, options);
+      if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
+      const page = decodeValuePage(outcome.body);
       if (!page) return undefined;
       for (const { key, data, revision } of page.values) {
         items.push({ key, data, revision: Revision(revision) });
@@ -275,74 +160,86 @@
     }
   }
 
+  /** Applies all writes if all conditions hold, otherwise none. */
   async transact(
     conditions: readonly Condition[],
     writes: readonly Write[],
     timeout: DurationMs,
-    opts: { urgent?: boolean; patience?: DurationMs } = {},
+    options: CallOptions = {},
   ): Promise<CommitResult> {
-    const o = await this.send(
-      { method: 'POST', path: '/multi', body: encodeTransaction(conditions, writes), timeout },
-      { ...opts, writes: writes.length },
+    const body = encodeTransaction(conditions, writes);
+    const outcome = await this.send(
+      { method: 'POST', path: '/multi', body, timeout },
+      options,
+      writes.length,
     );
-    if (o.kind === 'unknown') return { kind: 'unknown', why: o.why };
-    if (o.kind === 'undelivered') return { kind: 'refused', why: o.why };
-    if (o.status === 200) {
-      const revision = decodeCommitted(o.body);
-      if (revision !== undefined) return { kind: 'committed', revision: Revision(revision) };
-      return { kind: 'unknown', why: 'unreadable answer' };
-    }
-    if (o.status === 409) {
-      return { kind: 'conflict', failed: decodeConflict(o.body) ?? [] };
-    }
-    const error = (o.body as { error?: unknown } | undefined)?.error;
-    if (o.status === 400 && error === 'no such lease') return { kind: 'leaseExpired' };
-    if (o.status === 400) return { kind: 'tooLarge' };
-    if (o.status === 503 || o.status === 429) {
-      return {
-        kind: 'refused',
-        why: `status ${o.status} ${typeof error === 'string' ? error : ''}`,
-      };
-    }
-    return { kind: 'unknown', why: `status ${o.status}` };
+    return toCommitResult(outcome);
   }
 
+  /** The id of a new lease; undefined if none is known to have been granted. */
   async createLease(ttl: DurationMs, timeout: DurationMs): Promise<number | undefined> {
-    const o = await this.send(
+    const outcome = await this.send(
       { method: 'POST', path: '/leases', body: encodeLeaseRequest(Math.round(ttl)), timeout },
       { urgent: true },
     );
-    if (o.kind !== 'answer' || o.status !== 200) return undefined;
-    return decodeLease(o.body);
+    if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
+    return decodeLease(outcome.body);
   }
 
-  async renewLease(lease: number, timeout: DurationMs): Promise<'renewed' | 'gone' | 'failed'> {
-    const o = await this.send(
+  /** Starts the time of a lease anew. */
+  async renewLease(lease: number, timeout: DurationMs): Promise<RenewalResult> {
+    const outcome = await this.send(
       { method: 'POST', path: `/leases/${lease}/touch`, body: {}, timeout },
       { urgent: true },
     );
-    if (o.kind !== 'answer') return 'failed';
-    return o.status === 200 ? 'renewed' : o.status === 404 ? 'gone' : 'failed';
+    if (outcome.kind !== 'answer') return 'failed';
+    if (outcome.status === 200) return 'renewed';
+    return outcome.status === 404 ? 'gone' : 'failed';
   }
 
+  /** Ends a lease and deletes its keys, if the call arrives; otherwise it expires. */
   async revokeLease(lease: number, timeout: DurationMs): Promise<void> {
     await this.send({ method: 'DELETE', path: `/leases/${lease}`, timeout }, { urgent: true });
   }
 
-  /** Waits for a change under a prefix. `stale`: read the keys again. */
-  async watch(
-    prefix: string,
-    from: Revision,
-    wait: DurationMs,
-  ): Promise<Changes | 'stale' | undefined> {
-    const o = await this.send({
+  /** Waits at most `wait` for a change under a prefix that is later than the revision `from`. */
+  async watch(prefix: string, from: Revision, wait: DurationMs): Promise<WatchResult> {
+    const outcome = await this.send({
       method: 'GET',
       path: `/follow?starts=${prefix}&from=${from}&wait_ms=${Math.round(wait)}`,
-      timeout: ms(wait + 3000),
+      timeout: ms(wait + WATCH_MARGIN_MS),
     });
-    if (o.kind !== 'answer') return undefined;
-    if (o.status === 410) return 'stale';
-    const changes = o.status === 200 ? decodeWatch(o.body) : undefined;
-    return changes && { revision: Revision(changes.revision), keys: changes.keys };
+    if (outcome.kind !== 'answer') return 'failed';
+    if (outcome.status === 410) return 'stale';
+    return outcome.status === 200 && decodeWatch(outcome.body) ? 'changed' : 'failed';
   }
 }
+
+/** What is known of a transaction after its call. */
+function toCommitResult(outcome: Outcome): CommitResult {
+  if (outcome.kind === 'unknown') return { kind: 'unknown', reason: outcome.reason };
+  if (outcome.kind === 'undelivered') return { kind: 'refused', reason: outcome.reason };
+  const { status, body } = outcome;
+  switch (status) {
+    case 200: {
+      const revision = decodeCommitted(body);
+      if (revision !== undefined) return { kind: 'committed', revision: Revision(revision) };
+      return { kind: 'unknown', reason: 'unreadable answer' };
+    }
+    case 409:
+      return { kind: 'conflict', failed: decodeConflict(body) ?? [] };
+    case 400:
+      return { kind: errorOf(body) === 'no such lease' ? 'leaseExpired' : 'tooLarge' };
+    case 429:
+    case 503:
+      return { kind: 'refused', reason: `status ${status} ${errorOf(body)}` };
+    default:
+      return { kind: 'unknown', reason: `status ${status}` };
+  }
+}
+
+/** The error that a body names; empty if it names none. */
+function errorOf(body: unknown): string {
+  const error = (body as { error?: unknown } | undefined)?.error;
+  return typeof error === 'string' ? error : '';
+}
--- a/test/standin/network.ts
+++ b/test/standin/network.ts
@@ -159,14 +159,14 @@
     };
     const to = request.endpoint;
     if (this.refused(from, to)) {
-      this.time.after(1, () => resolve({ kind: 'undelivered', why: 'refused' }));
+      this.time.after(1, () => resolve({ kind: 'undelivered', reason: 'refused' }));
       return;
     }
     // A new connection into a cut is given up and comes to nothing; a kept one carries on later.
     const kept = this.random() < 0.6;
     let sent = false;
     const timer = this.time.after(request.timeout, () =>
-      settle({ kind: sent ? 'unknown' : 'undelivered', why: 'no answer in time' }),
+      settle({ kind: sent ? 'unknown' : 'undelivered', reason: 'no answer in time' }),
     );
     if (this.blocked(from, zone, to) && !kept) return;
     sent = true;
@@ -186,7 +186,7 @@
       if (again) this.time.after(again.after, () => void call(again.to));
       const answered = call(to);
       if (!answered) {
-        settle({ kind: 'undelivered', why: 'refused' });
+        settle({ kind: 'undelivered', reason: 'refused' });
         return;
       }
       void answered.then((a) => {
--- a/test/standin/submit.ts
+++ b/test/standin/submit.ts
@@ -14,7 +14,7 @@
 const submission = encodeJobSpec(spec({ id, taskCount: entries, allowSpot: false }));
 for (;;) {
   const o = await ask('POST', '/v1/jobs', submission);
-  console.log(o.kind === 'answer' ? `submitted: ${o.status}` : `submitted: ${o.why}`);
+  console.log(o.kind === 'answer' ? `submitted: ${o.status}` : `submitted: ${o.reason}`);
   if (o.kind === 'answer' && o.status < 300) break;
   if (o.kind === 'answer' && o.status < 500) process.exit(1);
   await sleep(systemClock, ms(1000));
--- a/test/unit/net.test.ts
+++ b/test/unit/net.test.ts
@@ -42,7 +42,7 @@
     silent = true;
     const hung = servers.slice(0, total).map(({ at }) => call(at, 60_000));
     const one = await call(servers[total]?.at ?? storeAt, 60_000);
-    assert.deepEqual(one, { kind: 'undelivered', why: 'no socket is free' });
+    assert.deepEqual(one, { kind: 'undelivered', reason: 'no socket is free' });
     assert.equal((await call(storeAt, 5000, 'lease')).kind, 'answer');
     for (const { server } of servers) server.closeAllConnections();
     for (const o of await Promise.all(hung)) assert.equal(o.kind, 'unknown');
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -154,14 +154,14 @@
   const endpoint = '10.2.0.1:2379';
   network.attach(endpoint, 'r', (m, p, b, from) => state.handle(m, p, b, from));
   const { node } = parseSettings(settingsFile());
-  const store = new StoreClient(
-    network.client(node, 'r', clock),
-    Endpoint(endpoint),
+  const store = new StoreClient({
+    http: network.client(node, 'r', clock),
+    endpoint: Endpoint(endpoint),
     clock,
-    () => 0.5,
-    lowering,
-    1,
-  );
+    random: () => 0.5,
+    limits: lowering,
+    nodeCount: 1,
+  });
   const limits = new RecordLimits(lowering, () => store.lowerRates());
   const committed: string[] = [];
   const events = {
