--- a/eslint.config.js
+++ b/eslint.config.js
@@ -207,7 +207,6 @@
   ['src/ledger/ledger.ts', 'max-lines-per-function', 56, '`write`: as its complexity'],
   ['src/ledger/queue.ts', 'complexity', 15, '`dueTimes`: one case for each kind of objective'],
   ['src/main.ts', 'max-lines-per-function', 59, '`run`: the start of the process, step by step'],
-  ['src/net/http.ts', 'max-lines-per-function', 63, '`send`: listeners that share the state of one request'],
   ['src/node.ts', 'max-lines-per-function', 61, 'the constructor makes the parts of a node in their order'],
   ['src/placer/fill.ts', 'complexity', 15, '`fillGang`: zones and halves are tried in one search'],
   ['test/standin/day.ts', 'complexity', 64, '`badDay`: the mishaps of a day, one condition each; its order of draws fixes the seeds'],
--- a/src/api/app.ts
+++ b/src/api/app.ts
@@ -1,7 +1,7 @@
 /** The HTTP side of users, workers and health checks. */
 import Koa from 'koa';
 import type { Logger } from 'pino';
-import { readBody } from '../net/http.js';
+import { readBody } from '../net/body.js';
 import { CONTENT_TYPE, MAX_BODY, encode } from '../wire/index.js';
 import { METHOD_NOT_ALLOWED, TRY_AGAIN, type Reply } from './reply.js';
 import type { UserRequests } from './user-requests.js';
--- a/src/main.ts
+++ b/src/main.ts
@@ -8,7 +8,7 @@
 import { parseCommandLine } from './cli/cli.js';
 import { maxLeaderLease, type OperatorSettings } from './config/operator.js';
 import type { Settings } from './config/settings.js';
-import { LANE_SOCKETS, NodeHttpClient } from './net/http.js';
+import { LANE_SOCKETS, NodeHttpClient } from './net/client.js';
 import { Controller } from './controller.js';
 import { PeerLink, servePeers } from './peer/channel.js';
 import { systemClock } from './units/system.js';
--- /dev/null
+++ b/src/net/exchange.ts
@@ -0,0 +1,94 @@
+/** One HTTP request and its answer. */
+import http from 'node:http';
+import { messageOf } from '../units/errors.js';
+import { CONTENT_TYPE, decode, encode } from '../wire/index.js';
+import { readBody } from './body.js';
+import type { Outcome, Request } from './http.js';
+
+/** The answer to a watch holds all changes and has no size limit; this bounds the memory that one may take. */
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
+
+/** Sends a request when it is made, and reports its outcome exactly once. */
+export class Exchange {
+  private readonly clientRequest: http.ClientRequest;
+  private readonly timer: NodeJS.Timeout;
+  /** While there has been no connection, nothing can have left. */
+  private isConnected = false;
+  private isSettled = false;
+
+  /** Throws if the request cannot be encoded; `onSettled` is not called then. */
+  constructor(
+    request: Request,
+    agent: http.Agent,
+    private readonly onSettled: (outcome: Outcome) => void,
+  ) {
+    const { endpoint, method, path } = request;
+    const colon = endpoint.lastIndexOf(':');
+    const bytes = request.body === undefined ? undefined : encode(request.body);
+    this.clientRequest = http.request({
+      host: endpoint.slice(0, colon),
+      port: Number(endpoint.slice(colon + 1)),
+      method,
+      path,
+      agent,
+      headers: bytes
+        ? { 'content-type': CONTENT_TYPE, 'content-length': bytes.length }
+        : { accept: CONTENT_TYPE },
+    });
+    this.timer = setTimeout(() => this.expire(), request.timeout);
+    this.listen();
+    this.clientRequest.end(bytes);
+  }
+
+  private listen(): void {
+    this.clientRequest.on('socket', (socket) => {
+      // A kept connection is connected already.
+      if (socket.connecting) socket.once('connect', () => (this.isConnected = true));
+      else this.isConnected = true;
+    });
+    this.clientRequest.on('error', (error) => this.fail(error.message));
+    this.clientRequest.on('response', (response) => {
+      readBody(response, MAX_RESPONSE_BYTES).then(
+        (body) => this.finish(response.statusCode ?? 0, body),
+        (error: unknown) => this.fail(messageOf(error)),
+      );
+    });
+  }
+
+  /**
+   * A process that is behind reads what has arrived only after its timers have run: an answer that is there
+   * already counts, so it gets one more round of the event loop.
+   */
+  private expire(): void {
+    setImmediate(() => {
+      if (this.isSettled) return;
+      this.fail('no answer in time');
+      this.clientRequest.destroy();
+    });
+  }
+
+  /** `body`: undefined if it exceeded the limit. */
+  private finish(status: number, body: Buffer | undefined): void {
+    try {
+      if (!body) throw new RangeError('answer too large');
+      this.settle({
+        kind: 'answer',
+        status,
+        body: body.length > 0 ? decode(body) : undefined,
+      });
+    } catch {
+      this.fail('unreadable answer');
+    }
+  }
+
+  private fail(reason: string): void {
+    this.settle({ kind: this.isConnected ? 'unknown' : 'undelivered', reason });
+  }
+
+  private settle(outcome: Outcome): void {
+    if (this.isSettled) return;
+    this.isSettled = true;
+    clearTimeout(this.timer);
+    this.onSettled(outcome);
+  }
+}
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -3,7 +3,7 @@
 import { Command } from 'commander';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { NodeHttpClient } from '../../src/net/http.js';
+import { NodeHttpClient } from '../../src/net/client.js';
 import { Endpoint, ms, sleep } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import { encodeJobSpec, type MachineType, type JobSpec } from '../../src/wire/index.js';
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -1,5 +1,6 @@
 import http from 'node:http';
-import { NodeHttpClient, readBody } from '../../src/net/http.js';
+import { readBody } from '../../src/net/body.js';
+import { NodeHttpClient } from '../../src/net/client.js';
 import { systemClock } from '../../src/units/system.js';
 import { ms } from '../../src/units/index.js';
 import { MAX_BODY, decode, encode, type MachineType } from '../../src/wire/index.js';
--- a/test/standin/submit.ts
+++ b/test/standin/submit.ts
@@ -1,4 +1,4 @@
-import { NodeHttpClient } from '../../src/net/http.js';
+import { NodeHttpClient } from '../../src/net/client.js';
 import { Endpoint, ms, sleep } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import { encodeJobSpec } from '../../src/wire/index.js';
