--- a/src/controller.ts
+++ b/src/controller.ts
@@ -90,14 +90,12 @@
       },
     );
     this.leadership = new Leadership(this.election, environment.peers);
-    this.peerLiveness = new PeerLiveness(
-      environment.peers,
-      clock,
-      () => this.ownStatus(),
-      ({ leader, epoch }) => {
+    this.peerLiveness = new PeerLiveness(environment.peers, clock, log, {
+      ownStatus: () => this.ownStatus(),
+      onPeerStatus: ({ leader, epoch }) => {
         if (leader !== '') this.election.noteLeader(NodeId(leader), epoch);
       },
-    );
+    });
     const isIsolated = (): boolean => this.peerLiveness.isIsolated(this.store.servedAt);
     this.userRequests = new UserRequests(
       new AdmissionControl(this.catalog, settings.teams, recordLimits),
--- a/src/main.ts
+++ b/src/main.ts
@@ -10,7 +10,8 @@
 import type { Settings } from './config/settings.js';
 import { LANE_SOCKETS, NodeHttpClient } from './net/client.js';
 import { Controller } from './controller.js';
-import { PeerLink, servePeers } from './peer/channel.js';
+import { PeerLink } from './peer/link.js';
+import { servePeers } from './peer/server.js';
 import { systemClock } from './units/system.js';
 import type { Endpoint, NodeId } from './units/index.js';
 
--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -1,4 +1,4 @@
-/** Messages between controllers as bytes: an envelope round an Avro record. */
+/** Messages between controllers as bytes: an envelope around an Avro record. */
 import type { Command, Heartbeat } from '../wire/index.js';
 import type {
   HeartbeatResponse,
@@ -12,18 +12,19 @@
 } from './messages.js';
 import { EnvelopeType, payloadTypeOf, type MessageType } from './schemas.js';
 
+/** A message with the id that it travels under. */
 export interface Envelope<Message> {
   /** Pairs a response with its request on one connection. */
   readonly id: number;
   readonly message: Message;
 }
 
-/** A message that this version can't read, or that is none where it stands. */
+/** A message that this version can't read, or that is not allowed where it was received. */
 export class MessageError extends Error {
   override readonly name = 'MessageError';
 }
 
-// Unions as Avro records have them: optional fields in the place of alternatives.
+// Avro records have optional fields in the place of unions.
 
 interface CommandRecord {
   readonly type: Command['type'];
@@ -47,7 +48,7 @@
   readonly responses: readonly WithCommandRecords<HeartbeatResponse>[];
 };
 
-/** A grace period belongs to a command to stop alone. */
+/** Only commands to stop have a grace period. */
 function toCommand({ type, task, attempt, gracePeriodSeconds }: CommandRecord): Command {
   if (type !== 'kill') return { type, task, attempt };
   return { type, task, attempt, gracePeriodSeconds: gracePeriodSeconds ?? 0 };
@@ -117,8 +118,11 @@
 const isResponse = (message: PeerRequest | PeerResponse): message is PeerResponse =>
   RESPONSE_TYPES.has(message.type);
 
+/** A request as the payload of one frame. */
 export const encodeRequest = (id: number, request: PeerRequest): Buffer =>
   encodeMessage(id, request);
+
+/** A response as the payload of one frame; its id is that of the request. */
 export const encodeResponse = (id: number, response: PeerResponse): Buffer =>
   encodeMessage(id, response);
 
--- a/src/peer/framing.ts
+++ b/src/peer/framing.ts
@@ -1,11 +1,11 @@
 /** Length-prefixed frames on the connections between controllers. */
 import { Transform, type TransformCallback } from 'node:stream';
 
-/** More than the longest message that a controller sends: a batch of reports' answers, full of orders. */
+/** More than the longest message that a controller sends: the responses to a batch of heartbeats, with many commands. */
 export const MAX_FRAME_BYTES = 192 * 1024;
 const LENGTH_BYTES = 4;
 
-/** Puts a length before each chunk written. Chunks written in one turn leave as one packet. */
+/** Puts a length before each chunk written. Chunks written in one turn of the event loop leave as one packet. */
 export class Framer extends Transform {
   private parts: Buffer[] = [];
 
@@ -14,25 +14,25 @@
   }
 
   override _transform(chunk: Buffer, _encoding: string, done: TransformCallback): void {
-    const head = Buffer.allocUnsafe(LENGTH_BYTES);
-    head.writeUInt32BE(chunk.length);
-    if (this.parts.length === 0) setImmediate(() => this.pushGathered());
-    this.parts.push(head, chunk);
+    const prefix = Buffer.allocUnsafe(LENGTH_BYTES);
+    prefix.writeUInt32BE(chunk.length);
+    if (this.parts.length === 0) setImmediate(() => this.pushParts());
+    this.parts.push(prefix, chunk);
     done();
   }
 
-  private pushGathered(): void {
+  private pushParts(): void {
     if (this.parts.length > 0 && !this.destroyed) this.push(Buffer.concat(this.parts));
     this.parts = [];
   }
 
   override _flush(done: TransformCallback): void {
-    this.pushGathered();
+    this.pushParts();
     done();
   }
 }
 
-/** Gives back the chunks that were framed, however the bytes arrive. */
+/** Restores the chunks that were framed, however the bytes arrive. Fails on a frame over the limit. */
 export class Deframer extends Transform {
   private received: Buffer = Buffer.alloc(0);
 
--- a/src/peer/liveness.ts
+++ b/src/peer/liveness.ts
@@ -1,57 +1,67 @@
 /** Heartbeats between controllers: who leads, who answers, and whether this node is cut off. */
+import type { Logger } from 'pino';
+import { detach } from '../units/detach.js';
 import { ms, since, seconds, type Clock, type NodeId, type SteadyMs } from '../units/index.js';
 import type { Peer } from './channel.js';
 import type { PeerStatus } from './messages.js';
 
 const HEARTBEAT_INTERVAL = ms(1000);
 const HEARTBEAT_TIMEOUT = ms(800);
-/** Without an answer from anybody for this long, a node counts itself as isolated. */
+/** A node that has had no answer from any other for this long counts as isolated. */
 const ISOLATED_AFTER = seconds(5);
-/** For so long another node's word is believed that the state service is out for it too. */
+/** For this long another node's statement counts that the state service does not answer it either. */
 const OUTAGE_REPORT_TTL = seconds(30);
 
-/** What another node said last, and when. */
+/** The latest status of another node, and when it arrived. */
 export interface ReceivedStatus {
   readonly at: SteadyMs;
   readonly status: PeerStatus;
 }
 
 /**
- * Whether a node can serve nobody because it is cut off itself: neither the state service nor any other
- * node answers it. When the state service is out for all, the others say so, and all go on.
+ * Whether a node can serve nobody because it is cut off itself: neither the state service nor any other node
+ * answers it. In an outage of the state service for all, the other nodes say so, and none counts as isolated.
  */
 export function isIsolated(
   now: SteadyMs,
-  storeAnswered: SteadyMs,
+  storeServedAt: SteadyMs,
   peers: readonly (ReceivedStatus | undefined)[],
 ): boolean {
-  if (peers.length === 0 || since(storeAnswered, now) < ISOLATED_AFTER) return false;
+  if (peers.length === 0 || since(storeServedAt, now) < ISOLATED_AFTER) return false;
   for (const peer of peers) {
     if (!peer) continue;
     const age = since(peer.at, now);
     if (age < ISOLATED_AFTER) return false;
-    const outForAll = !peer.status.storeReachable && peer.at > storeAnswered;
-    if (outForAll && age < OUTAGE_REPORT_TTL) return false;
+    const isOutageForAll = !peer.status.storeReachable && peer.at > storeServedAt;
+    if (isOutageForAll && age < OUTAGE_REPORT_TTL) return false;
   }
   return true;
 }
 
-/** Whether what was heard at that time is recent enough to count as reachable. */
+/** Whether an answer at that time is recent enough for its sender to count as reachable. */
 export const isRecent = (at: SteadyMs, now: SteadyMs): boolean => since(at, now) < ISOLATED_AFTER;
 
+/** What heartbeats carry, for `PeerLiveness`. */
+export interface StatusExchange {
+  /** This node's status at this moment. */
+  ownStatus(): PeerStatus;
+  /** Called with each status that another node sends. */
+  onPeerStatus(status: PeerStatus): void;
+}
+
 /**
- * Sends heartbeats to the other nodes, so that one that fell silent is known before a user's request
+ * Sends heartbeats to the other nodes, so that one that has stopped answering is known before a user's request
  * depends on it, and so that a node that the state service does not serve still learns who leads.
  */
 export class PeerLiveness {
-  private readonly heard = new Map<NodeId, ReceivedStatus>();
-  private stopped = false;
+  private readonly latest = new Map<NodeId, ReceivedStatus>();
+  private isStopped = false;
 
   constructor(
     private readonly peers: ReadonlyMap<NodeId, Peer>,
     private readonly clock: Clock,
-    private readonly ownStatus: () => PeerStatus,
-    private readonly onStatus: (status: PeerStatus) => void,
+    private readonly log: Logger,
+    private readonly exchange: StatusExchange,
   ) {}
 
   start(): void {
@@ -59,29 +69,32 @@
   }
 
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
   private sendHeartbeat(node: NodeId, peer: Peer): void {
-    if (this.stopped) return;
-    void peer
-      .request({ type: 'peerHeartbeat', status: this.ownStatus() }, HEARTBEAT_TIMEOUT)
+    if (this.isStopped) return;
+    const status = this.exchange.ownStatus();
+    const exchanged = peer
+      .request({ type: 'peerHeartbeat', status }, HEARTBEAT_TIMEOUT)
       .then((response) => {
         if (response?.type !== 'peerStatus') return;
-        this.heard.set(node, { at: this.clock.steady(), status: response.status });
-        this.onStatus(response.status);
+        this.latest.set(node, { at: this.clock.steady(), status: response.status });
+        this.exchange.onPeerStatus(response.status);
       })
       .finally(() => this.clock.after(HEARTBEAT_INTERVAL, () => this.sendHeartbeat(node, peer)));
+    detach(exchanged, this.log, 'heartbeat to a peer');
   }
 
-  /** The response to another node's heartbeat. */
+  /** Takes another node's heartbeat and returns the status to respond with. */
   respond(status: PeerStatus): PeerStatus {
-    this.onStatus(status);
-    return this.ownStatus();
+    this.exchange.onPeerStatus(status);
+    return this.exchange.ownStatus();
   }
 
-  isIsolated(storeAnswered: SteadyMs): boolean {
-    const statuses = [...this.peers.keys()].map((node) => this.heard.get(node));
-    return isIsolated(this.clock.steady(), storeAnswered, statuses);
+  /** Whether this node counts as isolated, given when the state service last answered it. */
+  isIsolated(storeServedAt: SteadyMs): boolean {
+    const statuses = [...this.peers.keys()].map((node) => this.latest.get(node));
+    return isIsolated(this.clock.steady(), storeServedAt, statuses);
   }
 }
--- a/src/peer/messages.ts
+++ b/src/peer/messages.ts
@@ -2,12 +2,13 @@
 import type { NodeId } from '../units/index.js';
 import type { Command, Heartbeat } from '../wire/index.js';
 
-/** What a controller says of itself in each heartbeat and in the response to one. */
+/** A controller's status, in each heartbeat between controllers and in the response to one. */
 export interface PeerStatus {
-  /** The leader that it knows of, and the epoch; empty if it knows of none. */
+  /** The leader that it knows of; empty if it knows of none. */
   readonly leader: string;
+  /** The latest epoch that it knows of. */
   readonly epoch: number;
-  /** Whether the state service answered it lately. */
+  /** Whether the state service has answered it recently. */
   readonly storeReachable: boolean;
 }
 
@@ -24,7 +25,7 @@
 }
 
 /**
- * A worker's heartbeat that shows the same tasks as one that the leader took before under the same epoch,
+ * A worker's heartbeat that shows the same tasks as one that the leader accepted before under the same epoch,
  * so that only its sequence number and token need to be sent.
  */
 export interface UnchangedHeartbeat {
@@ -33,18 +34,20 @@
   readonly session: number;
   readonly sequence: number;
   readonly fencingToken: number;
-  /** The baseline that the leader gave to the earlier heartbeat. */
+  /** The baseline that the leader assigned to the earlier heartbeat. */
   readonly unchangedSince: number;
 }
 
+/** A worker's heartbeat on its way from a follower to the leader. */
 export type RelayedHeartbeat = FullHeartbeat | UnchangedHeartbeat;
 
-/** `baselineUnknown`: the leader needs the heartbeat in full. `refused`: it may not answer it. */
+/** `baselineUnknown`: the leader needs the heartbeat in full. `refused`: it has no authority to answer it. */
 export type HeartbeatOutcome = 'accepted' | 'refused' | 'baselineUnknown';
 
+/** The leader's response to one relayed heartbeat. */
 export interface HeartbeatResponse {
   readonly outcome: HeartbeatOutcome;
-  /** By which later heartbeats can refer to this one; 0 if they can't. */
+  /** The number by which later heartbeats can refer to this one; 0 if they can't. */
   readonly baseline: number;
   readonly commands: readonly Command[];
 }
@@ -54,7 +57,7 @@
   readonly type: 'workerHeartbeats';
   /** The node that the workers report to. */
   readonly node: NodeId;
-  /** The epoch under which the baselines were given. */
+  /** The epoch under which the baselines were assigned. */
   readonly epoch: number;
   readonly heartbeats: readonly RelayedHeartbeat[];
 }
@@ -75,6 +78,7 @@
   | { readonly type: 'readJob'; readonly job: string }
   | { readonly type: 'cancelJob'; readonly job: string };
 
+/** Everything that one controller asks of another. */
 export type PeerRequest =
   | { readonly type: 'peerHeartbeat'; readonly status: PeerStatus }
   | { readonly type: 'imageHints'; readonly machines: readonly MachineImages[] }
@@ -86,12 +90,13 @@
 /** How commands to a worker went. `unknown`: they may have been, or may yet be, carried out. */
 export type CommandOutcome = 'answered' | 'undelivered' | 'unknown';
 
+/** The response to `SendCommandsRequest`. */
 export interface CommandResult {
   readonly type: 'commandResult';
   readonly outcome: CommandOutcome;
-  /** What went wrong; empty if the worker answered. */
+  /** What failed; empty if the worker answered. */
   readonly reason: string;
-  /** The worker's status after the commands. */
+  /** The worker's status after the commands; null without a readable answer. */
   readonly heartbeat: Heartbeat | null;
 }
 
@@ -102,16 +107,17 @@
   readonly responses: readonly HeartbeatResponse[];
 }
 
-/** The answer to a user's request. */
+/** The answer to a user's request, to be passed on by the node that received it. */
 export interface UserResponse {
   readonly type: 'userResponse';
   readonly status: number;
-  /** Seconds after which to come back; 0: none are given. */
+  /** Seconds after which the user should try again; 0: not stated. */
   readonly retryAfter: number;
-  /** CBOR, as the user gets it. */
+  /** CBOR, as it is sent to the user. */
   readonly body: Buffer;
 }
 
+/** Every response of one controller to another. */
 export type PeerResponse =
   | { readonly type: 'peerStatus'; readonly status: PeerStatus }
   | { readonly type: 'acknowledged'; readonly ok: boolean }
--- a/test/unit/peer.test.ts
+++ b/test/unit/peer.test.ts
@@ -1,15 +1,17 @@
+/** The channel between controllers: messages, links and the server. */
 import assert from 'node:assert/strict';
 import net, { type AddressInfo } from 'node:net';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import { PeerLink, servePeers } from '../../src/peer/channel.js';
 import {
   decodeRequest,
   decodeResponse,
   encodeRequest,
   encodeResponse,
 } from '../../src/peer/codec.js';
+import { PeerLink } from '../../src/peer/link.js';
 import type { PeerRequest, PeerResponse } from '../../src/peer/messages.js';
+import { servePeers } from '../../src/peer/server.js';
 import { Endpoint, NodeId, ms, seconds } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import type { Heartbeat, Command } from '../../src/wire/index.js';
@@ -21,7 +23,7 @@
   { type: 'kill', task: 'run-000001/1', attempt: 1, gracePeriodSeconds: 1.5 },
   { type: 'clear', task: 'run-000001/2', attempt: 1 },
 ];
-const report: Heartbeat = {
+const heartbeat: Heartbeat = {
   machine: 'vm-1',
   address: '10.1.0.1:9000',
   machineType: 'small',
@@ -62,7 +64,7 @@
     type: 'workerHeartbeats',
     node: NodeId('node-2'),
     epoch: 5,
-    heartbeats: [{ kind: 'full', heartbeat: report }, unchanged],
+    heartbeats: [{ kind: 'full', heartbeat }, unchanged],
   },
   {
     type: 'sendCommands',
@@ -82,14 +84,14 @@
     epoch: 5,
     responses: [{ outcome: 'accepted', baseline: 7, commands }],
   },
-  { type: 'commandResult', outcome: 'answered', reason: '', heartbeat: report },
+  { type: 'commandResult', outcome: 'answered', reason: '', heartbeat },
   { type: 'commandResult', outcome: 'unknown', reason: 'no answer in time', heartbeat: null },
 ];
 
-/** Without the classes that decoded records are made of. */
+/** A value without the classes of decoded records. */
 const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-void test('messages between nodes arrive as they were sent, and others are refused', () => {
+void test('messages between nodes are decoded as they were encoded, and anything else is refused', () => {
   for (const request of requests) {
     const bytes = encodeRequest(7, request);
     assert.deepEqual(plain(decodeRequest(bytes)), plain({ id: 7, message: request }));
@@ -111,20 +113,20 @@
     });
   });
 
-void test('a peer that sends what can not be read loses its connection, and is told of once', async () => {
-  const lines: string[] = [];
-  const log = pino({ level: 'warn' }, { write: (line) => lines.push(line) });
+void test('a peer that sends an unreadable message is disconnected, and logged once', async () => {
+  const logged: string[] = [];
+  const log = pino({ level: 'warn' }, { write: (line) => logged.push(line) });
   const server = servePeers(() => Promise.resolve({ type: 'acknowledged', ok: true }), log);
-  const at = await listening(server);
-  const port = Number(at.split(':')[1]);
+  const endpoint = await listening(server);
+  const port = Number(endpoint.split(':')[1]);
   for (let i = 0; i < 2; i++) {
     const stranger = net.connect(port, '127.0.0.1');
     stranger.write(Buffer.from([0, 0, 0, 3, 9, 9, 9]));
     stranger.on('error', () => undefined);
     await new Promise((resolve) => stranger.on('close', resolve));
   }
-  assert.equal(lines.length, 1);
-  const link = new PeerLink(at, systemClock, log);
+  assert.equal(logged.length, 1);
+  const link = new PeerLink(endpoint, systemClock, log);
   try {
     const response = await link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
     assert.deepEqual(plain(response), { type: 'acknowledged', ok: true });
@@ -134,16 +136,16 @@
   }
 });
 
-void test('a peer that answers late is not gone; one that answers nothing for long is', async () => {
+void test('a peer that answers late counts as responsive; one that answers nothing for long does not', async () => {
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const log = pino({ level: 'silent' });
   const answers: (() => void)[] = [];
-  let arrived = (): void => undefined;
-  const arrival = new Promise<void>((resolve) => (arrived = resolve));
+  let noteArrival = (): void => undefined;
+  const arrival = new Promise<void>((resolve) => (noteArrival = resolve));
   const server = servePeers(async () => {
     const answered = new Promise<void>((resolve) => answers.push(resolve));
-    arrived();
+    noteArrival();
     await answered;
     return { type: 'acknowledged', ok: true };
   }, log);
@@ -151,16 +153,16 @@
   try {
     const first = link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
     await arrival;
-    assert.ok(link.responsive, 'it has just been asked');
-    const heartbeat = link.request({ type: 'peerHeartbeat', status }, ms(800));
+    assert.ok(link.responsive, 'a request has just been sent');
+    const second = link.request({ type: 'peerHeartbeat', status }, ms(800));
     await time.run(time.now + 900);
-    assert.equal(await heartbeat, undefined);
-    assert.ok(link.responsive, 'it is late');
+    assert.equal(await second, undefined);
+    assert.ok(link.responsive, 'a response is late');
     await time.run(time.now + 2000);
-    assert.ok(!link.responsive, 'it has answered nothing for long');
+    assert.ok(!link.responsive, 'no response for long');
     for (const answer of answers) answer();
     assert.deepEqual(plain(await first), { type: 'acknowledged', ok: true });
-    assert.ok(link.responsive, 'it answers again');
+    assert.ok(link.responsive, 'a response has arrived');
   } finally {
     link.close();
     server.close();
