--- a/eslint.config.js
+++ b/eslint.config.js
@@ -217,7 +217,6 @@
   ['test/standin/world.ts', 'complexity', 25, '`started`, `waitsBesideRoom`: rules of the service that each day is judged by'],
   ['test/standin/world.ts', 'max-lines', 528, 'one world joins all stand-ins and judges them'],
   ['test/unit/placer.test.ts', 'complexity', 16, 'a property of placing, checked over its cases'],
-  ['test/unit/report-relay.test.ts', 'complexity', 13, 'a property over drawn steps, one branch for each kind'],
 ];
 
 export default defineConfig(
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -105,7 +105,12 @@
       log,
       isIsolated,
     );
-    const relay = new HeartbeatRelay(settings.node, clock, () => this.leadership.leaderPeer());
+    const relay = new HeartbeatRelay({
+      node: settings.node,
+      clock,
+      log,
+      leaderPeer: () => this.leadership.leaderPeer(),
+    });
     this.workerHeartbeats = new WorkerHeartbeats(
       settings,
       this.leadership,
--- a/src/relay/worker-call.ts
+++ b/src/relay/worker-call.ts
@@ -8,7 +8,7 @@
 import { Endpoint, ms } from '../units/index.js';
 import { decodeHeartbeat, encodeCommandRequest } from '../wire/index.js';
 
-/** How much longer than the call itself its result may take to come back through another node. */
+/** How much longer than the call itself its result may take to return through another node. */
 const RELAY_MARGIN = ms(500);
 
 const OUTCOMES: Record<Outcome['kind'], CommandOutcome> = {
@@ -17,7 +17,7 @@
   unknown: 'unknown',
 };
 
-/** Calls a worker from this node. */
+/** Sends commands to a worker from this node. */
 export async function callWorker(
   http: HttpClient,
   { address, fencingToken, session, timeoutMs, commands }: SendCommandsRequest,
@@ -39,8 +39,8 @@
 }
 
 /**
- * Has another node call a worker. Without its word nobody knows whether the command was carried out, or
- * will be: packets between nodes may be held back and arrive much later.
+ * Has another node send commands to a worker. Without a response it is unknown whether they were carried out, or
+ * will be: packets between nodes may be delayed and arrive much later.
  */
 export async function callWorkerThrough(
   peer: Peer,
@@ -51,7 +51,7 @@
   return {
     type: 'commandResult',
     outcome: 'unknown',
-    reason: 'no word from the relay',
+    reason: 'no response from the relay',
     heartbeat: null,
   };
 }
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -55,7 +55,12 @@
     pino({ level: 'silent' }),
     connected,
   );
-  const relay = new HeartbeatRelay(settings.node, clock, () => leadership.leaderPeer());
+  const relay = new HeartbeatRelay({
+    node: settings.node,
+    clock,
+    log: pino({ level: 'silent' }),
+    leaderPeer: () => leadership.leaderPeer(),
+  });
   const workers = new WorkerHeartbeats(settings, leadership, relay, clock, connected);
   const lose = (): void => {
     epoch = undefined;
