--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,6 +1,7 @@
 import { Command, CommanderError } from 'commander';
 import { defaultsFor, type OperatorSettings } from '../config/operator.js';
-import { SettingsError, readSettings, type Settings } from '../config/settings.js';
+import { SettingsError } from '../config/input.js';
+import { readSettings, type Settings } from '../config/settings.js';
 
 export const VERSION = '0.1.0';
 
@@ -44,7 +45,7 @@
       // Loaded only where it is used: start-up counts on small machines.
       const config = await import('../config/operator-file.js');
       operator = config.readOperator(opts.operator);
-      config.checkTogether(settings, operator);
+      config.checkLeaderLease(settings, operator);
     }
     if (opts.check) return { kind: 'exit', code: 0, out: 'settings are valid\n' };
     return { kind: 'run', settings, operator };
--- a/src/config/operator-file.ts
+++ b/src/config/operator-file.ts
@@ -1,76 +1,87 @@
-import { readFileSync } from 'node:fs';
-import { XMLParser } from 'fast-xml-parser';
+/** The operators' settings file (XML). */
+import { XMLParser, XMLValidator } from 'fast-xml-parser';
 import * as z from 'zod';
+import { messageOf } from '../units/errors.js';
 import { seconds } from '../units/index.js';
+import { SettingsError, readText, settingsErrorOf } from './input.js';
 import { DEFAULTS, maxLeaderLease, type OperatorSettings } from './operator.js';
-import { SettingsError, type Settings } from './settings.js';
+import type { Settings } from './settings.js';
 
-const span = (least: number, most: number) =>
+/** How these settings are named in errors. */
+const KIND = 'operator settings';
+
+/** A number as the text of an attribute. */
+const numberBetween = (min: number, max: number) =>
   z
     .string()
     .regex(/^\d+(\.\d+)?$/, 'must be a number')
     .transform(Number)
-    .pipe(z.number().min(least).max(most));
+    .pipe(z.number().min(min).max(max));
 
-const File = z.strictObject({
+const OperatorFile = z.strictObject({
   topazpin: z.strictObject({
     leadership: z
-      .strictObject({ 'lease-s': span(1, 60).optional(), 'renew-s': span(0.2, 20).optional() })
+      .strictObject({
+        'lease-s': numberBetween(1, 60).optional(),
+        'renew-s': numberBetween(0.2, 20).optional(),
+      })
       .optional(),
-    capacity: z.strictObject({ 'idle-boots': span(0, 100).optional() }).optional(),
+    capacity: z.strictObject({ 'idle-boots': numberBetween(0, 100).optional() }).optional(),
   }),
 });
 
-export function parseOperator(text: string): OperatorSettings {
-  let xml: unknown;
+/** Elements and attributes as nested objects. Throws a `SettingsError` on anything that is not well-formed. */
+function parseXml(text: string): unknown {
+  // The parser itself accepts malformed XML. Its validator is deprecated in favour of a package of its own.
+  // eslint-disable-next-line @typescript-eslint/no-deprecated
+  const validity = XMLValidator.validate(text);
+  if (validity !== true) {
+    const { msg, line, col } = validity.err;
+    throw new SettingsError(`${KIND}: not XML: ${msg}:${line}:${col}`);
+  }
   try {
-    xml = new XMLParser({
+    return new XMLParser({
       ignoreAttributes: false,
       attributeNamePrefix: '',
       parseAttributeValue: false,
       parseTagValue: false,
       ignoreDeclaration: true,
-    }).parse(text, true);
-  } catch (e) {
-    throw new SettingsError(`operator settings: not XML: ${(e as Error).message}`);
+    }).parse(text);
+  } catch (error) {
+    throw new SettingsError(`${KIND}: not XML: ${messageOf(error)}`, { cause: error });
   }
-  const parsed = File.safeParse(xml);
-  if (!parsed.success) {
-    const issue = parsed.error.issues[0];
-    throw new SettingsError(
-      `operator settings: ${issue?.path.join('.') || 'file'}: ${issue?.message ?? 'invalid'}`,
-    );
-  }
-  const f = parsed.data.topazpin;
-  const lease = f.leadership?.['lease-s'] ?? DEFAULTS.leaseS;
-  const renew = f.leadership?.['renew-s'] ?? Math.min(DEFAULTS.renewS, lease / 3);
-  if (renew > lease / 2) {
-    throw new SettingsError(
-      'operator settings: leadership.renew-s: must be at most half of lease-s',
-    );
+}
+
+/** Checks the text of an operators' file. Throws a `SettingsError`. */
+export function parseOperator(text: string): OperatorSettings {
+  const parsed = OperatorFile.safeParse(parseXml(text));
+  if (!parsed.success) throw settingsErrorOf(parsed.error, KIND);
+  const { leadership = {}, capacity = {} } = parsed.data.topazpin;
+  const lease = leadership['lease-s'] ?? DEFAULTS.leaseSeconds;
+  const renewInterval = leadership['renew-s'] ?? Math.min(DEFAULTS.renewSeconds, lease / 3);
+  if (renewInterval > lease / 2) {
+    throw new SettingsError(`${KIND}: leadership.renew-s: must be at most half of lease-s`);
   }
   return {
     lease: seconds(lease),
-    renewInterval: seconds(renew),
-    idleBootTimes: f.capacity?.['idle-boots'] ?? DEFAULTS.idleBoots,
+    renewInterval: seconds(renewInterval),
+    idleBootTimes: capacity['idle-boots'] ?? DEFAULTS.idleBootTimes,
   };
 }
 
+/** Reads an operators' file. Throws a `SettingsError`. */
 export function readOperator(path: string): OperatorSettings {
-  let text: string;
-  try {
-    text = readFileSync(path, 'utf8');
-  } catch (e) {
-    throw new SettingsError(`operator settings: cannot read ${path}: ${(e as Error).message}`);
-  }
-  return parseOperator(text);
+  return parseOperator(readText(path, KIND));
 }
 
-/** A cancelled task must be gone in time even if its machine only stops when its lease ends. */
-export function checkTogether(s: Settings, o: OperatorSettings): void {
-  if (o.lease > maxLeaderLease(s.workers)) {
+/**
+ * Checks the leader's lease against the platform's times: a cancelled task must be gone in time even if its machine
+ * only stops it when the worker's lease ends. Throws a `SettingsError`.
+ */
+export function checkLeaderLease(settings: Settings, operator: OperatorSettings): void {
+  if (operator.lease > maxLeaderLease(settings.workers)) {
     throw new SettingsError(
-      'operator settings: leadership.lease-s: with params.workers.lease_s it must stay below cancel_s',
+      `${KIND}: leadership.lease-s: with params.workers.lease_s it must stay below cancel_s`,
     );
   }
 }
--- /dev/null
+++ b/src/config/settings-file.ts
@@ -0,0 +1,123 @@
+/** The form of the settings file that the platform hands over (JSON). Unknown fields are ignored. */
+import * as z from 'zod';
+
+const address = z
+  .string()
+  .regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'must be an IPv4 address with a port');
+const positive = z.number().positive();
+const limit = z.number().nonnegative();
+/** A field that may be null, or missing; undefined in both cases. */
+const optional = <Schema extends z.ZodType>(schema: Schema) =>
+  schema.nullish().transform((value) => value ?? undefined);
+/** 0, which is no limit, where the file does not say. */
+const optionalLimit = limit.nullish().transform((value) => value ?? 0);
+/** Changes in one transaction: the end of a job takes two, a put and a delete. */
+const transactionOps = z.number().int().min(2);
+
+const Team = z.object({
+  name: z.string().min(1),
+  cpus: optionalLimit,
+  cpus_max: optionalLimit,
+  gpus: optionalLimit,
+  gpus_max: optionalLimit,
+});
+
+const Objective = z.looseObject({
+  kind: z.string(),
+  class: optional(z.string()),
+  share: optional(z.number()),
+  within_s: optional(z.number()),
+  times: optional(z.number()),
+});
+
+const Workers = z.object({
+  report_s: positive,
+  lease_s: positive,
+  gang_wait_s: optional(positive),
+  gang_peer_s: optional(positive),
+  cancel_s: positive,
+});
+
+/** Limits of the state service. */
+const Store = z.object({
+  rps: positive,
+  write_rps: positive,
+  value_kb: positive,
+  txn_ops: transactionOps,
+  next: optional(
+    z.object({
+      rps: optional(positive),
+      write_rps: optional(positive),
+      value_kb: optional(positive),
+      txn_ops: optional(transactionOps),
+    }),
+  ),
+});
+
+/** The file's schema. Numbers are finite; times are in seconds or, by their names, in milliseconds. */
+export const SettingsFile = z.object({
+  node: z.string().min(1),
+  area: z.string(),
+  api_addr: address,
+  cluster_listen: address,
+  others: z.array(z.object({ node: z.string().min(1), area: z.string(), endpoint: address })),
+  endpoints: z.object({ cloud: address, state: address }),
+  params: z.object({
+    nodes: z.number().int().positive(),
+    zones: z.array(z.string()).min(1),
+    teams: z.array(Team),
+    objectives: z
+      .array(Objective)
+      .nullish()
+      .transform((value) => value ?? []),
+    workers: Workers,
+    state: Store,
+    cloud: z.object({ rps: positive, list_lag_s: limit }),
+    limits: z.object({
+      cpu: positive,
+      ram_mb: positive,
+      max_connections: z.number().int().min(32),
+    }),
+    time_bound_ms: limit,
+  }),
+});
+export type SettingsFile = z.infer<typeof SettingsFile>;
+
+/** What no schema of single fields can say: the first contradiction between fields; undefined if there is none. */
+export function findContradiction(file: SettingsFile): string | undefined {
+  return findNodeContradiction(file) ?? findTeamContradiction(file) ?? findLeaseContradiction(file);
+}
+
+function findNodeContradiction({
+  node,
+  others,
+  params,
+  ...addresses
+}: SettingsFile): string | undefined {
+  const names = [node, ...others.map((other) => other.node)];
+  if (new Set(names).size !== names.length) {
+    return 'others: a node is named twice, or names this node';
+  }
+  if (params.nodes !== names.length) {
+    return `params.nodes: says ${params.nodes}, but node and others name ${names.length}`;
+  }
+  if (addresses.api_addr === addresses.cluster_listen) {
+    return 'cluster_listen: is the same address as api_addr';
+  }
+  return undefined;
+}
+
+function findTeamContradiction({ params }: SettingsFile): string | undefined {
+  const isAbove = (guaranteed: number, max: number): boolean => max > 0 && guaranteed > max;
+  for (const team of params.teams) {
+    if (isAbove(team.cpus, team.cpus_max) || isAbove(team.gpus, team.gpus_max)) {
+      return `params.teams: ${team.name} is guaranteed more than its limit`;
+    }
+  }
+  return undefined;
+}
+
+function findLeaseContradiction({ params }: SettingsFile): string | undefined {
+  const { cancel_s: cancellation, lease_s: lease } = params.workers;
+  return cancellation <= lease ? 'params.workers.cancel_s: must exceed lease_s' : undefined;
+}
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,81 +1,13 @@
-import { readFileSync } from 'node:fs';
-import * as z from 'zod';
-import { Endpoint, NodeId, ms, seconds, type DurationMs } from '../units/index.js';
+/** The settings of a controller, as the platform hands them over. */
+import { messageOf } from '../units/errors.js';
+import { Endpoint, NodeId, seconds, type DurationMs } from '../units/index.js';
+import { SettingsError, readText, settingsErrorOf } from './input.js';
+import { SettingsFile, findContradiction } from './settings-file.js';
 
-/** The file that the platform hands over. Fields it does not know are ignored. */
-const address = z
-  .string()
-  .regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'must be an IPv4 address with a port');
-const positive = z.number().finite().positive();
-const limit = z.number().finite().nonnegative();
-/** The end of a job is a put and a delete in one transaction. */
-const changes = z.number().int().min(2);
-
-/** How quickly the tasks of a gang notice that one of them is gone, where the platform does not say. */
-const DEFAULT_GANG_PEER_S = 4;
-
-const File = z.object({
-  node: z.string().min(1),
-  area: z.string(),
-  api_addr: address,
-  cluster_listen: address,
-  others: z.array(z.object({ node: z.string().min(1), area: z.string(), endpoint: address })),
-  endpoints: z.object({ cloud: address, state: address }),
-  params: z.object({
-    nodes: z.number().int().positive(),
-    zones: z.array(z.string()).min(1),
-    teams: z.array(
-      z.object({
-        name: z.string().min(1),
-        cpus: limit.nullish().transform((v) => v ?? 0),
-        cpus_max: limit.nullish().transform((v) => v ?? 0),
-        gpus: limit.nullish().transform((v) => v ?? 0),
-        gpus_max: limit.nullish().transform((v) => v ?? 0),
-      }),
-    ),
-    objectives: z
-      .array(
-        z.looseObject({
-          kind: z.string(),
-          class: z.string().nullish(),
-          share: z.number().nullish(),
-          within_s: z.number().nullish(),
-          times: z.number().nullish(),
-        }),
-      )
-      .nullish()
-      .transform((v) => v ?? []),
-    workers: z.object({
-      report_s: positive,
-      lease_s: positive,
-      gang_wait_s: positive.nullish(),
-      gang_peer_s: positive.nullish(),
-      cancel_s: positive,
-    }),
-    state: z.object({
-      rps: positive,
-      write_rps: positive,
-      value_kb: positive,
-      txn_ops: changes,
-      next: z
-        .object({
-          rps: positive.nullish(),
-          write_rps: positive.nullish(),
-          value_kb: positive.nullish(),
-          txn_ops: changes.nullish(),
-        })
-        .nullish(),
-    }),
-    cloud: z.object({ rps: positive, list_lag_s: limit }),
-    limits: z.object({
-      cpu: positive,
-      ram_mb: positive,
-      max_connections: z.number().int().min(32),
-    }),
-    time_bound_ms: limit,
-  }),
-});
+/** How settings are named in errors. */
+const KIND = 'settings';
 
+/** A team and its quota; a maximum of 0 is none. */
 export interface Team {
   readonly name: string;
   readonly guaranteedCpus: number;
@@ -84,174 +16,170 @@
   readonly maxGpus: number;
 }
 
+/** A service-level objective. */
 export interface Objective {
+  /** `wait`, `finished`, `deadline`, or a kind that this version does not know. */
   readonly kind: string;
+  /** The class of the jobs that it is set for; undefined: all. */
   readonly jobClass: string | undefined;
   readonly within: DurationMs | undefined;
-  /** Of a deadline: by how many times the stated one. */
+  /** For deadlines: by how many times the stated one. */
   readonly times: number;
 }
 
-/** What the state service takes. */
+/** The limits of the state service. Rates are per second. */
 export interface StoreLimits {
   readonly requestRate: number;
   readonly writeRate: number;
   readonly valueBytes: number;
+  /** Changes in one transaction. */
   readonly transactionOps: number;
 }
 
+/** Another controller. */
+export interface OtherNode {
+  readonly node: NodeId;
+  readonly endpoint: Endpoint;
+}
+
+/** The times that workers keep. */
+export interface WorkerTimes {
+  readonly heartbeatInterval: DurationMs;
+  readonly lease: DurationMs;
+  /** Within this time a cancelled task must be gone. */
+  readonly cancellationTime: DurationMs;
+}
+
+/** Everything that the platform sets. */
 export interface Settings {
   readonly node: NodeId;
   readonly zone: string;
+  /** Where users and workers reach this node. */
   readonly apiEndpoint: Endpoint;
+  /** Where the other controllers reach this node. */
   readonly clusterEndpoint: Endpoint;
-  readonly others: readonly { node: NodeId; area: string; endpoint: Endpoint }[];
+  readonly others: readonly OtherNode[];
   readonly cloudEndpoint: Endpoint;
   readonly storeEndpoint: Endpoint;
+  /** How many controllers there are. */
   readonly nodes: number;
-  readonly zones: readonly string[];
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly Objective[];
-  readonly workers: {
-    readonly heartbeatInterval: DurationMs;
-    readonly lease: DurationMs;
-    /** Within this time the tasks of a gang notice that one of them is gone. */
-    readonly gangPeer: DurationMs;
-    readonly cancellationTime: DurationMs;
-  };
+  readonly workers: WorkerTimes;
   readonly state: StoreLimits & {
-    /** Its limits from a moment on that nobody announces; undefined if they stay. */
+    /** The limits from an unannounced moment on; undefined if they stay. */
     readonly next: StoreLimits | undefined;
   };
-  readonly cloud: { readonly rps: number; readonly listLag: DurationMs };
+  readonly cloud: {
+    /** Requests per second. */
+    readonly requestRate: number;
+    /** By how much the list of machines may be out of date. */
+    readonly listLag: DurationMs;
+  };
   readonly limits: {
+    /** The share of a processor that this node has. */
     readonly cpu: number;
-    readonly ramMb: number;
     readonly maxConnections: number;
   };
-  readonly timeBound: DurationMs;
 }
 
-type StateFile = z.infer<typeof File>['params']['state'];
-
-const stateLimits = (file: Omit<StateFile, 'next'>): StoreLimits => ({
-  requestRate: file.rps,
-  writeRate: file.write_rps,
-  valueBytes: Math.floor(file.value_kb * 1024),
-  transactionOps: file.txn_ops,
-});
-
-/** The limits to come; what they leave out stays as it is. */
-function nextLimits({ next }: StateFile, now: StoreLimits): StoreLimits | undefined {
-  if (!next) return undefined;
+/** Checks settings that were read from a file. Throws a `SettingsError`. */
+export function parseSettings(json: unknown): Settings {
+  const parsed = SettingsFile.safeParse(json);
+  if (!parsed.success) throw settingsErrorOf(parsed.error, KIND);
+  const file = parsed.data;
+  const contradiction = findContradiction(file);
+  if (contradiction !== undefined) throw new SettingsError(`${KIND}: ${contradiction}`);
+  const { params } = file;
   return {
-    requestRate: next.rps ?? now.requestRate,
-    writeRate: next.write_rps ?? now.writeRate,
-    valueBytes:
-      next.value_kb === null || next.value_kb === undefined
-        ? now.valueBytes
-        : Math.floor(next.value_kb * 1024),
-    transactionOps: next.txn_ops ?? now.transactionOps,
+    ...toNodes(file),
+    teams: new Map(params.teams.map((team) => [team.name, toTeam(team)])),
+    objectives: params.objectives.map(toObjective),
+    workers: {
+      heartbeatInterval: seconds(params.workers.report_s),
+      lease: seconds(params.workers.lease_s),
+      cancellationTime: seconds(params.workers.cancel_s),
+    },
+    state: toStoreLimits(params.state),
+    cloud: { requestRate: params.cloud.rps, listLag: seconds(params.cloud.list_lag_s) },
+    limits: { cpu: params.limits.cpu, maxConnections: params.limits.max_connections },
   };
 }
 
-/** What is wrong with a settings file, in one line that names the field. */
-export class SettingsError extends Error {}
+type Params = SettingsFile['params'];
 
-export function parseSettings(json: unknown): Settings {
-  const parsed = File.safeParse(json);
-  if (!parsed.success) {
-    const issue = parsed.error.issues[0];
-    throw new SettingsError(
-      `settings: ${issue?.path.join('.') || 'file'}: ${issue?.message ?? 'invalid'}`,
-    );
-  }
-  const f = parsed.data;
-  const names = [f.node, ...f.others.map((o) => o.node)];
-  if (new Set(names).size !== names.length) {
-    throw new SettingsError('settings: others: a node is named twice, or names this node');
-  }
-  if (f.params.nodes !== names.length) {
-    throw new SettingsError(
-      `settings: params.nodes: says ${f.params.nodes}, but node and others name ${names.length}`,
-    );
-  }
-  if (f.api_addr === f.cluster_listen) {
-    throw new SettingsError('settings: cluster_listen: is the same address as api_addr');
-  }
-  for (const t of f.params.teams) {
-    if ((t.cpus_max > 0 && t.cpus > t.cpus_max) || (t.gpus_max > 0 && t.gpus > t.gpus_max)) {
-      throw new SettingsError(
-        `settings: params.teams: ${t.name} is guaranteed more than its limit`,
-      );
-    }
-  }
-  const w = f.params.workers;
-  const state = stateLimits(f.params.state);
-  if (w.cancel_s <= w.lease_s) {
-    throw new SettingsError('settings: params.workers.cancel_s: must exceed lease_s');
-  }
-  return {
-    node: NodeId(f.node),
-    zone: f.area,
-    apiEndpoint: Endpoint(f.api_addr),
-    clusterEndpoint: Endpoint(f.cluster_listen),
-    others: f.others.map((o) => ({
-      node: NodeId(o.node),
-      area: o.area,
-      endpoint: Endpoint(o.endpoint),
-    })),
-    cloudEndpoint: Endpoint(f.endpoints.cloud),
-    storeEndpoint: Endpoint(f.endpoints.state),
-    nodes: f.params.nodes,
-    zones: f.params.zones,
-    teams: new Map(
-      f.params.teams.map((t) => [
-        t.name,
-        {
-          name: t.name,
-          guaranteedCpus: t.cpus,
-          maxCpus: t.cpus_max,
-          guaranteedGpus: t.gpus,
-          maxGpus: t.gpus_max,
-        },
-      ]),
-    ),
-    objectives: f.params.objectives.map((o) => ({
-      kind: o.kind,
-      jobClass: o.class ?? undefined,
-      times: o.times ?? 1,
-      within: o.within_s === null || o.within_s === undefined ? undefined : seconds(o.within_s),
-    })),
-    workers: {
-      heartbeatInterval: seconds(w.report_s),
-      lease: seconds(w.lease_s),
-      gangPeer: seconds(w.gang_peer_s ?? DEFAULT_GANG_PEER_S),
-      cancellationTime: seconds(w.cancel_s),
-    },
-    state: { ...state, next: nextLimits(f.params.state, state) },
-    cloud: { rps: f.params.cloud.rps, listLag: seconds(f.params.cloud.list_lag_s) },
-    limits: {
-      cpu: f.params.limits.cpu,
-      ramMb: f.params.limits.ram_mb,
-      maxConnections: f.params.limits.max_connections,
-    },
-    timeBound: ms(f.params.time_bound_ms),
+type Nodes = Pick<
+  Settings,
+  | 'node'
+  | 'zone'
+  | 'apiEndpoint'
+  | 'clusterEndpoint'
+  | 'others'
+  | 'cloudEndpoint'
+  | 'storeEndpoint'
+  | 'nodes'
+>;
+
+const toNodes = (file: SettingsFile): Nodes => ({
+  node: NodeId(file.node),
+  zone: file.area,
+  apiEndpoint: Endpoint(file.api_addr),
+  clusterEndpoint: Endpoint(file.cluster_listen),
+  others: file.others.map(({ node, endpoint }) => ({
+    node: NodeId(node),
+    endpoint: Endpoint(endpoint),
+  })),
+  cloudEndpoint: Endpoint(file.endpoints.cloud),
+  storeEndpoint: Endpoint(file.endpoints.state),
+  nodes: file.params.nodes,
+});
+
+const toTeam = (team: Params['teams'][number]): Team => ({
+  name: team.name,
+  guaranteedCpus: team.cpus,
+  maxCpus: team.cpus_max,
+  guaranteedGpus: team.gpus,
+  maxGpus: team.gpus_max,
+});
+
+const toObjective = (objective: Params['objectives'][number]): Objective => ({
+  kind: objective.kind,
+  jobClass: objective.class,
+  times: objective.times ?? 1,
+  within: objective.within_s === undefined ? undefined : seconds(objective.within_s),
+});
+
+function toStoreLimits(file: Params['state']): Settings['state'] {
+  const now: StoreLimits = {
+    requestRate: file.rps,
+    writeRate: file.write_rps,
+    valueBytes: toBytes(file.value_kb),
+    transactionOps: file.txn_ops,
   };
+  return { ...now, next: file.next ? toNextLimits(file.next, now) : undefined };
 }
 
+/** What the limits to come leave out stays as it is. */
+const toNextLimits = (
+  next: NonNullable<Params['state']['next']>,
+  now: StoreLimits,
+): StoreLimits => ({
+  requestRate: next.rps ?? now.requestRate,
+  writeRate: next.write_rps ?? now.writeRate,
+  valueBytes: next.value_kb === undefined ? now.valueBytes : toBytes(next.value_kb),
+  transactionOps: next.txn_ops ?? now.transactionOps,
+});
+
+const toBytes = (kilobytes: number): number => Math.floor(kilobytes * 1024);
+
+/** Reads the settings file. Throws a `SettingsError`. */
 export function readSettings(path: string): Settings {
-  let text: string;
-  try {
-    text = readFileSync(path, 'utf8');
-  } catch (e) {
-    throw new SettingsError(`settings: cannot read ${path}: ${(e as Error).message}`);
-  }
+  const text = readText(path, KIND);
   let json: unknown;
   try {
     json = JSON.parse(text);
-  } catch (e) {
-    throw new SettingsError(`settings: ${path} is not JSON: ${(e as Error).message}`);
+  } catch (error) {
+    throw new SettingsError(`${KIND}: ${path} is not JSON: ${messageOf(error)}`, { cause: error });
   }
   return parseSettings(json);
 }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -72,7 +72,7 @@
       this.store.lowerRates();
     });
     const jobRecords = new JobRecords(this.store, clock, recordLimits);
-    const cloud = new CloudClient(http, settings.cloudEndpoint, clock, settings.cloud.rps);
+    const cloud = new CloudClient(http, settings.cloudEndpoint, clock, settings.cloud.requestRate);
     this.election = new Election(
       this.store,
       settings.node,
--- a/test/unit/config.test.ts
+++ b/test/unit/config.test.ts
@@ -1,41 +1,43 @@
+/** Settings of the platform and of operators, and the command line that names them. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { parseCommandLine } from '../../src/cli/cli.js';
 import fc from 'fast-check';
+import { parseCommandLine } from '../../src/cli/cli.js';
 import { defaultsFor, maxLeaderLease } from '../../src/config/operator.js';
-import { checkTogether, parseOperator } from '../../src/config/operator-file.js';
-import { SettingsError, parseSettings } from '../../src/config/settings.js';
+import { checkLeaderLease, parseOperator } from '../../src/config/operator-file.js';
+import { SettingsError } from '../../src/config/input.js';
+import { parseSettings } from '../../src/config/settings.js';
 import { seconds, shrunk, stretched } from '../../src/units/index.js';
 import { settingsFile } from '../support/settings.js';
 
-void test('settings: what is wrong is named by its field', () => {
+void test('settings: an error names its field', () => {
   const file = settingsFile();
   const cases: [string, unknown, RegExp | undefined][] = [
-    ['as it should be', file, undefined],
+    ['valid', file, undefined],
     ['unknown fields', { ...file, colour: 'red' }, undefined],
     ['no node', { ...file, node: undefined }, /node/],
-    ['a name for an address', { ...file, api_addr: 'localhost:80' }, /api_addr/],
-    ['one address twice', { ...file, cluster_listen: file.api_addr }, /cluster_listen/],
+    ['a host name in place of an address', { ...file, api_addr: 'localhost:80' }, /api_addr/],
+    ['the same address twice', { ...file, cluster_listen: file.api_addr }, /cluster_listen/],
     ['a node named twice', { ...file, others: [file.others[0], file.others[0]] }, /others/],
     ['a node missing', { ...file, others: [file.others[0]] }, /params\.nodes/],
     ['no state service', { ...file, endpoints: { cloud: '10.2.0.2:1' } }, /endpoints\.state/],
     [
       'a limit below a guarantee',
-      with_(file, 'teams', [{ name: 't', cpus: 9, cpus_max: 4 }]),
+      withParam(file, 'teams', [{ name: 't', cpus: 9, cpus_max: 4 }]),
       /teams/,
     ],
     [
       'a negative rate',
-      with_(file, 'state', { ...file.params.state, rps: -1 }),
+      withParam(file, 'state', { ...file.params.state, rps: -1 }),
       /params\.state\.rps/,
     ],
     [
       'cancellation before the lease',
-      with_(file, 'workers', { report_s: 3, lease_s: 24, cancel_s: 20 }),
+      withParam(file, 'workers', { report_s: 3, lease_s: 24, cancel_s: 20 }),
       /cancel_s/,
     ],
     ['not a map', 7, /settings/],
@@ -45,40 +47,42 @@
     else {
       assert.throws(
         () => parseSettings(json),
-        (e: Error) =>
-          e instanceof SettingsError && error.test(e.message) && !e.message.includes('\n'),
+        (thrown: Error) =>
+          thrown instanceof SettingsError &&
+          error.test(thrown.message) &&
+          !thrown.message.includes('\n'),
         name,
       );
     }
   }
 });
 
-function with_(file: ReturnType<typeof settingsFile>, field: string, value: unknown): unknown {
+function withParam(file: ReturnType<typeof settingsFile>, field: string, value: unknown): unknown {
   return { ...file, params: { ...file.params, [field]: value } };
 }
 
-void test('a cancelled task is gone in time even if its machine only stops with its lease', () => {
-  const lasts = fc.record({
+void test('a cancelled task is gone in time even if its machine stops it only when its lease ends', () => {
+  const durations = fc.record({
     lease: fc.integer({ min: 2, max: 60 }),
     spare: fc.integer({ min: 4, max: 60 }),
   });
   fc.assert(
-    fc.property(lasts, ({ lease, spare }) => {
+    fc.property(durations, ({ lease, spare }) => {
       const times = { lease: seconds(lease), cancellationTime: seconds(lease + spare) };
-      const { lease: leader, renewInterval: renew } = defaultsFor(times);
-      // From the last renewal on: authority, then the lease of a worker answered in its last moment.
-      const authority = shrunk(leader);
+      const { lease: leaderLease, renewInterval } = defaultsFor(times);
+      // From the last renewal on: the leader's authority, then the lease of a worker answered at its very end.
+      const authority = shrunk(leaderLease);
       assert.ok(authority + stretched(times.lease) < times.cancellationTime);
-      assert.ok(leader >= 1000 && leader <= 4000 && renew <= leader / 3);
+      assert.ok(leaderLease >= 1000 && leaderLease <= 4000 && renewInterval <= leaderLease / 3);
     }),
     { seed: 20261202 },
   );
-  // Less than any lease leaves: it starts all the same, and says so in its log.
+  // Less time than any lease leaves: the controller starts all the same, and logs a warning.
   const tight = { lease: seconds(24), cancellationTime: seconds(25) };
   assert.ok(defaultsFor(tight).lease > maxLeaderLease(tight));
 });
 
-void test("operators' settings: XML, checked", () => {
+void test("operators' settings: an error names its element or attribute", () => {
   const cases: [string, string, RegExp | undefined][] = [
     ['nothing set', '<topazpin></topazpin>', /topazpin/],
     ['the lease', '<topazpin><leadership lease-s="8" renew-s="2"/></topazpin>', undefined],
@@ -93,7 +97,7 @@
     else assert.throws(() => parseOperator(text), error, name);
   }
   const long = parseOperator('<topazpin><leadership lease-s="30"/></topazpin>');
-  assert.throws(() => checkTogether(parseSettings(settingsFile()), long), /cancel_s/);
+  assert.throws(() => checkLeaderLease(parseSettings(settingsFile()), long), /cancel_s/);
 });
 
 void test('the command line', async () => {
@@ -115,13 +119,12 @@
     ];
     for (const [argv, code, text] of cases) {
       const start = await parseCommandLine(argv);
-      assert.equal(start.kind, 'exit', argv.join(' '));
-      if (start.kind !== 'exit') continue;
+      assert.ok(start.kind === 'exit', argv.join(' '));
       assert.equal(start.code, code, argv.join(' '));
       assert.match(`${start.out ?? ''}${start.err ?? ''}`, text);
     }
     assert.equal((await parseCommandLine(['--config', good])).kind, 'run');
-    // What is deployed is a bundle of all this: it must find every library that it is made of.
+    // The deployed program is a bundle: it must contain every library that it needs.
     const deployed = (...argv: string[]) =>
       spawnSync(process.execPath, ['target/topazpin.cjs', ...argv], { encoding: 'utf8' });
     assert.match(deployed('--version').stdout, /^\d+\.\d+\.\d+/);
