--- a/src/units/detach.ts
+++ b/src/units/detach.ts
@@ -1,11 +1,11 @@
-/** Promises that nobody awaits. */
+/** Promises that are not awaited. */
 
-/** What a failure is told to; a `pino` logger is one. */
+/** Where failures are logged; a `pino` logger is one. */
 export interface ErrorLog {
   error(context: object, message: string): void;
 }
 
-/** Detaches work from its caller on purpose: nobody waits for it, and a failure is logged. */
+/** Detaches work from its caller on purpose: it is not awaited, and a failure is logged as `<what> failed`. */
 export function detach(work: Promise<unknown>, log: ErrorLog, what: string): void {
   work.catch((error: unknown) => {
     log.error({ err: error }, `${what} failed`);
--- a/src/units/expiring-map.ts
+++ b/src/units/expiring-map.ts
@@ -1,17 +1,20 @@
-/** A map whose entries are forgotten some time after they were last set. */
+/** A map whose entries expire. */
 import { since, type DurationMs, type SteadyMs } from './index.js';
 
-interface Kept<V> {
+interface Entry<V> {
   readonly value: V;
-  readonly at: SteadyMs;
+  readonly setAt: SteadyMs;
 }
 
-/** However many entries there are, each is looked at once in the time that it is kept. */
+/**
+ * A map whose entries are kept for at least `ttl` after they were last set. `set` removes the expired ones, at most
+ * once in `ttl`, so that each entry is examined once in that time whatever their number. Until then `get` finds them.
+ */
 export class ExpiringMap<K, V> {
-  private readonly entries = new Map<K, Kept<V>>();
+  private readonly entries = new Map<K, Entry<V>>();
   private sweptAt: SteadyMs | undefined;
 
-  constructor(private readonly keptFor: DurationMs) {}
+  constructor(private readonly ttl: DurationMs) {}
 
   get size(): number {
     return this.entries.size;
@@ -22,9 +25,9 @@
   }
 
   set(key: K, value: V, now: SteadyMs): void {
-    this.entries.set(key, { value, at: now });
+    this.entries.set(key, { value, setAt: now });
     this.sweptAt ??= now;
-    if (since(this.sweptAt, now) > this.keptFor) this.sweep(now);
+    if (since(this.sweptAt, now) > this.ttl) this.sweep(now);
   }
 
   delete(key: K): void {
@@ -33,8 +36,8 @@
 
   private sweep(now: SteadyMs): void {
     this.sweptAt = now;
-    for (const [key, { at }] of this.entries) {
-      if (since(at, now) > this.keptFor) this.entries.delete(key);
+    for (const [key, { setAt }] of this.entries) {
+      if (since(setAt, now) > this.ttl) this.entries.delete(key);
     }
   }
 }
--- a/src/units/index.ts
+++ b/src/units/index.ts
@@ -1,17 +1,22 @@
 /**
- * The small types of the project: ids, revisions, epochs, steady and wall times, durations.
- * A brand costs nothing at run time and keeps a wall time from being compared with a steady one.
+ * The small types of the project: ids, revisions, epochs, steady and wall times, durations. A brand costs nothing at
+ * run time, and keeps a wall time from being compared with a steady one.
  */
+
 declare const brand: unique symbol;
 type Brand<T, B extends string> = T & { readonly [brand]: B };
 
+/** The id of a job, chosen by its user. */
 export type JobId = Brand<string, 'JobId'>;
+/** The id of a machine, chosen by the cloud. */
 export type MachineId = Brand<string, 'MachineId'>;
+/** The name of a controller. */
 export type NodeId = Brand<string, 'NodeId'>;
+/** An IPv4 address with a port, as `10.0.0.1:8080`. */
 export type Endpoint = Brand<string, 'Endpoint'>;
 /** `<job>/<index>`, the name of one task. */
 export type TaskKey = Brand<string, 'TaskKey'>;
-/** A revision of the state service. */
+/** A revision of the state service; it rises with each transaction. */
 export type Revision = Brand<number, 'Revision'>;
 /** The revision of the transaction that wrote the leader key. */
 export type Epoch = Brand<number, 'Epoch'>;
@@ -19,27 +24,36 @@
 export type Attempt = Brand<number, 'Attempt'>;
 /** Milliseconds on this process's steady clock. */
 export type SteadyMs = Brand<number, 'SteadyMs'>;
-/** Milliseconds since 1970 by the time of day, good within the platform's bound. */
+/** Milliseconds since 1970 by the time of day, exact within the platform's bound. */
 export type WallMs = Brand<number, 'WallMs'>;
+/** A duration in milliseconds. */
 export type DurationMs = Brand<number, 'DurationMs'>;
 
-export const JobId = (s: string): JobId => s as JobId;
-export const MachineId = (s: string): MachineId => s as MachineId;
-export const NodeId = (s: string): NodeId => s as NodeId;
-export const Endpoint = (s: string): Endpoint => s as Endpoint;
-export const Revision = (n: number): Revision => n as Revision;
-export const Epoch = (n: number): Epoch => n as Epoch;
-export const Attempt = (n: number): Attempt => n as Attempt;
-export const SteadyMs = (n: number): SteadyMs => n as SteadyMs;
-export const WallMs = (n: number): WallMs => n as WallMs;
-export const ms = (n: number): DurationMs => n as DurationMs;
-export const seconds = (n: number): DurationMs => (n * 1000) as DurationMs;
+export const JobId = (id: string): JobId => id as JobId;
+export const MachineId = (id: string): MachineId => id as MachineId;
+export const NodeId = (name: string): NodeId => name as NodeId;
+export const Endpoint = (address: string): Endpoint => address as Endpoint;
+export const Revision = (value: number): Revision => value as Revision;
+export const Epoch = (value: number): Epoch => value as Epoch;
+export const Attempt = (value: number): Attempt => value as Attempt;
+export const SteadyMs = (value: number): SteadyMs => value as SteadyMs;
+export const WallMs = (value: number): WallMs => value as WallMs;
+
+/** A duration of so many milliseconds. */
+export const ms = (value: number): DurationMs => value as DurationMs;
+/** A duration of so many seconds. */
+export const seconds = (value: number): DurationMs => (value * 1000) as DurationMs;
 
-export const later = (t: SteadyMs, d: DurationMs): SteadyMs => (t + d) as SteadyMs;
+/** The time a duration after another. */
+export const later = (time: SteadyMs, duration: DurationMs): SteadyMs =>
+  (time + duration) as SteadyMs;
+/** The duration from one time to a later one; negative if it is an earlier one. */
 export const since = (from: SteadyMs, to: SteadyMs): DurationMs => (to - from) as DurationMs;
 
+/** The name of one task. */
 export const taskKey = (job: JobId, index: number): TaskKey => `${job}/${index}` as TaskKey;
 
+/** One task of a job. */
 export interface TaskRef {
   readonly job: JobId;
   readonly index: number;
@@ -47,36 +61,39 @@
 
 /** Splits a task's name; undefined if it is not one (workers may report anything). */
 export function parseTaskKey(key: string): TaskRef | undefined {
-  const cut = key.lastIndexOf('/');
-  if (cut <= 0) return undefined;
-  const index = Number(key.slice(cut + 1));
+  const slash = key.lastIndexOf('/');
+  if (slash <= 0) return undefined;
+  const index = Number(key.slice(slash + 1));
   if (!Number.isSafeInteger(index) || index < 0) return undefined;
-  return { job: JobId(key.slice(0, cut)), index };
+  return { job: JobId(key.slice(0, slash)), index };
 }
 
 /** Steady clocks of two machines drift apart by at most this share. */
 export const MAX_DRIFT = 0.0005;
 
-/** A span that has surely passed on every clock once it has passed, so stretched, on ours. */
-export const stretched = (d: DurationMs): DurationMs => ms(d * (1 + 2 * MAX_DRIFT));
-/** A span that has surely not passed on any clock while it has not, so shrunk, on ours. */
-export const shrunk = (d: DurationMs): DurationMs => ms(d * (1 - 2 * MAX_DRIFT));
+/** A duration, lengthened: once it has passed on this clock, the original one has passed on every clock. */
+export const stretched = (duration: DurationMs): DurationMs => ms(duration * (1 + 2 * MAX_DRIFT));
+/** A duration, shortened: until it has passed on this clock, the original one has passed on no clock. */
+export const shrunk = (duration: DurationMs): DurationMs => ms(duration * (1 - 2 * MAX_DRIFT));
 
+/** A call that is due later. */
 export interface Timer {
+  /** Does nothing once the call has been made. */
   cancel(): void;
 }
 
-/** Time comes in from outside, so that tests can own it. */
+/** Time is passed in from outside, so that tests can control it. */
 export interface Clock {
   steady(): SteadyMs;
   wall(): WallMs;
   after(delay: DurationMs, run: () => void): Timer;
 }
 
+/** Fulfilled after a delay. */
 export const sleep = (clock: Clock, delay: DurationMs): Promise<void> =>
   new Promise((resolve) => {
     clock.after(delay, resolve);
   });
 
-/** Randomness comes in from outside too: a number in [0, 1). */
+/** Randomness is passed in from outside too: a number in [0, 1). */
 export type Random = () => number;
--- a/src/units/system.ts
+++ b/src/units/system.ts
@@ -1,7 +1,8 @@
+/** The clock of a process in service. */
 import { performance } from 'node:perf_hooks';
 import { type Clock, SteadyMs, WallMs } from './index.js';
 
-/** The machine's own clocks. */
+/** The machine's own clocks and Node.js timers. */
 export const systemClock: Clock = {
   steady: () => SteadyMs(performance.now()),
   wall: () => WallMs(Date.now()),
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -22,12 +22,12 @@
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** The size of its image cache. */
+  /** The size of its image cache, in GB. */
   readonly cacheGb: number;
   readonly fetchGbPerSecond: number;
   readonly onDemandPrice: number;
   readonly spotPrice: number;
-  /** How long a boot usually takes. */
+  /** How long a boot usually takes, in seconds. */
   readonly bootSeconds: number;
   readonly zones: readonly string[];
 }
@@ -78,6 +78,7 @@
   readonly count: number;
 }
 
+/** A request for more machines as it is sent. */
 export const encodeScaleOutRequest = (request: ScaleOutRequest): object => ({
   hire: request.requestId,
   build: request.machineType,
@@ -88,12 +89,13 @@
 
 const ScaleOutResponse = z.object({ boxes: z.array(z.string()) });
 
-/** The ids of the machines that were rented; undefined if the message is none that says so. */
+/** The ids of the machines that were rented; undefined if the message does not state them. */
 export function decodeScaleOutResponse(value: unknown): string[] | undefined {
   const parsed = ScaleOutResponse.safeParse(value);
   return parsed.success ? parsed.data.boxes : undefined;
 }
 
+/** A request to delete machines, by their ids. */
 export const encodeDeleteRequest = (machines: readonly string[]): object => ({ boxes: machines });
 
 const ListedMachineMessage = z.object({
@@ -110,7 +112,7 @@
   has_next: z.boolean(),
 });
 
-/** A machine in the cloud's list, which lags behind. */
+/** A machine in the cloud's list, which may be out of date. */
 export interface ListedMachine {
   readonly id: string;
   readonly address: string;
@@ -123,6 +125,7 @@
   readonly ageSeconds: number;
 }
 
+/** One page of the cloud's list. */
 export interface MachinePage {
   readonly machines: readonly ListedMachine[];
   readonly hasNext: boolean;
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -1,10 +1,12 @@
+/** CBOR, the encoding of all messages to and from controllers. */
 import { Encoder, type Options } from 'cbor-x';
 
-/** Bodies above this size are refused in both directions. */
+/** The largest body of a message, in bytes. */
 export const MAX_BODY = 64 * 1024;
+/** The media type of every body. */
 export const CONTENT_TYPE = 'application/cbor';
 
-/** The option is the library's, though its types leave it out. */
+/** `int64AsNumber` is an option of the library that its types leave out. */
 const options: Options & { int64AsNumber: boolean } = {
   useRecords: false,
   mapsAsObjects: true,
@@ -24,18 +26,22 @@
   }
   if (Array.isArray(value)) return value.map(widen);
   if (value !== null && typeof value === 'object') {
-    const out: Record<string, unknown> = {};
-    for (const [k, v] of Object.entries(value)) if (v !== undefined) out[k] = widen(v);
-    return out;
+    const widened: Record<string, unknown> = {};
+    for (const [key, field] of Object.entries(value)) {
+      if (field !== undefined) widened[key] = widen(field);
+    }
+    return widened;
   }
   return value;
 }
 
+/** One CBOR item. Fields that are undefined are left out. */
 export const encode = (value: unknown): Buffer => cbor.encode(widen(value));
 
-/** Throws on anything that is not exactly one CBOR item. */
+/** The value of one CBOR item, with maps as plain objects. Throws on anything that is not exactly one item. */
 export const decode = (bytes: Uint8Array): unknown => cbor.decode(bytes);
 
+/** Whether a decoded value is a map. */
 export function isMap(value: unknown): value is Record<string, unknown> {
   return (
     typeof value === 'object' && value !== null && Object.getPrototypeOf(value) === Object.prototype
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -1,12 +1,13 @@
 /** Messages between controllers and the state service, a consistent key-value store. */
 import * as z from 'zod';
 
-/** A key with its value; `revision` is that of its last change. */
+/** A key with its value. */
 export interface StoredValue {
   readonly key: string;
   readonly data: unknown;
+  /** The revision of the key's last change. */
   readonly revision: number;
-  /** The lease with which the key ends, if it is attached to one. */
+  /** The lease at whose end the key is deleted, if it is attached to one. */
   readonly leaseId?: number | undefined;
 }
 
@@ -36,6 +37,7 @@
   ledger_rev: z.number(),
 });
 
+/** One page of a list of keys. */
 export interface ValuePage {
   readonly values: readonly StoredValue[];
   readonly hasNext: boolean;
@@ -51,7 +53,7 @@
   return { values: items.map(toStoredValue), hasNext, revision };
 }
 
-/** A condition of a compare-and-swap: the key has this revision; 0: it does not exist. */
+/** A condition of a compare-and-swap: the key has this revision; with 0, it does not exist. */
 export interface Condition {
   readonly key: string;
   readonly revision: number;
@@ -79,7 +81,7 @@
 
 const CommittedMessage = z.object({ ledger_rev: z.number() });
 
-/** The revision of a transaction that was carried out; undefined if the message is none that says so. */
+/** The revision of a transaction that was carried out; undefined if the message does not state one. */
 export function decodeCommitted(value: unknown): number | undefined {
   const parsed = CommittedMessage.safeParse(value);
   return parsed.success ? parsed.data.ledger_rev : undefined;
@@ -87,7 +89,7 @@
 
 const ConflictMessage = z.object({ failed: z.array(z.string()), ledger_rev: z.number() });
 
-/** The keys whose conditions did not hold; undefined if the message is none that says so. */
+/** The keys whose conditions did not hold; undefined if the message does not state them. */
 export function decodeConflict(value: unknown): string[] | undefined {
   const parsed = ConflictMessage.safeParse(value);
   return parsed.success ? parsed.data.failed : undefined;
@@ -95,9 +97,10 @@
 
 const LeaseMessage = z.object({ tenure: z.number() });
 
+/** A request for a lease of so many milliseconds. */
 export const encodeLeaseRequest = (ttlMs: number): object => ({ ttl_ms: ttlMs });
 
-/** The id of a new lease; undefined if the message is none that says so. */
+/** The id of a new lease; undefined if the message does not state one. */
 export function decodeLease(value: unknown): number | undefined {
   const parsed = LeaseMessage.safeParse(value);
   return parsed.success ? parsed.data.tenure : undefined;
@@ -115,6 +118,7 @@
   ),
 });
 
+/** What changed under a prefix while it was watched. */
 export interface WatchedChanges {
   /** The revision from which to go on watching. */
   readonly revision: number;
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -2,7 +2,9 @@
 import * as z from 'zod';
 import { decode, isMap, MAX_BODY } from './codec.js';
 
+/** The form of job ids. */
 export const JOB_ID = /^run-\d{6,20}$/;
+/** The most tasks that a job may have. */
 export const MAX_TASKS = 100_000;
 
 /** The field that names a job's team, in every message of users and in final records. */
@@ -29,9 +31,9 @@
 export type Priority = (typeof PRIORITIES)[number];
 
 const name = z.string().min(1).max(120);
-const amount = z.number().finite().nonnegative();
+const amount = z.number().nonnegative();
 
-/** A submission as it is sent. Its fields keep their order: compact records depend on it. */
+/** A submission as it is sent. Its fields must keep their order: compact records depend on it. */
 export const SubmissionMessage = z.object({
   name_id: z.string().regex(JOB_ID),
   docket: name,
@@ -48,19 +50,19 @@
     .array(z.string().min(1).max(60))
     .max(16)
     .nullish()
-    .transform((v) => v ?? null),
-  hall: name.nullish().transform((v) => v ?? null),
+    .transform((value) => value ?? null),
+  hall: name.nullish().transform((value) => value ?? null),
   together: z.boolean(),
   apart: z.boolean(),
   loaners: z.boolean(),
   expected_s: amount,
   stamp_every_s: amount,
   stamp_s: amount,
-  due_s: amount.nullish().transform((v) => v ?? null),
+  due_s: amount.nullish().transform((value) => value ?? null),
 });
 export type SubmissionMessage = z.infer<typeof SubmissionMessage>;
 
-/** What a user submits: what runs, what each task takes, and where it may run. */
+/** What a user submits: what runs, which resources each task takes, and where it may run. */
 export interface JobSpec {
   readonly id: string;
   /** The class of jobs for which service-level objectives are set. */
@@ -157,7 +159,7 @@
   return decodeJobSpec(SubmissionMessage.parse({ ...fields, name_id: id }));
 }
 
-/** The states of a job that users are told of. */
+/** The states of a job, as users see them. */
 export const JobStatus = {
   /** No task is running. */
   pending: 'pending',
@@ -167,10 +169,11 @@
 } as const;
 export type JobStatus = (typeof JobStatus)[keyof typeof JobStatus];
 
-/** What a user is told of a job. Task counts and team are left out where only the state is known. */
+/** The state of a job. Numbers of tasks and the team are left out where only the status is known. */
 export interface JobState {
   readonly id: string;
   readonly status: JobStatus;
+  /** Numbers of tasks. */
   readonly done?: number;
   readonly running?: number;
   readonly team?: string;
@@ -178,6 +181,7 @@
   readonly reason?: string;
 }
 
+/** The state of a job as it is sent to users. */
 export const encodeJobState = ({
   id,
   status,
@@ -194,10 +198,14 @@
   ...(reason === undefined ? {} : { cause: reason }),
 });
 
+/** The outcome of a check; `reason` is one line. */
 export type Parsed<T> =
   { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
-/** The id alone, so that a repeat of a known job is answered even when its body would be refused. */
+/**
+ * The job id of a submission; undefined if it has none. It is read alone, so that a repeated submission of a known
+ * job is answered even when its body would be refused.
+ */
 export function submissionId(body: Uint8Array): string | undefined {
   if (body.length > MAX_BODY) return undefined;
   try {
@@ -210,7 +218,7 @@
   }
 }
 
-/** Reads a submission's body; `reason` names the field that is at fault. */
+/** Checks the body of a submission; `reason` names the invalid field. */
 export function parseSubmission(body: Uint8Array): Parsed<JobSpec> {
   if (body.length > MAX_BODY) return { ok: false, reason: 'body over 64 KiB' };
   let value: unknown;
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,34 +1,34 @@
 /** Messages between workers and controllers: heartbeats with status, and commands. */
 import * as z from 'zod';
 
-/** What a worker says of a task's progress. Words beyond these are passed on as they are. */
+/** The state of a task on its worker. Other values than these are passed on as they are. */
 export const TaskState = {
-  /** Waits for its image. */
+  /** Waits for its image to be fetched. */
   fetching: 'fetching',
   /** A gang's task that waits for the other tasks of its attempt. */
   gathering: 'gathering',
   running: 'running',
-  /** Was told to stop and writes a checkpoint. */
+  /** Writes a checkpoint after a command to stop. */
   saving: 'flushing',
   /** Ended; its exit reason says how. */
   exited: 'exited',
 } as const;
 
-/** Why a task ended. Words beyond these are passed on as they are. */
+/** Why a task ended. Other values than these are passed on as they are. */
 export const ExitReason = {
   /** Completed. */
   done: 'done',
   /** Stopped by command. */
   stopped: 'halted',
-  /** Failed, mostly because of its machine. */
+  /** Failed, in most cases because of its machine. */
   failed: 'error',
   /** Start refused: not enough free resources on the machine. */
   insufficientResources: 'full',
   /** Start refused: the task is on the machine with another attempt. */
   attemptConflict: 'in_use',
-  /** Start refused: the worker can't find the job or the task. */
+  /** Start refused: the worker does not know the job or the task. */
   unknownTask: 'no_such',
-  /** Another task of the gang is gone. */
+  /** Another task of the gang has ended or is out of reach. */
   gangMemberLost: 'peers',
   /** The gang was not complete in time. */
   gangIncomplete: 'incomplete',
@@ -71,7 +71,7 @@
   readonly checkpointSaved?: boolean | null | undefined;
 }
 
-/** A worker's heartbeat with the status of its machine. */
+/** A worker's heartbeat, with the status of its machine. */
 export interface Heartbeat {
   readonly machine: string;
   readonly address: string;
@@ -84,7 +84,7 @@
   readonly sequence: number;
   /** The highest fencing token that the worker has seen. */
   readonly fencingToken: number;
-  /** Seconds until the cloud reclaims the machine, if it has said so. */
+  /** Seconds until the cloud reclaims the machine, if it has announced that. */
   readonly reclaimNoticeSeconds?: number | null | undefined;
   readonly tasks: readonly TaskStatus[];
 }
@@ -116,29 +116,34 @@
   checkpointSaved: message.kept ?? null,
 });
 
-/** What a worker is told to do with one attempt of a task. */
+/** What all commands name: one attempt of a task. */
 export interface TaskCommand {
+  /** `<job>/<index>` */
   readonly task: string;
   readonly attempt: number;
 }
-/** Start a task, or forget one that has exited. */
+
+/** Start a task, or remove one that has exited. */
 export interface PlainCommand extends TaskCommand {
   readonly type: 'launch' | 'clear';
 }
-/** Stop a task. It saves first if it can within the grace period. */
+
+/** Stop a task. It writes a checkpoint first if it can within the grace period. */
 export interface KillCommand extends TaskCommand {
   readonly type: 'kill';
   readonly gracePeriodSeconds: number;
 }
+
+/** A command to a worker. */
 export type Command = PlainCommand | KillCommand;
 
-/** The answer to a heartbeat. */
+/** The answer to a heartbeat, which renews the worker's lease. */
 export interface HeartbeatReply {
   readonly fencingToken: number;
   readonly commands: readonly Command[];
 }
 
-/** Commands sent straight to a worker. They are refused unless token and session match. */
+/** Commands in a request to a worker. It refuses them unless fencing token and session match. */
 export interface CommandRequest extends HeartbeatReply {
   readonly session: number;
 }
@@ -160,7 +165,7 @@
     : { verb: command.type, entry: task, try: attempt };
 }
 
-/** Throws a `ZodError` on what is no command. */
+/** The command that a message holds. Throws a `ZodError` if it holds none. */
 export function decodeCommand(value: unknown): Command {
   const message = CommandMessage.parse(value);
   const command = { task: message.entry, attempt: message.try };
@@ -169,17 +174,19 @@
     : { type: message.verb, ...command };
 }
 
+/** The answer to a heartbeat as it is sent. */
 export const encodeHeartbeatReply = ({ fencingToken, commands }: HeartbeatReply): object => ({
   baton: fencingToken,
   orders: commands.map(encodeCommand),
 });
 
-/** For clients. Throws a `ZodError` on what is no answer to a heartbeat. */
+/** For clients: the answer to a heartbeat. Throws a `ZodError` if the message is none. */
 export function decodeHeartbeatReply(value: unknown): HeartbeatReply {
   const { baton, orders } = HeartbeatReplyMessage.parse(value);
   return { fencingToken: baton, commands: orders.map(decodeCommand) };
 }
 
+/** A request with commands as it is sent. */
 export const encodeCommandRequest = ({
   fencingToken,
   session,
--- a/test/unit/compatibility.test.ts
+++ b/test/unit/compatibility.test.ts
@@ -1,4 +1,4 @@
-/** What the version in production sends and stores, as `tools/record-production.mjs` recorded it from that version. */
+/** Messages and records of the version in production, as `tools/record-production.mjs` recorded them. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -94,7 +94,7 @@
 
 const asJson = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-/** Encodes what was recorded, and reads the recorded bytes: both must be what production has. */
+/** Encoding the recorded message must give the recorded bytes, and decoding those the message. */
 function assertSame<Message extends PeerRequest | PeerResponse>(
   recorded: RecordedMessage,
   encode: (id: number, message: Message) => Buffer,
@@ -133,7 +133,7 @@
     assert.deepEqual(asJson(limits.encode(job, Epoch(live.e)).record), live, `${name}: no change`);
     if (final !== null) assert.deepEqual(asJson(encodeFinal(job.finalState())), final, name);
     assert.deepEqual(writerMarkOf(live), { epoch: live.e, version: live.v });
-    // The same facts in the format to come, and within the limits to come.
+    // The same state in the next format, and within the limits to come.
     const compact = asJson(encodeJobCompactly(job, Epoch(live.e)));
     const back = decodeJob(id, compact, Revision(9), SteadyMs(0));
     back.version = live.v;
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -1,3 +1,4 @@
+/** Messages of the outside protocols: what is accepted, and how each field is mapped. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -23,11 +24,11 @@
 } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 
-const good = encodeJobSpec(spec({}));
+const valid = encodeJobSpec(spec({}));
 
 void test('submissions: each field is checked', () => {
   const cases: [string, Record<string, unknown>, boolean][] = [
-    ['as it should be', {}, true],
+    ['valid', {}, true],
     ['id of another form', { name_id: 'job-000001' }, false],
     ['id with letters', { name_id: 'run-00a001' }, false],
     ['id missing', { name_id: undefined }, false],
@@ -69,25 +70,25 @@
     ['an unknown field', { colour: 'red' }, true],
   ];
   for (const [name, change, ok] of cases) {
-    const parsed = parseSubmission(encode({ ...good, ...change }));
+    const parsed = parseSubmission(encode({ ...valid, ...change }));
     assert.equal(parsed.ok, ok, `${name}: ${JSON.stringify(parsed)}`);
   }
 });
 
-void test('submissions: bodies that are no submission', () => {
+void test('submissions: bodies that hold none are refused', () => {
   const cases: [string, Buffer][] = [
     ['empty', Buffer.alloc(0)],
-    ['JSON', Buffer.from(JSON.stringify(good))],
-    ['a list', encode([good])],
+    ['JSON', Buffer.from(JSON.stringify(valid))],
+    ['a list', encode([valid])],
     ['a number', encode(4)],
     ['null', encode(null)],
-    ['more than one item', Buffer.concat([encode(good), encode(1)])],
-    ['cut short', encode(good).subarray(0, 40)],
-    ['too long', encode({ ...good, padding: 'x'.repeat(MAX_BODY) })],
+    ['more than one item', Buffer.concat([encode(valid), encode(1)])],
+    ['cut short', encode(valid).subarray(0, 40)],
+    ['too long', encode({ ...valid, padding: 'x'.repeat(MAX_BODY) })],
   ];
   for (const [name, body] of cases) assert.equal(parseSubmission(body).ok, false, name);
-  assert.equal(submissionId(encode({ ...good, shape: 'spiral' })), 'run-000001');
-  assert.equal(submissionId(encode({ ...good, name_id: 'x' })), undefined);
+  assert.equal(submissionId(encode({ ...valid, shape: 'spiral' })), 'run-000001');
+  assert.equal(submissionId(encode({ ...valid, name_id: 'x' })), undefined);
 });
 
 void test('integers beyond 32 bits travel as integers', () => {
@@ -96,16 +97,16 @@
   assert.deepEqual(decode(bytes), { baton: 2 ** 40 + 1 });
 });
 
-void test('reports: null and missing fields are alike, unknown ones are ignored', () => {
-  const base = { box: 'vm-000001', addr: '10.1.0.1:9000', build: 'a', hall: 'z', loaners: true };
-  const beat = { ...base, shift: 1, tally: 2, baton: 3, entries: [] };
-  assert.ok(decodeHeartbeat(beat));
-  assert.ok(decodeHeartbeat({ ...beat, recall_s: null, extra: 1 }));
-  assert.ok(!decodeHeartbeat({ ...beat, tally: -1 }));
-  assert.ok(!decodeHeartbeat(base));
+void test('heartbeats: null and missing fields are alike, unknown ones are ignored', () => {
+  const machine = { box: 'vm-000001', addr: '10.1.0.1:9000', build: 'a', hall: 'z', loaners: true };
+  const message = { ...machine, shift: 1, tally: 2, baton: 3, entries: [] };
+  assert.ok(decodeHeartbeat(message));
+  assert.ok(decodeHeartbeat({ ...message, recall_s: null, extra: 1 }));
+  assert.ok(!decodeHeartbeat({ ...message, tally: -1 }));
+  assert.ok(!decodeHeartbeat(machine));
 });
 
-/** Each field's name on the wire and here, by the examples of the protocol. */
+// The messages are the examples of the protocol.
 void test('submissions: every field of the protocol is mapped, there and back', () => {
   const message = {
     name_id: 'run-000412',
