--- a/eslint.config.js
+++ b/eslint.config.js
@@ -186,11 +186,6 @@
  */
 // prettier-ignore
 export const EXCEPTIONS = [
-  ['src/config/operator-file.ts', 'complexity', 14, '`parseOperator`: one default for each optional element'],
-  ['src/config/settings.ts', 'complexity', 16, '`parseSettings`: one default for each optional setting'],
-  ['src/config/settings.ts', 'max-lines-per-function', 75, '`parseSettings`: one line for each setting'],
-  ['src/net/http.ts', 'max-lines-per-function', 63, '`send`: listeners that share the state of one request'],
-  ['src/store/client.ts', 'complexity', 15, '`multi`: the outcomes of a transaction, by status'],
   ['test/standin/day.ts', 'complexity', 64, '`badDay`: the mishaps of a day, one condition each; its order of draws fixes the seeds'],
   ['test/standin/day.ts', 'max-lines-per-function', 168, '`badDay`: as its complexity'],
   ['test/standin/state.ts', 'complexity', 16, '`multi`, `handle`: the answers of the service, one branch each'],
@@ -198,7 +193,6 @@
   ['test/standin/worker.ts', 'complexity', 16, '`report`: the answers that a worker may get, one branch each'],
   ['test/standin/world.ts', 'complexity', 25, '`started`, `waitsBesideRoom`: rules of the service that each day is judged by'],
   ['test/standin/world.ts', 'max-lines', 528, 'one world joins all stand-ins and judges them'],
-  ['test/unit/report-relay.test.ts', 'complexity', 13, 'a property over drawn steps, one branch for each kind'],
 ];
 
 export default defineConfig(
--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -15,7 +15,7 @@
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
 import type { QueueEntry } from '../ledger/queue-order.js';
-import { Backoff } from '../store/budget.js';
+import { Backoff } from '../store/backoff.js';
 import { detach } from '../units/detach.js';
 import {
   ms,
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,7 +1,8 @@
 /** The command line: what the process is to do, by its arguments and the files that they name. */
 import { Command, CommanderError } from 'commander';
 import { defaultsFor, type OperatorSettings } from '../config/operator.js';
-import { SettingsError, readSettings, type Settings } from '../config/settings.js';
+import { SettingsError } from '../config/input.js';
+import { readSettings, type Settings } from '../config/settings.js';
 
 /** That of package.json. */
 const VERSION = '0.1.0';
@@ -89,8 +90,8 @@
 ): Promise<OperatorSettings> {
   if (file === undefined) return defaultsFor(settings.workers);
   // Loaded only where it is used: start-up counts on small machines.
-  const { checkTogether, readOperator } = await import('../config/operator-file.js');
+  const { checkLeaderLease, readOperator } = await import('../config/operator-file.js');
   const operator = readOperator(file);
-  checkTogether(settings, operator);
+  checkLeaderLease(settings, operator);
   return operator;
 }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -3,7 +3,7 @@
  * its result whether the cloud carried it out; it throws for no answer of the cloud.
  */
 import type { HttpClient, Outcome, Request } from '../net/http.js';
-import { TokenBucket } from '../store/budget.js';
+import { TokenBucket } from '../store/token-bucket.js';
 import { MachineId, ms, type Clock, type DurationMs, type Endpoint } from '../units/index.js';
 import {
   decodeMachinePage,
@@ -75,7 +75,7 @@
       path: '/machines',
       body: encodeScaleOutRequest(request),
     });
-    if (outcome.kind !== 'answer') return { kind: 'retry', reason: outcome.why };
+    if (outcome.kind !== 'answer') return { kind: 'retry', reason: outcome.reason };
     const { status, body } = outcome;
     if (status === 200) {
       const machines = decodeScaleOutResponse(body);
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -61,20 +61,20 @@
     private readonly environment: ControllerEnvironment,
   ) {
     const { clock, random, http, log, peers } = environment;
-    this.store = new StoreClient(
+    this.store = new StoreClient({
       http,
-      settings.storeEndpoint,
+      endpoint: settings.storeEndpoint,
       clock,
       random,
-      settings.state,
-      settings.nodes,
-    );
+      limits: settings.state,
+      nodeCount: settings.nodes,
+    });
     this.recordLimits = new RecordLimits(settings.state, () => {
       log.info('the state service has lowered its limits');
       this.store.lowerRates();
     });
     this.jobRecords = new JobRecords(this.store, clock, this.recordLimits);
-    this.cloud = new CloudClient(http, settings.cloudEndpoint, clock, settings.cloud.rps);
+    this.cloud = new CloudClient(http, settings.cloudEndpoint, clock, settings.cloud.requestRate);
     this.election = this.createElection();
     this.leadership = new Leadership(this.election, peers);
     this.storedCatalog = new StoredCatalog({
@@ -83,14 +83,12 @@
       clock,
       isLeading: () => this.leadership.term !== undefined,
     });
-    this.peerLiveness = new PeerLiveness(
-      peers,
-      clock,
-      () => this.ownStatus(),
-      ({ leader, epoch }) => {
+    this.peerLiveness = new PeerLiveness(peers, clock, log, {
+      ownStatus: () => this.ownStatus(),
+      onPeerStatus: ({ leader, epoch }) => {
         if (leader !== '') this.election.noteLeader(NodeId(leader), epoch);
       },
-    );
+    });
     this.userRequests = this.createUserRequests();
     this.workerHeartbeats = this.createWorkerHeartbeats();
     this.peerRequests = this.createPeerRequests();
@@ -129,11 +127,11 @@
   private createWorkerHeartbeats(): WorkerHeartbeats {
     const { leadership } = this;
     const { node } = this.settings;
-    const { clock } = this.environment;
+    const { clock, log } = this.environment;
     return new WorkerHeartbeats({
       node,
       leadership,
-      relay: new HeartbeatRelay(node, clock, () => leadership.leaderPeer()),
+      relay: new HeartbeatRelay({ node, clock, log, leaderPeer: () => leadership.leaderPeer() }),
       clock,
       isIsolated: () => this.isIsolated(),
     });
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -216,7 +216,7 @@
     });
     const change = await Promise.race([store.watch(LEADER_KEY, from, WATCH_TIMEOUT), woken]);
     this.wakeWatch = undefined;
-    if (change === undefined || change === 'stale') await this.pauseBeforeRetry();
+    if (change === 'failed' || change === 'stale') await this.pauseBeforeRetry();
   }
 
   private async runProbes(): Promise<void> {
--- a/src/leader/leader-key.ts
+++ b/src/leader/leader-key.ts
@@ -55,7 +55,7 @@
   async read(): Promise<LeaderKeyState> {
     // Listed rather than read, since a list says at which revision: the key's own may be older than
     // what the store keeps of its history, and a watch from there would be refused at once, for ever.
-    const listed = await this.store.list(LEADER_KEY, CALL_TIMEOUT, true);
+    const listed = await this.store.list(LEADER_KEY, CALL_TIMEOUT, { urgent: true });
     if (!listed) return { kind: 'unreadable' };
     const item = listed.items.find(({ key }) => key === LEADER_KEY);
     if (!item) return { kind: 'absent' };
--- a/src/leader/rebuild.ts
+++ b/src/leader/rebuild.ts
@@ -40,7 +40,7 @@
   /** Resolves with true once all records are read, however often that must be tried; false if closed. */
   async run(): Promise<boolean> {
     while (!this.closed) {
-      const listed = await this.deps.store.list(LIVE_PREFIX, STORE_TIMEOUT, true);
+      const listed = await this.deps.store.list(LIVE_PREFIX, STORE_TIMEOUT, { urgent: true });
       if (this.closed) return false;
       if (listed) {
         const now = this.deps.clock.steady();
--- a/src/ledger/batch-assembler.ts
+++ b/src/ledger/batch-assembler.ts
@@ -27,7 +27,7 @@
 
 /** What an assembler works with. */
 export interface BatchAssemblerOptions {
-  readonly store: Pick<StoreClient, 'writeRoom' | 'writeWait'>;
+  readonly store: Pick<StoreClient, 'availableWrites' | 'writeWait'>;
   readonly epoch: Epoch;
   readonly limits: RecordLimits;
   readonly queue: CommitQueue;
@@ -42,8 +42,8 @@
   assemble(): Assembly {
     const { store, epoch, limits, queue, clock } = this.options;
     const due = queue.due(clock.steady());
-    const budget = store.writeRoom();
-    const maxChanges = Math.min(limits.transactionOps, budget.writes);
+    const budget = store.availableWrites();
+    const maxChanges = Math.min(limits.transactionOps, budget.count);
     const builder = new BatchBuilder(epoch, limits, maxChanges);
     const added = this.addRecords(builder, due.jobs, budget.share);
     let checkAfter = Math.min(due.checkAfter, added.checkAfter);
--- a/src/ledger/commit-loop.ts
+++ b/src/ledger/commit-loop.ts
@@ -1,7 +1,7 @@
 /** The loop that writes changes: when transactions are assembled and sent, and how many are under way at once. */
 import type { Mutex } from 'async-mutex';
 import type { Logger } from 'pino';
-import type { Backoff } from '../store/budget.js';
+import type { Backoff } from '../store/backoff.js';
 import { detach } from '../units/detach.js';
 import { ms, type Clock, type DurationMs, type Timer } from '../units/index.js';
 import type { BatchAssembler } from './batch-assembler.js';
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -1,5 +1,6 @@
 /** What a node that does not lead does with the store itself, on behalf of users. */
-import type { CommitResult, StoreClient } from '../store/client.js';
+import type { StoreClient } from '../store/client.js';
+import type { CommitResult } from '../store/results.js';
 import { Epoch, JobId, Revision, ms, type Clock, type DurationMs } from '../units/index.js';
 import type { Condition, JobSpec, Write } from '../wire/index.js';
 import { decodeJob } from './codec.js';
@@ -158,6 +159,6 @@
 
   /** Waits for a notice that is later than `from`, or for some seconds; false if that could not be done. */
   async watchNotices(from: Revision): Promise<boolean> {
-    return (await this.store.watch(NOTICE_PREFIX, from, WATCH_TIMEOUT)) !== undefined;
+    return (await this.store.watch(NOTICE_PREFIX, from, WATCH_TIMEOUT)) !== 'failed';
   }
 }
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -1,7 +1,7 @@
 /** The jobs of a leader and their way into the store. */
 import { Mutex } from 'async-mutex';
 import type { Logger } from 'pino';
-import { Backoff } from '../store/budget.js';
+import { Backoff } from '../store/backoff.js';
 import type { StoreClient } from '../store/client.js';
 import {
   ms,
--- a/src/ledger/outcome-resolver.ts
+++ b/src/ledger/outcome-resolver.ts
@@ -1,6 +1,7 @@
 /** Rereads records after a conflict or an unanswered transaction, to find out what the store holds. */
 import type { Logger } from 'pino';
-import type { ReadResult, StoreClient } from '../store/client.js';
+import type { StoreClient } from '../store/client.js';
+import type { ReadResult } from '../store/results.js';
 import { ms, sleep, type Clock, type Epoch } from '../units/index.js';
 import type { PendingRecord } from './batch.js';
 import { writerMarkOf } from './codec.js';
--- a/src/ledger/transaction-writer.ts
+++ b/src/ledger/transaction-writer.ts
@@ -1,8 +1,9 @@
 /** Sends transactions to the store and passes on their outcomes, record by record. */
 import type { Mutex } from 'async-mutex';
 import type { Logger } from 'pino';
-import type { Backoff } from '../store/budget.js';
-import type { CommitResult, StoreClient } from '../store/client.js';
+import type { Backoff } from '../store/backoff.js';
+import type { StoreClient } from '../store/client.js';
+import type { CommitResult } from '../store/results.js';
 import { later, ms, type Clock, type Revision } from '../units/index.js';
 import type { Batch, PendingRecord } from './batch.js';
 import type { CommitQueue } from './commit-queue.js';
@@ -52,7 +53,7 @@
     try {
       result = await store.transact(batch.conditions, batch.writes, TRANSACTION_TIMEOUT);
     } catch (error) {
-      result = { kind: 'unknown', why: (error as Error).message };
+      result = { kind: 'unknown', reason: (error as Error).message };
     }
     if (this.closed) return;
     if (result.kind !== 'committed') this.putBackNotices(batch);
@@ -68,14 +69,14 @@
         else await this.resolveConflict(batch, new Set(result.failed));
         return;
       case 'unknown':
-        await this.resolveUnknown(batch, result.why);
+        await this.resolveUnknown(batch, result.reason);
         return;
       case 'tooLarge':
         this.noteTooLarge(batch.records);
         return;
       case 'leaseExpired':
       case 'refused':
-        this.noteRefused(batch, result.kind === 'refused' ? result.why : '');
+        this.noteRefused(batch, result.kind === 'refused' ? result.reason : '');
     }
   }
 
--- a/src/servers.ts
+++ b/src/servers.ts
@@ -4,7 +4,7 @@
 import { createApp } from './api/app.js';
 import type { Settings } from './config/settings.js';
 import type { Controller } from './controller.js';
-import { servePeers } from './peer/channel.js';
+import { servePeers } from './peer/server.js';
 import type { Endpoint } from './units/index.js';
 
 /**
--- a/src/socket-budget.ts
+++ b/src/socket-budget.ts
@@ -1,6 +1,6 @@
 /** How the sockets that a node may open are divided. */
 import type { Settings } from './config/settings.js';
-import { LANE_SOCKETS } from './net/http.js';
+import { LANE_SOCKETS } from './net/client.js';
 
 /** The share of a node's sockets that its own calls to workers may take, those that are kept included. */
 const COMMAND_SHARE = 0.12;
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -66,7 +66,12 @@
   const workerHeartbeats = new WorkerHeartbeats({
     node: settings.node,
     leadership,
-    relay: new HeartbeatRelay(settings.node, clock, () => leadership.leaderPeer()),
+    relay: new HeartbeatRelay({
+      node: settings.node,
+      clock,
+      log: pino({ level: 'silent' }),
+      leaderPeer: () => leadership.leaderPeer(),
+    }),
     clock,
     isIsolated,
   });
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -28,7 +28,7 @@
 
 const ok = (body: unknown): Outcome => ({ kind: 'answer', status: 200, body });
 const NO_CAPACITY: Outcome = { kind: 'answer', status: 503, body: { error: 'no capacity' } };
-const NO_ANSWER: Outcome = { kind: 'unknown', why: 'no answer in time' };
+const NO_ANSWER: Outcome = { kind: 'unknown', reason: 'no answer in time' };
 
 /**
  * An autoscaler with a queue of one job of 8 CPUs, for which one machine is enough, ticked every 500 ms.
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -168,14 +168,14 @@
     state.handle(method, path, body, from),
   );
   const { node } = parseSettings(settingsFile());
-  const store = new StoreClient(
-    network.client(node, 'r', clock),
-    Endpoint(endpoint),
+  const store = new StoreClient({
+    http: network.client(node, 'r', clock),
+    endpoint: Endpoint(endpoint),
     clock,
-    () => 0.5,
-    lowering,
-    1,
-  );
+    random: () => 0.5,
+    limits: lowering,
+    nodeCount: 1,
+  });
   const limits = new RecordLimits(lowering, () => store.lowerRates());
   const committed: string[] = [];
   const events = {
