--- a/src/peer/liveness.ts
+++ b/src/peer/liveness.ts
@@ -19,7 +19,7 @@
 }
 
 /**
- * Whether a node can serve nobody because it is cut off itself: neither the state service nor any other node
+ * Whether a node is of no use to users because it is cut off itself: neither the state service nor any other node
  * answers it. In an outage of the state service for all, the other nodes say so, and none counts as isolated.
  */
 export function isIsolated(
--- a/src/store/call-queue.ts
+++ b/src/store/call-queue.ts
@@ -52,7 +52,7 @@
     let pause = Infinity;
     const waiting: QueuedCall[] = [];
     for (const call of this.queue) {
-      // By now its caller has been asked to come back later: nobody would use the answer.
+      // Its caller has given up by now, and would not use the answer.
       if (now > call.deadline) call.resolve(false);
       else if (this.budget.tryTake(call.writes)) call.resolve(true);
       else {
--- a/test/support/settings.ts
+++ b/test/support/settings.ts
@@ -1,15 +1,21 @@
+/** Settings for tests. */
+
 /** A platform's settings file for three nodes, small enough to read. */
 export function settingsFile(node = 0, zones: readonly string[] = ['a', 'b', 'c']) {
   const nodes = [0, 1, 2];
-  const zone = (n: number): string => zones[n % zones.length] ?? 'a';
+  const zoneOf = (index: number): string => zones[index % zones.length] ?? 'a';
   return {
     node: `node-${node}`,
-    area: zone(node),
+    area: zoneOf(node),
     api_addr: `10.0.0.${node + 1}:8080`,
     cluster_listen: `10.0.0.${node + 1}:8081`,
     others: nodes
-      .filter((n) => n !== node)
-      .map((n) => ({ node: `node-${n}`, area: zone(n), endpoint: `10.0.0.${n + 1}:8081` })),
+      .filter((other) => other !== node)
+      .map((other) => ({
+        node: `node-${other}`,
+        area: zoneOf(other),
+        endpoint: `10.0.0.${other + 1}:8081`,
+      })),
     endpoints: { cloud: '10.2.0.2:8443', state: '10.2.0.1:2379' },
     params: {
       nodes: 3,
