--- a/src/api/job-queries.ts
+++ b/src/api/job-queries.ts
@@ -2,11 +2,11 @@
 import type { JobRecords } from '../ledger/job-records.js';
 import type { JobAnswer } from '../leader/job-requests.js';
 import type { Term } from '../leader/term.js';
-import { JobId, later, ms, since, sleep, type Clock } from '../units/index.js';
+import { JobId, later, ms, durationBetween, sleep, type Clock } from '../units/index.js';
 import { JOB_ID } from '../wire/index.js';
 import { STORE_ANSWER_TTL, jobAnswerReply, storedJobReply } from './job-replies.js';
 import { askLeader } from './leader-call.js';
-import type { Leadership, Relaying } from './leadership.js';
+import type { LeaderView, Relaying } from './leadership.js';
 import { NO_SUCH_JOB, TRY_AGAIN, type Reply } from './reply.js';
 
 const READ_TIMEOUT = ms(1200);
@@ -18,7 +18,7 @@
 /** Reads and cancels jobs that exist. */
 export class JobQueries {
   constructor(
-    private readonly leadership: Leadership,
+    private readonly leadership: LeaderView,
     private readonly jobRecords: JobRecords,
     private readonly clock: Clock,
   ) {}
@@ -26,10 +26,10 @@
   /** The state of a job; `TRY_AGAIN` if that is not certain. */
   async read(id: string, relaying: Relaying): Promise<Reply> {
     if (!JOB_ID.test(id)) return NO_SUCH_JOB;
-    const responder = this.leadership.responder(relaying);
+    const responder = this.leadership.routeFor(relaying);
     if (responder.kind === 'term') {
       const { term } = responder;
-      return this.replyUnder(term, id, await term.findJob(JobId(id)), NO_SUCH_JOB);
+      return this.replyIfAuthorised(term, id, await term.findJob(JobId(id)), NO_SUCH_JOB);
     }
     if (responder.kind === 'leader') {
       const response = await askLeader(responder.peer, { type: 'readJob', job: id }, READ_TIMEOUT);
@@ -42,17 +42,17 @@
     const askedAt = this.clock.steady();
     const stored = await this.jobRecords.lookup(JobId(id));
     // What is not final may have changed while a late answer was under way, and its user may know that.
-    const isLate = since(askedAt, this.clock.steady()) > STORE_ANSWER_TTL;
+    const isLate = durationBetween(askedAt, this.clock.steady()) > STORE_ANSWER_TTL;
     return isLate && stored.kind !== 'final' ? TRY_AGAIN : storedJobReply(id, stored);
   }
 
   /** Cancels a job and answers with its state once that is committed; `TRY_AGAIN` if that is not known. */
   async cancel(id: string, relaying: Relaying): Promise<Reply> {
     if (!JOB_ID.test(id)) return NO_SUCH_JOB;
-    const responder = this.leadership.responder(relaying);
+    const responder = this.leadership.routeFor(relaying);
     if (responder.kind === 'term') {
       const { term } = responder;
-      return this.replyUnder(term, id, await term.cancelJob(JobId(id)), NO_SUCH_JOB);
+      return this.replyIfAuthorised(term, id, await term.cancelJob(JobId(id)), NO_SUCH_JOB);
     }
     if (responder.kind === 'leader') {
       const request = { type: 'cancelJob', job: id } as const;
@@ -85,7 +85,7 @@
   }
 
   /** The reply that an answer of our term allows; `absent` is the reply if there is no such job. */
-  replyUnder(term: Term, id: string, answer: JobAnswer, absent: Reply): Reply {
+  replyIfAuthorised(term: Term, id: string, answer: JobAnswer, absent: Reply): Reply {
     // While this process waited, or stood still, another node may have begun to lead and have answered
     // users with a later state than the one known here. What is final stays as it is.
     const isAuthorised = answer.kind === 'final' || this.leadership.authorisedTerm() === term;
--- a/src/api/leadership.ts
+++ b/src/api/leadership.ts
@@ -8,16 +8,16 @@
 export type Relaying = 'relay' | 'answerHere';
 
 /** What a user's request is answered by. */
-export type Responder =
+export type RequestRoute =
   /** This node leads and knows the records. */
   | { readonly kind: 'term'; readonly term: Term }
   /** Another node leads and answers us. */
   | { readonly kind: 'leader'; readonly peer: Peer }
-  /** No leader can be asked: the store is all there is. */
+  /** No leader can be asked, or this node leads and still reads the records: the store is all there is. */
   | { readonly kind: 'store' };
 
 /** The node's own term, and its way to the leader if that is another node. */
-export class Leadership {
+export class LeaderView {
   /** The term that this node leads, whether or not its authority stands at this moment. */
   term: Term | undefined;
 
@@ -34,7 +34,7 @@
   }
 
   /** What a user's request is answered by at this moment. */
-  responder(relaying: Relaying): Responder {
+  routeFor(relaying: Relaying): RequestRoute {
     const term = this.authorisedTerm();
     if (term?.isReady) return { kind: 'term', term };
     // A leader that still reads the records has no other to ask, and requests must not go in circles.
--- a/src/api/peer-requests.ts
+++ b/src/api/peer-requests.ts
@@ -4,7 +4,7 @@
 import { callWorker } from '../relay/worker-call.js';
 import { JobId } from '../units/index.js';
 import { encode } from '../wire/index.js';
-import type { Leadership } from './leadership.js';
+import type { LeaderView } from './leadership.js';
 import type { Reply } from './reply.js';
 import type { UserRequests } from './user-requests.js';
 import type { WorkerHeartbeats } from './worker-heartbeats.js';
@@ -18,7 +18,7 @@
 
 /** What peers' requests need of the rest of the node. */
 export interface PeerRequestDependencies {
-  readonly leadership: Leadership;
+  readonly leadership: LeaderView;
   readonly userRequests: UserRequests;
   readonly workerHeartbeats: WorkerHeartbeats;
   readonly http: HttpClient;
--- a/src/api/submissions.ts
+++ b/src/api/submissions.ts
@@ -8,12 +8,12 @@
 import type { SubmitOutcome } from '../leader/job-requests.js';
 import type { Term } from '../leader/term.js';
 import { detach } from '../units/detach.js';
-import { JobId, ms, since, type Clock, type DurationMs } from '../units/index.js';
+import { JobId, ms, durationBetween, type Clock, type DurationMs } from '../units/index.js';
 import { parseSubmission, submissionId, type JobSpec, type Parsed } from '../wire/index.js';
 import type { JobQueries } from './job-queries.js';
 import { STORE_ANSWER_TTL, busyReply, createdReply } from './job-replies.js';
 import { askLeader } from './leader-call.js';
-import type { Leadership, Relaying } from './leadership.js';
+import type { LeaderView, Relaying } from './leadership.js';
 import { TRY_AGAIN, type Reply } from './reply.js';
 
 /**
@@ -28,9 +28,9 @@
 /** What a submission needs of the rest of the node. */
 export interface SubmissionDependencies {
   readonly admission: AdmissionControl;
-  readonly leadership: Leadership;
+  readonly leadership: LeaderView;
   readonly jobRecords: JobRecords;
-  readonly queries: Pick<JobQueries, 'read' | 'replyUnder'>;
+  readonly queries: Pick<JobQueries, 'read' | 'replyIfAuthorised'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
@@ -99,7 +99,7 @@
     relaying: Relaying,
   ): Promise<CommitOutcome> {
     const isUndecided = kind === 'undecided';
-    const responder = this.deps.leadership.responder(relaying);
+    const responder = this.deps.leadership.routeFor(relaying);
     if (responder.kind === 'term') {
       const { term } = responder;
       const outcome = isUndecided ? await term.findJob(JobId(spec.id)) : await term.submitJob(spec);
@@ -123,7 +123,10 @@
     switch (result) {
       case 'created':
         this.notifyLeader(JobId(spec.id));
-        return { kind: 'written', isLate: since(askedAt, clock.steady()) > STORE_ANSWER_TTL };
+        return {
+          kind: 'written',
+          isLate: durationBetween(askedAt, clock.steady()) > STORE_ANSWER_TTL,
+        };
       case 'exists':
       case 'unknown':
         return { kind: result };
@@ -146,7 +149,7 @@
     const { queries } = this.deps;
     switch (outcome.kind) {
       case 'term':
-        return this.answerUnder(outcome.term, id, outcome.outcome);
+        return this.answerFromTerm(outcome.term, id, outcome.outcome);
       case 'answered':
         return outcome.reply;
       case 'written':
@@ -163,14 +166,14 @@
     }
   }
 
-  private answerUnder(term: Term, id: string, outcome: SubmitOutcome): Reply {
+  private answerFromTerm(term: Term, id: string, outcome: SubmitOutcome): Reply {
     switch (outcome.kind) {
       case 'created':
         return createdReply(id);
       case 'busy':
         return busyReply(outcome.wait);
       default:
-        return this.deps.queries.replyUnder(term, id, outcome, TRY_AGAIN);
+        return this.deps.queries.replyIfAuthorised(term, id, outcome, TRY_AGAIN);
     }
   }
 }
--- a/src/api/user-requests.ts
+++ b/src/api/user-requests.ts
@@ -9,7 +9,7 @@
 import type { UserPeerRequest } from '../peer/messages.js';
 import { ms, type Clock } from '../units/index.js';
 import { JobQueries } from './job-queries.js';
-import type { Leadership } from './leadership.js';
+import type { LeaderView } from './leadership.js';
 import { ISOLATED, METHOD_NOT_ALLOWED, NO_SUCH_PATH, TRY_AGAIN, type Reply } from './reply.js';
 import { Submissions } from './submissions.js';
 
@@ -23,7 +23,7 @@
 /** What users' requests need of the rest of the node. */
 export interface UserRequestDependencies {
   readonly admission: AdmissionControl;
-  readonly leadership: Leadership;
+  readonly leadership: LeaderView;
   readonly jobRecords: JobRecords;
   readonly clock: Clock;
   readonly log: Logger;
--- a/src/api/worker-heartbeats.ts
+++ b/src/api/worker-heartbeats.ts
@@ -10,7 +10,7 @@
   later,
   ms,
   seconds,
-  since,
+  durationBetween,
   sleep,
   type Clock,
   type NodeId,
@@ -24,7 +24,7 @@
   encodeRedirect,
   type Heartbeat,
 } from '../wire/index.js';
-import type { Leadership } from './leadership.js';
+import type { LeaderView } from './leadership.js';
 import { NOT_A_HEARTBEAT, NOT_AUTHORISED, type Reply } from './reply.js';
 
 /**
@@ -42,7 +42,7 @@
 /** A worker that was redirected and is back this soon can't reach the node that it was sent to. */
 const BOUNCE_WINDOW = seconds(9);
 /** For so long such a worker is served here. */
-const BOUNCED_SERVICE_TIME = seconds(20);
+const REDIRECT_SUPPRESSION_TIME = seconds(20);
 /** After this a redirect is forgotten. */
 const REDIRECT_TTL = seconds(60);
 
@@ -64,7 +64,7 @@
 export interface WorkerHeartbeatDependencies {
   /** This node. */
   readonly node: NodeId;
-  readonly leadership: Leadership;
+  readonly leadership: LeaderView;
   readonly relay: HeartbeatRelay;
   readonly clock: Clock;
   /** Whether this node alone is cut off from the store and the other nodes. */
@@ -76,7 +76,7 @@
   private readonly redirects = new ExpiringMap<MachineId, Redirect>(REDIRECT_TTL);
   /** Since when the leader that we know of has not answered us. */
   private leaderUnreachableSince: SteadyMs | undefined;
-  private readonly leadership: Leadership;
+  private readonly leadership: LeaderView;
   private readonly clock: Clock;
 
   constructor(private readonly deps: WorkerHeartbeatDependencies) {
@@ -94,7 +94,8 @@
     if (this.deps.isIsolated()) return NOT_AUTHORISED;
     const leader = this.unreachableLeader();
     // The worker may reach the leader where we don't.
-    if (leader !== undefined && !this.isBounced(heartbeat.machine)) return redirectTo(leader);
+    if (leader !== undefined && !this.isRedirectFailed(heartbeat.machine))
+      return redirectTo(leader);
     const reply = await this.deps.relay.send(heartbeat, body.length);
     if (reply) return { status: 200, body: encodeHeartbeatReply(reply) };
     // This node may have come to lead while it waited for the leader.
@@ -111,14 +112,17 @@
     }
     const now = this.clock.steady();
     this.leaderUnreachableSince ??= now;
-    return since(this.leaderUnreachableSince, now) > LEADER_UNREACHABLE_AFTER ? leader : undefined;
+    return durationBetween(this.leaderUnreachableSince, now) > LEADER_UNREACHABLE_AFTER
+      ? leader
+      : undefined;
   }
 
   private async answerHere(heartbeat: Heartbeat, term: Term): Promise<Reply> {
     // It has seen a newer token than ours: we have no right to act any more.
     if (heartbeat.fencingToken > term.epoch) return NOT_AUTHORISED;
     const follower = term.redirectsWorkers ? this.followerFor(heartbeat.machine) : undefined;
-    if (follower !== undefined && !this.isBounced(heartbeat.machine)) return redirectTo(follower);
+    if (follower !== undefined && !this.isRedirectFailed(heartbeat.machine))
+      return redirectTo(follower);
     if (!(await this.isRebuilt(term))) return NOT_AUTHORISED;
     const reply = term.handleHeartbeat(heartbeat);
     return this.leadership.authorisedTerm() === term
@@ -131,7 +135,7 @@
    * leaders that end one after the other before they know would keep those beyond their time.
    */
   private async isRebuilt(term: Term): Promise<boolean> {
-    if (!term.isReady) await term.rebuilt;
+    if (!term.isReady) await term.rebuildSettled;
     return term.isReady && this.leadership.authorisedTerm() === term;
   }
 
@@ -190,12 +194,12 @@
    * Whether a worker that was redirected is back so soon that it can't reach where it was sent: then it
    * is served here for a while. Otherwise it counts as redirected now.
    */
-  private isBounced(machine: string): boolean {
+  private isRedirectFailed(machine: string): boolean {
     const id = MachineId(machine);
     const now = this.clock.steady();
     const redirect = this.redirects.get(id);
     if (redirect && isServedHere(redirect, now)) {
-      redirect.servedUntil ??= later(now, BOUNCED_SERVICE_TIME);
+      redirect.servedUntil ??= later(now, REDIRECT_SUPPRESSION_TIME);
       return true;
     }
     this.redirects.set(id, { at: now, servedUntil: undefined }, now);
@@ -204,7 +208,7 @@
 }
 
 const isServedHere = ({ at, servedUntil }: Redirect, now: SteadyMs): boolean =>
-  servedUntil === undefined ? since(at, now) < BOUNCE_WINDOW : now < servedUntil;
+  servedUntil === undefined ? durationBetween(at, now) < BOUNCE_WINDOW : now < servedUntil;
 
 const redirectTo = (node: NodeId): Reply => ({ status: 421, body: encodeRedirect(node) });
 
--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -20,7 +20,7 @@
 import {
   ms,
   seconds,
-  since,
+  durationBetween,
   type Clock,
   type DurationMs,
   type Epoch,
@@ -46,7 +46,7 @@
   /** The autoscaler adds the machines it rents, and marks those it gives back. */
   readonly fleet: Fleet;
   /** Since when heartbeats have been answered without a break. */
-  listeningSince(): SteadyMs;
+  answeringSince(): SteadyMs;
   /** When each other node was last known not to answer this one. */
   readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
   /** The jobs with waiting tasks, in the order in which they are to be served. */
@@ -273,7 +273,7 @@
     const { heartbeatInterval, lease } = settings.workers;
     const lost = lostMachines(this.view.fleet.machines.values(), {
       now,
-      listeningSince: this.view.listeningSince(),
+      answeringSince: this.view.answeringSince(),
       heartbeatInterval,
       lease,
       bootTime: (name) => bootTimeOf(name, catalog),
@@ -295,7 +295,7 @@
 
   private async deleteMachines(machines: readonly Machine[]): Promise<boolean> {
     for (const machine of machines) {
-      machine.isReturning = true;
+      machine.isDecommissioning = true;
       // From here on it may go at any time, however late the request is carried out.
       machine.deleteSent = true;
     }
@@ -308,7 +308,7 @@
 
 /** Whether something last done at a time, if ever, is due again. */
 const isDue = (last: SteadyMs | undefined, interval: number, now: SteadyMs): boolean =>
-  last === undefined || since(last, now) >= interval;
+  last === undefined || durationBetween(last, now) >= interval;
 
 function bootTimeOf(machineType: string, catalog: MachineCatalog): DurationMs {
   const type = catalog.machineType(machineType);
--- a/src/capacity/lost-machines.ts
+++ b/src/capacity/lost-machines.ts
@@ -3,7 +3,7 @@
  * that the cloud no longer lists, that are silent, or that receive nothing for too long.
  */
 import type { Machine } from '../fleet/machine.js';
-import { SteadyMs, ms, since, type DurationMs, type NodeId } from '../units/index.js';
+import { SteadyMs, ms, durationBetween, type DurationMs, type NodeId } from '../units/index.js';
 
 /** A boot has failed after this many times its usual duration. */
 const FAILED_BOOT_FACTOR = 4;
@@ -25,7 +25,7 @@
 export interface LivenessView {
   readonly now: SteadyMs;
   /** Since when this process has answered heartbeats without a break. */
-  readonly listeningSince: SteadyMs;
+  readonly answeringSince: SteadyMs;
   readonly heartbeatInterval: DurationMs;
   /** The lease of a worker. */
   readonly lease: DurationMs;
@@ -109,24 +109,24 @@
 function isBootOverdue(machine: Machine, { now, bootTime }: LivenessView): boolean {
   if (machine.bootingSince === undefined) return false;
   const maxBootTime = bootTime(machine.kind.machineType) * FAILED_BOOT_FACTOR;
-  return since(machine.bootingSince, now) > maxBootTime;
+  return durationBetween(machine.bootingSince, now) > maxBootTime;
 }
 
 /** How long a machine has been silent; undefined if no heartbeat of it was to be expected yet. */
 function silenceOf(
   machine: Machine,
-  { now, listeningSince }: LivenessView,
+  { now, answeringSince: listeningSince }: LivenessView,
 ): DurationMs | undefined {
   const last = machine.lastStatusAt ?? machine.listedRunningSince;
   if (last === undefined) return undefined;
   // Silence counts only while heartbeats were answered: not before this term, nor while they got a 503.
-  return since(SteadyMs(Math.max(last, listeningSince)), now);
+  return durationBetween(SteadyMs(Math.max(last, listeningSince)), now);
 }
 
 /** Whether a machine sends heartbeats but has received nothing for too long. */
 function isNotReceiving(machine: Machine, { now, lease }: LivenessView): boolean {
   if (machine.notReceivingSince === undefined) return false;
-  return since(machine.notReceivingSince, now) > lease * NOT_RECEIVING_LEASES;
+  return durationBetween(machine.notReceivingSince, now) > lease * NOT_RECEIVING_LEASES;
 }
 
 /**
--- a/src/capacity/machine-list.ts
+++ b/src/capacity/machine-list.ts
@@ -1,7 +1,14 @@
 /** Takes the cloud's list of machines, which lags behind, into the fleet. */
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
-import { MachineId, later, ms, since, type DurationMs, type SteadyMs } from '../units/index.js';
+import {
+  MachineId,
+  later,
+  ms,
+  durationBetween,
+  type DurationMs,
+  type SteadyMs,
+} from '../units/index.js';
 import type { ListedMachine } from '../wire/index.js';
 
 /** Where and when a list is taken in. */
@@ -34,7 +41,7 @@
 function isMissing(machine: Machine, listLag: DurationMs, now: SteadyMs): boolean {
   if (machine.listedAt === undefined) return machine.bootingSince === undefined && !machine.isUp;
   // A list may be older than the one before, but not older than twice the lag.
-  return since(machine.listedAt, now) > 2 * listLag;
+  return durationBetween(machine.listedAt, now) > 2 * listLag;
 }
 
 function recordListed(id: MachineId, listed: ListedMachine, fleet: Fleet, now: SteadyMs): void {
@@ -45,7 +52,7 @@
   machine.rentedAt ??= requestedAt;
   if (status === 'failed') {
     // It stopped on its own: its tasks are gone. The delete only takes it off the list.
-    machine.isReturning = true;
+    machine.isDecommissioning = true;
     machine.deleteSent = true;
   } else if (!machine.isUp && machine.lastStatusAt === undefined) {
     // A running machine has booted long ago, and only this leader has had no heartbeat of it yet. After a
--- a/src/capacity/scale-in.ts
+++ b/src/capacity/scale-in.ts
@@ -2,7 +2,7 @@
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
-import { seconds, since, type SteadyMs } from '../units/index.js';
+import { seconds, durationBetween, type SteadyMs } from '../units/index.js';
 import type { AnticipatedTasks } from './demand.js';
 
 /** An idle on-demand machine is kept for this share of the time: it costs a multiple of a spot one. */
@@ -39,8 +39,8 @@
     return false;
   const bootTime = (catalog.machineType(machine.kind.machineType)?.bootSeconds ?? 0) * 1000;
   const maxIdleTime = bootTime * idleBootTimes * (machine.kind.spot ? 1 : ON_DEMAND_IDLE_SHARE);
-  if (since(machine.idleSince, now) < maxIdleTime) return false;
-  return machine.rentedAt === undefined || since(machine.rentedAt, now) >= MIN_CHARGE;
+  if (durationBetween(machine.idleSince, now) < maxIdleTime) return false;
+  return machine.rentedAt === undefined || durationBetween(machine.rentedAt, now) >= MIN_CHARGE;
 }
 
 /** Whether nothing runs on a machine that no record accounts for either. */
--- a/src/capacity/supply.ts
+++ b/src/capacity/supply.ts
@@ -4,7 +4,7 @@
 import type { Machine } from '../fleet/machine.js';
 import { machineResources, subtract, type Resources } from '../fleet/resources.js';
 import { isUrgent } from '../ledger/queue-order.js';
-import { ms, since, type Epoch, type JobId, type SteadyMs } from '../units/index.js';
+import { ms, durationBetween, type Epoch, type JobId, type SteadyMs } from '../units/index.js';
 import type { JobSpec, MachineType } from '../wire/index.js';
 import { offerKey, type AvailableCapacity, type Offer, type Turnover } from './types.js';
 
@@ -47,11 +47,11 @@
 }
 
 const mayTakeTasks = (machine: Machine, { epoch, now }: SupplyView): boolean =>
-  !machine.isDraining && !machine.deleteSent && !machine.isUnconfirmedAndUnreachable(epoch, now);
+  !machine.isDraining && !machine.deleteSent && !machine.isUnconfirmedWithFailedPush(epoch, now);
 
 function isBooting(machine: Machine, type: MachineType, now: SteadyMs): boolean {
   if (machine.bootingSince === undefined) return false;
-  return since(machine.bootingSince, now) < type.bootSeconds * 1000 * LATE_BOOT_FACTOR;
+  return durationBetween(machine.bootingSince, now) < type.bootSeconds * 1000 * LATE_BOOT_FACTOR;
 }
 
 /** Sums of the tasks on the machines of one offer. */
@@ -79,7 +79,7 @@
       if (!spec || isUrgent(spec.priority)) continue;
       totals.busyCpus += spec.cpus;
       // A task that has run for longer than estimated shows that the estimate was too low.
-      const elapsed = since(placedAt, this.view.now);
+      const elapsed = durationBetween(placedAt, this.view.now);
       totals.cpuTime += spec.cpus * Math.max(spec.expectedRuntimeSeconds * 1000, elapsed);
     }
   }
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,5 +1,5 @@
 /** What operators may set themselves. */
-import { ms, seconds, stretched, type DurationMs } from '../units/index.js';
+import { ms, seconds, upperBoundUnderDrift, type DurationMs } from '../units/index.js';
 
 /** The operators' settings. Every value has a default, and the service runs without their file. */
 export interface OperatorSettings {
@@ -22,7 +22,7 @@
 };
 
 /** Time for what belongs to neither lease: heartbeats in flight, timers that fire late. */
-export const LEASE_MARGIN = seconds(2);
+export const CANCELLATION_MARGIN = seconds(2);
 /** No lease of the leader is shorter: the store's own answers may take most of a second. */
 const MIN_LEASE = seconds(1);
 
@@ -40,7 +40,7 @@
  * cancelled task is gone even if its machine receives no command: they must stay below the time for a cancellation.
  */
 export function maxLeaderLease({ lease, cancellationTime }: PlatformTimes): DurationMs {
-  return ms(cancellationTime - stretched(lease) - LEASE_MARGIN);
+  return ms(cancellationTime - upperBoundUnderDrift(lease) - CANCELLATION_MARGIN);
 }
 
 /** The defaults as far as the platform's times allow. */
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -1,6 +1,6 @@
 /** One controller: everything but the sockets it listens on, so that tests can drive it. */
 import type { Logger } from 'pino';
-import { Leadership } from './api/leadership.js';
+import { LeaderView } from './api/leadership.js';
 import { PeerRequests } from './api/peer-requests.js';
 import { ISOLATED, TRY_AGAIN, type Reply } from './api/reply.js';
 import { UserRequests } from './api/user-requests.js';
@@ -51,7 +51,7 @@
   private readonly catalog = new MachineCatalog();
   private readonly storedCatalog: StoredCatalog;
   private readonly peerLiveness: PeerLiveness;
-  private readonly leadership: Leadership;
+  private readonly leadership: LeaderView;
   private readonly imageHints = new ImageHints();
   private hasSeenLeader = false;
 
@@ -76,7 +76,7 @@
     this.jobRecords = new JobRecords(this.store, clock, this.recordLimits);
     this.cloud = new CloudClient(http, settings.cloudEndpoint, clock, settings.cloud.requestRate);
     this.election = this.createElection();
-    this.leadership = new Leadership(this.election, peers);
+    this.leadership = new LeaderView(this.election, peers);
     this.storedCatalog = new StoredCatalog({
       store: this.store,
       catalog: this.catalog,
--- a/src/fleet/absence.ts
+++ b/src/fleet/absence.ts
@@ -29,7 +29,8 @@
  * Whether the evidence proves that the attempt is not running and will not run. A worker processes the reply
  * to a heartbeat before it sends the next one, or never; so a start that was sent in reply to an earlier
  * heartbeat is no longer in flight when a later heartbeat arrives. A reply to pushed commands proves that only
- * if it belongs to a later session, since it may overtake the reply to a heartbeat.
+ * if it belongs to a later session, since it may overtake the reply to a heartbeat. Where no reply carried the
+ * start, either kind of status is proof.
  */
 export function isProvenAbsent({
   status,
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,7 +1,7 @@
 /** The machines of one term, those that are gone, and attempts that no record accounts for. */
 import {
   Endpoint,
-  since,
+  durationBetween,
   type DurationMs,
   type MachineId,
   type SteadyMs,
@@ -113,7 +113,7 @@
   /** Drops the machines that have been gone for long. */
   forgetGone(now: SteadyMs): void {
     for (const [id, at] of this.goneSince)
-      if (since(at, now) > GONE_RETENTION) this.goneSince.delete(id);
+      if (durationBetween(at, now) > GONE_RETENTION) this.goneSince.delete(id);
   }
 
   // --- attempts that no placement accounts for --------------------------------------------------
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -42,7 +42,7 @@
   /** When the cloud is going to reclaim it, as announced by its newest status. */
   reclaimAt: SteadyMs | undefined;
   /** To be given back or given up: gets no new tasks. */
-  isReturning = false;
+  isDecommissioning = false;
   /** A delete was sent and may be executed at any time. */
   deleteSent = false;
   rentedAt: SteadyMs | undefined;
@@ -187,12 +187,14 @@
   }
 
   /** Unconfirmed, and its worker did not answer a pushed command lately. */
-  isUnconfirmedAndUnreachable(epoch: Epoch, now: SteadyMs): boolean {
+  isUnconfirmedWithFailedPush(epoch: Epoch, now: SteadyMs): boolean {
     return this.commandsPausedUntil > now && this.isUnconfirmed(epoch);
   }
 
   /** Gets no new tasks, and those that are proven not to be there are placed elsewhere. */
   get isDraining(): boolean {
-    return this.isReturning || this.reclaimAt !== undefined || this.notReceivingSince !== undefined;
+    return (
+      this.isDecommissioning || this.reclaimAt !== undefined || this.notReceivingSince !== undefined
+    );
   }
 }
--- a/src/leader/anticipated-work.ts
+++ b/src/leader/anticipated-work.ts
@@ -6,7 +6,7 @@
 import { isGang } from '../ledger/job.js';
 import { isUrgent } from '../ledger/queue-order.js';
 import type { ImageReserve } from '../placer/placer.js';
-import { seconds, since, type SteadyMs } from '../units/index.js';
+import { seconds, durationBetween, type SteadyMs } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
 
 /** Smoothing factor: the weight of the newest submission in the moving average. */
@@ -95,7 +95,8 @@
   /** Called by each reader, so that idle machines are not paid for after such work has stopped coming. */
   private dropOld(now: SteadyMs): void {
     for (const [image, { lastSubmittedAt }] of this.recentByImage) {
-      if (since(lastSubmittedAt, now) > MAX_SUBMISSION_AGE) this.recentByImage.delete(image);
+      if (durationBetween(lastSubmittedAt, now) > MAX_SUBMISSION_AGE)
+        this.recentByImage.delete(image);
     }
   }
 }
--- a/src/leader/attempt-clearance.ts
+++ b/src/leader/attempt-clearance.ts
@@ -3,7 +3,7 @@
 import { attemptKey } from '../fleet/worker-status.js';
 import type { FinalState, Job } from '../ledger/job.js';
 import type { Ledger } from '../ledger/ledger.js';
-import { since, type TaskRef } from '../units/index.js';
+import { durationBetween, type TaskRef } from '../units/index.js';
 import { ExitReason, JobStatus, type TaskStatus } from '../wire/index.js';
 import type { TermDependencies } from './dependencies.js';
 
@@ -41,7 +41,7 @@
     }
     const now = this.deps.clock.steady();
     const endedAt = pushedStarts.noteEnded(attempt, now);
-    if (since(endedAt, now) < this.deps.settings.workers.lease * LATE_DUPLICATE_LEASES)
+    if (durationBetween(endedAt, now) < this.deps.settings.workers.lease * LATE_DUPLICATE_LEASES)
       return false;
     pushedStarts.forget(attempt);
     return true;
--- a/src/leader/candidate-machines.ts
+++ b/src/leader/candidate-machines.ts
@@ -4,7 +4,7 @@
 import type { Machine } from '../fleet/machine.js';
 import { machineResources, subtract } from '../fleet/resources.js';
 import type { CandidateMachine } from '../placer/placer.js';
-import { since, type DurationMs, type Epoch, type SteadyMs } from '../units/index.js';
+import { durationBetween, type DurationMs, type Epoch, type SteadyMs } from '../units/index.js';
 
 /** What the selection is made from. */
 export interface CandidateMachineSource {
@@ -22,8 +22,11 @@
 ): CandidateMachine[] {
   const candidates: CandidateMachine[] = [];
   for (const machine of fleet.machines.values()) {
-    if (!acceptsTasks(machine, now) || machine.isUnconfirmedAndUnreachable(epoch, now)) continue;
-    if (machine.lastStatusAt === undefined || since(machine.lastStatusAt, now) > silenceThreshold)
+    if (!acceptsTasks(machine, now) || machine.isUnconfirmedWithFailedPush(epoch, now)) continue;
+    if (
+      machine.lastStatusAt === undefined ||
+      durationBetween(machine.lastStatusAt, now) > silenceThreshold
+    )
       continue;
     const candidate = describe(machine, fleet, catalog);
     if (candidate) candidates.push(candidate);
--- a/src/leader/command-sender.ts
+++ b/src/leader/command-sender.ts
@@ -14,9 +14,9 @@
 import type { TermDependencies } from './dependencies.js';
 import { MachineProbe } from './machine-probe.js';
 import type { PlacementIndex } from './placement-index.js';
-import { takePush, type Push } from './push-commands.js';
+import { preparePush, type Push } from './push-commands.js';
 import {
-  CALL_TIMEOUT,
+  WORKER_CALL_TIMEOUT,
   UNCONFIRMED_CALL_TIMEOUT,
   WorkerCalls,
   type WorkerCallDependencies,
@@ -94,7 +94,7 @@
       if (!this.calls.hasFreeSocket) return;
       this.pendingPushes.delete(machine);
       if (machine.commandInFlight || !this.canReach(machine)) continue;
-      const push = takePush(machine, this.jobs, !this.isBusy);
+      const push = preparePush(machine, this.jobs, !this.isBusy);
       if (push.commands.length > 0) this.calls.start(machine, () => this.push(machine, push));
     }
   }
@@ -109,7 +109,7 @@
 
   private async push(machine: Machine, { commands, started }: Push): Promise<void> {
     const wasUnconfirmed = machine.isUnconfirmed(this.epoch);
-    const timeout = wasUnconfirmed ? UNCONFIRMED_CALL_TIMEOUT : CALL_TIMEOUT;
+    const timeout = wasUnconfirmed ? UNCONFIRMED_CALL_TIMEOUT : WORKER_CALL_TIMEOUT;
     const { outcome, reason, status } = await this.calls.send(machine, commands, timeout);
     if (this.calls.isClosed) return;
     if (outcome === 'answered') {
--- a/src/leader/contact-history.ts
+++ b/src/leader/contact-history.ts
@@ -10,18 +10,18 @@
   /** When each other node was last known not to respond to us. */
   readonly unreachableAt = new Map<NodeId, SteadyMs>();
   private hadAuthority = true;
-  private answeringSince: SteadyMs;
+  private unbrokenSince: SteadyMs;
 
   constructor(
     private readonly peers: ReadonlyMap<NodeId, Pick<Peer, 'responsive'>>,
     startedAt: SteadyMs,
   ) {
-    this.answeringSince = startedAt;
+    this.unbrokenSince = startedAt;
   }
 
   /** Since when heartbeats are answered without a break. */
-  get listeningSince(): SteadyMs {
-    return this.answeringSince;
+  get answeringSince(): SteadyMs {
+    return this.unbrokenSince;
   }
 
   /**
@@ -29,7 +29,7 @@
    * it while this process stands still or is far behind: what was reported may still wait to be read.
    */
   noteAuthority(hasAuthority: boolean, isStalled: boolean, now: SteadyMs): void {
-    if (hasAuthority && (!this.hadAuthority || isStalled)) this.answeringSince = now;
+    if (hasAuthority && (!this.hadAuthority || isStalled)) this.unbrokenSince = now;
     this.hadAuthority = hasAuthority;
   }
 
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -11,8 +11,8 @@
   Revision,
   later,
   ms,
-  shrunk,
-  since,
+  lowerBoundUnderDrift,
+  durationBetween,
   sleep,
   type Clock,
   type DurationMs,
@@ -20,7 +20,7 @@
   type Random,
   type SteadyMs,
 } from '../units/index.js';
-import { CALL_TIMEOUT, LeaderKey, type LeaderKeyState } from './leader-key.js';
+import { KEY_CALL_TIMEOUT, LeaderKey, type LeaderKeyState } from './leader-key.js';
 
 /** How much earlier than the store's lease our authority ends, beside the clocks' drift. */
 const AUTHORITY_MARGIN = ms(150);
@@ -144,7 +144,7 @@
   private async renew(lease: HeldLease): Promise<void> {
     const { clock, store, timing } = this.deps;
     const sentAt = clock.steady();
-    const timeout = ms(Math.min(CALL_TIMEOUT, timing.renewInterval));
+    const timeout = ms(Math.min(KEY_CALL_TIMEOUT, timing.renewInterval));
     const result = await store.renewLease(lease.leaseId, timeout);
     if (this.heldLease !== lease) return;
     switch (result) {
@@ -187,7 +187,7 @@
     const leaseId = await this.leaderKey.leaseAt(revision);
     const sentAt = clock.steady();
     const isRenewed =
-      leaseId !== undefined && (await store.renewLease(leaseId, CALL_TIMEOUT)) === 'renewed';
+      leaseId !== undefined && (await store.renewLease(leaseId, KEY_CALL_TIMEOUT)) === 'renewed';
     if (isRenewed) this.beginLeadership(Epoch(revision), leaseId, this.authorityEnd(sentAt));
     else await this.pause(RETRY_PAUSE);
   }
@@ -232,7 +232,8 @@
    */
   private async probe(): Promise<void> {
     const { clock, store } = this.deps;
-    if (this.heldLease || since(store.servedAt, clock.steady()) < PROBE_AFTER_SILENCE) return;
+    if (this.heldLease || durationBetween(store.servedAt, clock.steady()) < PROBE_AFTER_SILENCE)
+      return;
     const read = await store.get(LEADER_KEY, PROBE_TIMEOUT, { urgent: true });
     const isChanged =
       read.kind === 'absent' || (read.kind === 'found' && read.revision !== this.holderEpoch);
@@ -260,7 +261,7 @@
 
   /** When authority ends that rests on a lease call sent at that time. */
   private authorityEnd(sentAt: SteadyMs): SteadyMs {
-    return later(sentAt, ms(shrunk(this.deps.timing.duration) - AUTHORITY_MARGIN));
+    return later(sentAt, ms(lowerBoundUnderDrift(this.deps.timing.duration) - AUTHORITY_MARGIN));
   }
 
   private pause(time: DurationMs): Promise<void> {
--- a/src/leader/failure-backoff.ts
+++ b/src/leader/failure-backoff.ts
@@ -35,7 +35,7 @@
         machine.quarantinedUntil = later(now, REFUSAL_BACKOFF);
         break;
       case ExitReason.unknownTask:
-        job.heldBackUntil = later(now, REFUSAL_BACKOFF);
+        job.backoffUntil = later(now, REFUSAL_BACKOFF);
         break;
       default:
     }
@@ -52,10 +52,10 @@
 
   /** Having failed on several machines, the job is suspected: it must not quarantine the whole fleet. */
   private holdBack(job: Job, now: SteadyMs): void {
-    job.holdCount++;
+    job.backoffCount++;
     job.avoidedMachines.clear();
-    const backoff = Math.min(MAX_FAILURE_BACKOFF, FAILURE_BACKOFF * 2 ** job.holdCount);
-    job.heldBackUntil = later(now, ms(backoff));
+    const backoff = Math.min(MAX_FAILURE_BACKOFF, FAILURE_BACKOFF * 2 ** job.backoffCount);
+    job.backoffUntil = later(now, ms(backoff));
     this.log.warn({ job: job.id, team: job.spec.team }, 'job held back after failures');
   }
 }
--- a/src/leader/fleet-log.ts
+++ b/src/leader/fleet-log.ts
@@ -3,7 +3,7 @@
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Ledger } from '../ledger/ledger.js';
-import { seconds, since, type SteadyMs } from '../units/index.js';
+import { seconds, durationBetween, type SteadyMs } from '../units/index.js';
 
 const LOG_INTERVAL = seconds(10);
 
@@ -33,7 +33,7 @@
 
   /** Logs if the interval has passed. */
   tick(now: SteadyMs): void {
-    if (since(this.loggedAt, now) < LOG_INTERVAL) return;
+    if (durationBetween(this.loggedAt, now) < LOG_INTERVAL) return;
     this.loggedAt = now;
     const { ledger, log } = this.deps;
     const machines = this.machinesByType();
--- a/src/leader/gang-controller.ts
+++ b/src/leader/gang-controller.ts
@@ -1,7 +1,7 @@
 /** Applies the life cycle of gangs: ends attempts that lost a task, saves those whose machine is reclaimed. */
 import type { Machine } from '../fleet/machine.js';
 import type { Job, Placement } from '../ledger/job.js';
-import { ms, seconds, since, type Clock, type MachineId } from '../units/index.js';
+import { ms, seconds, durationBetween, type Clock, type MachineId } from '../units/index.js';
 import { nextAction, type GangState, type GangTask } from './gang-lifecycle.js';
 import { canSave, type PlacementIndex } from './placement-index.js';
 import { isStartUnsent } from './placement-state.js';
@@ -38,7 +38,7 @@
   }
 
   /** Reviews the gangs on machines that the cloud is about to reclaim. */
-  reviewLeaving(): void {
+  reviewReclaimed(): void {
     const leaving = new Set<Job>();
     for (const machine of this.placements.fleet.machines.values()) {
       if (machine.reclaimAt === undefined) continue;
@@ -96,7 +96,8 @@
       isReported: placement.isReported,
       isRunning: placement.hasRun === true,
       isStopping: placement.evictionGraceSeconds !== undefined,
-      machineLeavesIn: machine?.reclaimAt === undefined ? undefined : since(now, machine.reclaimAt),
+      reclaimIn:
+        machine?.reclaimAt === undefined ? undefined : durationBetween(now, machine.reclaimAt),
       isReachable: machine !== undefined && this.commands.canReach(machine),
     };
   }
--- a/src/leader/gang-lifecycle.ts
+++ b/src/leader/gang-lifecycle.ts
@@ -28,7 +28,7 @@
   readonly isRunning: boolean;
   readonly isStopping: boolean;
   /** How long until the cloud reclaims its machine; undefined if it has announced nothing. */
-  readonly machineLeavesIn: DurationMs | undefined;
+  readonly reclaimIn: DurationMs | undefined;
   /** A command can be pushed to its machine now. */
   readonly isReachable: boolean;
 }
@@ -83,7 +83,7 @@
  */
 function mustSave({ tasks, checkpointTime }: GangState): boolean {
   if (checkpointTime === undefined) return false;
-  const leavesIn = Math.min(...tasks.map((task) => task.machineLeavesIn ?? Infinity));
+  const leavesIn = Math.min(...tasks.map((task) => task.reclaimIn ?? Infinity));
   if (leavesIn < checkpointTime || leavesIn > checkpointTime + SAVE_MARGIN) return false;
   return tasks.every((task) => task.isReachable);
 }
--- a/src/leader/image-hints.ts
+++ b/src/leader/image-hints.ts
@@ -4,7 +4,7 @@
  */
 import type { Machine } from '../fleet/machine.js';
 import type { MachineImages } from '../peer/messages.js';
-import { ms, seconds, since, type SteadyMs } from '../units/index.js';
+import { ms, seconds, durationBetween, type SteadyMs } from '../units/index.js';
 
 const HINT_INTERVAL = seconds(4);
 /** Everything is sent again this often, for a node that has just been started. */
@@ -37,7 +37,7 @@
 
   /** Sends if the interval has passed. */
   tick(machines: Iterable<Machine>, now: SteadyMs): void {
-    if (since(this.sentAt, now) < HINT_INTERVAL) return;
+    if (durationBetween(this.sentAt, now) < HINT_INTERVAL) return;
     this.sentAt = now;
     const known: MachineImages[] = [];
     for (const machine of machines) {
@@ -51,7 +51,7 @@
     machines: readonly MachineImages[],
     now: SteadyMs,
   ): readonly (readonly MachineImages[])[] {
-    if (this.fullySentAt === undefined || since(this.fullySentAt, now) >= FULL_INTERVAL) {
+    if (this.fullySentAt === undefined || durationBetween(this.fullySentAt, now) >= FULL_INTERVAL) {
       this.fullySentAt = now;
       this.sentFingerprints.clear();
     }
@@ -80,7 +80,8 @@
   /** Takes a message of hints in, and forgets what is old. */
   record(machines: readonly MachineImages[], now: SteadyMs): void {
     for (const machine of machines) this.known.set(machine.machine, { machine, at: now });
-    for (const [id, { at }] of this.known) if (since(at, now) > FORGET_AFTER) this.known.delete(id);
+    for (const [id, { at }] of this.known)
+      if (durationBetween(at, now) > FORGET_AFTER) this.known.delete(id);
   }
 
   /** The images that a machine probably holds, least recently used first; none if nothing is known. */
--- a/src/leader/job-requests.ts
+++ b/src/leader/job-requests.ts
@@ -42,7 +42,7 @@
   readonly ledger: Ledger;
   readonly placements: PlacementIndex;
   readonly commands: Pick<CommandSender, 'schedulePush'>;
-  readonly scheduler: Pick<Scheduler, 'submissions' | 'schedulePlacing' | 'placeWaiting'>;
+  readonly scheduler: Pick<Scheduler, 'forecast' | 'schedulePlacing' | 'placeWaiting'>;
   readonly jobRecords: Pick<JobRecords, 'lookup'>;
   readonly clock: Clock;
 }
@@ -79,9 +79,9 @@
   private async create(id: JobId, spec: JobSpec): Promise<SubmitOutcome> {
     const { clock, ledger, scheduler } = this.deps;
     const job = new Job(id, spec, clock.wall(), Revision(0));
-    job.markChanged(WritePriority.admission);
+    job.markChanged(WritePriority.userRequest);
     ledger.insert(job);
-    scheduler.submissions.noteSubmission(spec, clock.steady());
+    scheduler.forecast.noteSubmission(spec, clock.steady());
     // What fits on a machine now is placed in the same transaction that creates the job.
     scheduler.placeWaiting();
     const isCommitted = await ledger.whenCommitted(job);
@@ -135,9 +135,9 @@
   adopt(job: Job): void {
     const { clock, ledger, placements, scheduler } = this.deps;
     ledger.insert(job);
-    scheduler.submissions.noteSubmission(job.spec, clock.steady());
+    scheduler.forecast.noteSubmission(job.spec, clock.steady());
     placements.addJob(job);
-    if (job.isSettled) job.markChanged(WritePriority.completion);
+    if (job.isSettled) job.markChanged(WritePriority.jobEnd);
     scheduler.schedulePlacing();
   }
 
--- a/src/leader/leader-key.ts
+++ b/src/leader/leader-key.ts
@@ -41,7 +41,7 @@
   | { readonly kind: 'failed' };
 
 /** The longest that one call of the election may take. */
-export const CALL_TIMEOUT = ms(1500);
+export const KEY_CALL_TIMEOUT = ms(1500);
 
 /** The leader key, as one candidate reads and writes it. */
 export class LeaderKey {
@@ -55,7 +55,7 @@
   async read(): Promise<LeaderKeyState> {
     // Listed rather than read, since a list says at which revision: the key's own may be older than
     // what the store keeps of its history, and a watch from there would be refused at once, for ever.
-    const listed = await this.store.list(LEADER_KEY, CALL_TIMEOUT, { urgent: true });
+    const listed = await this.store.list(LEADER_KEY, KEY_CALL_TIMEOUT, { urgent: true });
     if (!listed) return { kind: 'unreadable' };
     const item = listed.items.find(({ key }) => key === LEADER_KEY);
     if (!item) return { kind: 'absent' };
@@ -73,25 +73,25 @@
 
   /** The lease that the key hangs on; undefined if the key was not read as it was at that revision. */
   async leaseAt(revision: Revision): Promise<number | undefined> {
-    const read = await this.store.get(LEADER_KEY, CALL_TIMEOUT, { urgent: true });
+    const read = await this.store.get(LEADER_KEY, KEY_CALL_TIMEOUT, { urgent: true });
     return read.kind === 'found' && read.revision === revision ? read.leaseId : undefined;
   }
 
   /** Writes the key, on a new lease, in place of what was read at that revision (0: absent). */
   async write(replaced: Revision, leaseDuration: DurationMs): Promise<LeaderKeyWrite> {
-    const leaseId = await this.store.createLease(leaseDuration, CALL_TIMEOUT);
+    const leaseId = await this.store.createLease(leaseDuration, KEY_CALL_TIMEOUT);
     if (leaseId === undefined) return { kind: 'failed' };
     const { node, processId } = this.candidate;
     const result = await this.store.transact(
       [{ key: LEADER_KEY, revision: replaced }],
       [{ put: LEADER_KEY, data: { node, run: processId }, leaseId }],
-      CALL_TIMEOUT,
+      KEY_CALL_TIMEOUT,
       { urgent: true },
     );
     if (result.kind === 'committed') return { kind: 'written', revision: result.revision, leaseId };
     // After an unknown outcome the lease must stand: the key may hang on it.
     if (result.kind !== 'unknown') {
-      detach(this.store.revokeLease(leaseId, CALL_TIMEOUT), this.log, 'revoking a lease');
+      detach(this.store.revokeLease(leaseId, KEY_CALL_TIMEOUT), this.log, 'revoking a lease');
     }
     return { kind: result.kind === 'conflict' ? 'conflict' : 'failed' };
   }
--- a/src/leader/machine-probe.ts
+++ b/src/leader/machine-probe.ts
@@ -3,7 +3,13 @@
 import { workerLeaseEnd } from '../fleet/worker-lease.js';
 import { isAfter, type WorkerStatus } from '../fleet/worker-status.js';
 import type { Job } from '../ledger/job.js';
-import { seconds, since, type DurationMs, type JobId, type SteadyMs } from '../units/index.js';
+import {
+  seconds,
+  durationBetween,
+  type DurationMs,
+  type JobId,
+  type SteadyMs,
+} from '../units/index.js';
 import type { StatusObserver } from './command-sender.js';
 import type { TermDependencies } from './dependencies.js';
 import { UNCONFIRMED_CALL_TIMEOUT, type WorkerCalls } from './worker-calls.js';
@@ -45,7 +51,7 @@
   }
 
   private canProbe(machine: Machine, now: SteadyMs): boolean {
-    if (machine.probedAt !== undefined && since(machine.probedAt, now) < PROBE_INTERVAL)
+    if (machine.probedAt !== undefined && durationBetween(machine.probedAt, now) < PROBE_INTERVAL)
       return false;
     return (
       machine.isUp && !machine.commandInFlight && !machine.deleteSent && this.options.hasAuthority()
@@ -84,8 +90,8 @@
   const { staleStatusAt, lastStatusAt: lastHeardAt } = machine;
   return (
     staleStatusAt !== undefined &&
-    since(staleStatusAt, now) < silenceThreshold &&
+    durationBetween(staleStatusAt, now) < silenceThreshold &&
     lastHeardAt !== undefined &&
-    since(lastHeardAt, now) > silenceThreshold / 2
+    durationBetween(lastHeardAt, now) > silenceThreshold / 2
   );
 }
--- a/src/leader/periodic-work.ts
+++ b/src/leader/periodic-work.ts
@@ -2,7 +2,14 @@
 import type { Autoscaler } from '../capacity/autoscaler.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Ledger } from '../ledger/ledger.js';
-import { ms, seconds, since, type Epoch, type SteadyMs, type Timer } from '../units/index.js';
+import {
+  ms,
+  seconds,
+  durationBetween,
+  type Epoch,
+  type SteadyMs,
+  type Timer,
+} from '../units/index.js';
 import type { CommandSender } from './command-sender.js';
 import type { ContactHistory } from './contact-history.js';
 import type { TermDependencies } from './dependencies.js';
@@ -89,7 +96,7 @@
   private runOnce(now: SteadyMs): void {
     const { commands, contacts, ledger, machineLoss } = this.parts;
     const hasAuthority = this.hasAuthority();
-    const sinceLastTick = since(this.lastTickAt, now);
+    const sinceLastTick = durationBetween(this.lastTickAt, now);
     contacts.noteAuthority(hasAuthority, sinceLastTick > TICK_INTERVAL + STALL_THRESHOLD, now);
     contacts.noteUnreachablePeers(now);
     commands.isBusy = sinceLastTick > TICK_INTERVAL + BUSY_THRESHOLD;
@@ -106,7 +113,7 @@
   private lead(): void {
     const { commands, deps, fleet, gangs, scheduler } = this.parts;
     this.reviewRedirects();
-    gangs.reviewLeaving();
+    gangs.reviewReclaimed();
     this.hintSender.tick(fleet.machines.values(), deps.clock.steady());
     this.fleetLog.tick(deps.clock.steady());
     scheduler.schedulePlacing();
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -8,7 +8,7 @@
 import {
   parseTaskKey,
   seconds,
-  since,
+  durationBetween,
   taskKey,
   type Clock,
   type SteadyMs,
@@ -164,7 +164,7 @@
   /** Tasks that started within `RECENT_START_WINDOW`, oldest first. They may have ended since. */
   startedRecently(now: SteadyMs): readonly RecentStart[] {
     const first = this.recentStarts.findIndex(
-      ({ startedAt }) => since(startedAt, now) <= RECENT_START_WINDOW,
+      ({ startedAt }) => durationBetween(startedAt, now) <= RECENT_START_WINDOW,
     );
     if (first !== 0) this.recentStarts = first < 0 ? [] : this.recentStarts.slice(first);
     return this.recentStarts;
--- a/src/leader/placing-loop.ts
+++ b/src/leader/placing-loop.ts
@@ -1,6 +1,6 @@
 /** Batches the events that ask for a placing round, and limits the share of time that placing takes. */
 import type { Logger } from 'pino';
-import { ms, since, type Clock, type Timer } from '../units/index.js';
+import { ms, durationBetween, type Clock, type Timer } from '../units/index.js';
 
 /** Events within this delay lead to one placing round. It grows with the time that a round takes. */
 const MIN_BATCH_DELAY = ms(5);
@@ -43,7 +43,7 @@
     } catch (error) {
       this.log.error({ err: error }, 'placing failed');
     }
-    const duration = since(startedAt, this.clock.steady());
+    const duration = durationBetween(startedAt, this.clock.steady());
     this.batchDelay = ms(
       Math.min(MAX_BATCH_DELAY, Math.max(MIN_BATCH_DELAY, duration / MAX_PLACING_SHARE)),
     );
--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -3,7 +3,7 @@
 import type { Job } from '../ledger/job.js';
 import { isUrgent, rankOf, type QueueEntry } from '../ledger/queue-order.js';
 import { isAllowed, type Assignment, type RemainingQuota } from '../placer/placer.js';
-import { since, type DurationMs, type MachineId, type SteadyMs } from '../units/index.js';
+import { durationBetween, type DurationMs, type MachineId, type SteadyMs } from '../units/index.js';
 import { JobKind } from '../wire/index.js';
 import { RECENT_START_WINDOW, type PlacementIndex, type RecentStart } from './placement-index.js';
 
@@ -69,7 +69,7 @@
     const candidates: PreemptionCandidate[] = [];
     for (const start of this.placements.startedRecently(now)) {
       if (!isPreemptibleFor(job, start)) continue;
-      const lostWork = since(start.startedAt, now);
+      const lostWork = durationBetween(start.startedAt, now);
       const machine = this.placements.fleet.machines.get(start.placement.machine);
       if (!machine || lostWork > RECENT_START_WINDOW || !canRunOn(job, machine)) continue;
       if (!this.isStillPlaced(start)) continue;
--- a/src/leader/push-commands.ts
+++ b/src/leader/push-commands.ts
@@ -20,7 +20,11 @@
  *
  * @param mayStart whether starts are pushed too, rather than left to the replies to heartbeats
  */
-export function takePush(machine: Machine, jobs: ReadonlyMap<JobId, Job>, mayStart: boolean): Push {
+export function preparePush(
+  machine: Machine,
+  jobs: ReadonlyMap<JobId, Job>,
+  mayStart: boolean,
+): Push {
   const push: Push = { commands: [], started: [] };
   const mayStartHere = mayStart && !machine.isDraining;
   for (const [key, { job: id, index, attempt }] of machine.assignments) {
--- a/src/leader/reception-check.ts
+++ b/src/leader/reception-check.ts
@@ -2,7 +2,13 @@
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey, isAfter, type WorkerStatus } from '../fleet/worker-status.js';
 import type { Job } from '../ledger/job.js';
-import { since, type DurationMs, type Epoch, type JobId, type SteadyMs } from '../units/index.js';
+import {
+  durationBetween,
+  type DurationMs,
+  type Epoch,
+  type JobId,
+  type SteadyMs,
+} from '../units/index.js';
 
 /** A new session with more than this share of the old one's lease left shows that a reply was lost. */
 const UNEXPIRED_LEASE_SHARE = 0.4;
@@ -41,7 +47,7 @@
   ): boolean {
     return (
       status.session > previous.session &&
-      since(now, machine.leaseExpiresAt) > this.lease * UNEXPIRED_LEASE_SHARE
+      durationBetween(now, machine.leaseExpiresAt) > this.lease * UNEXPIRED_LEASE_SHARE
     );
   }
 
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -19,7 +19,7 @@
 /** Places the waiting tasks of all jobs on the machines of one term, and preempts for urgent ones. */
 export class Scheduler {
   /** Recent submissions, for which capacity is kept on standby. */
-  readonly submissions: AnticipatedWork;
+  readonly forecast: AnticipatedWork;
   /** Set once the term knows all live jobs: before that nothing is placed on request. */
   isReady = false;
   private readonly loop: PlacingLoop;
@@ -32,9 +32,9 @@
     commands: CommandPusher,
     private readonly deps: TermDependencies,
   ) {
-    this.submissions = new AnticipatedWork(deps.settings.objectives);
+    this.forecast = new AnticipatedWork(deps.settings.objectives);
     this.loop = new PlacingLoop(deps.clock, deps.log, () => this.placeWaiting());
-    this.requests = new TaskRequestBuilder(placements, deps.recordLimits, this.submissions);
+    this.requests = new TaskRequestBuilder(placements, deps.recordLimits, this.forecast);
     this.preemption = new Preemption(placements, commands);
   }
 
@@ -58,7 +58,7 @@
     const wall = this.deps.clock.wall();
     const queue: QueueEntry[] = [];
     for (const job of this.placements.ledger.jobs.values()) {
-      if (job.isCancelled || job.waiting.size === 0 || job.heldBackUntil > now) continue;
+      if (job.isCancelled || job.waiting.size === 0 || job.backoffUntil > now) continue;
       queue.push(queueEntryFor(job, this.deps.settings.objectives, wall, now));
     }
     return queue.sort(compareQueueEntries);
@@ -70,7 +70,7 @@
     for (const machine of this.machines.values()) {
       if (machine.isUp) cpus += this.deps.catalog.machineType(machine.kind.machineType)?.cpus ?? 0;
     }
-    return this.submissions.anticipated(cpus, this.deps.clock.steady());
+    return this.forecast.anticipated(cpus, this.deps.clock.steady());
   }
 
   /** Asks for a placing round soon: events that follow shortly are handled by the same one. */
@@ -109,7 +109,7 @@
       machines,
       quotas: this.quotas(),
       maxAssignments: MAX_PLACEMENTS_PER_ROUND,
-      reserve: this.submissions.reserve(fleetCpus, now),
+      reserve: this.forecast.reserve(fleetCpus, now),
     });
   }
 
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -6,7 +6,7 @@
 import type { Job, Placement } from '../ledger/job.js';
 import {
   parseTaskKey,
-  since,
+  durationBetween,
   taskKey,
   type Epoch,
   type SteadyMs,
@@ -122,7 +122,7 @@
         machine: machine.id,
         jobClass: job.spec.jobClass,
         sinceSubmitMs: Math.round(clock.wall() - job.submittedAt),
-        sincePlacedMs: Math.round(since(placement.placedAt, clock.steady())),
+        sincePlacedMs: Math.round(durationBetween(placement.placedAt, clock.steady())),
         hadImage: placement.wasImageCached,
       },
       'running',
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -153,7 +153,7 @@
     const autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        listeningSince: () => this.contacts.listeningSince,
+        answeringSince: () => this.contacts.answeringSince,
         unreachableAt: this.contacts.unreachableAt,
         queue: () => this.scheduler.queue(),
         specOf: (id) => this.ledger.jobs.get(id)?.spec,
@@ -166,7 +166,7 @@
     return autoscaler;
   }
 
-  /** Whether the records are read: before that, no request about a job is answered, and no task is placed. */
+  /** Whether the records are read: before that, this term answers no request about a job and places no task. */
   get isReady(): boolean {
     return this.scheduler.isReady;
   }
@@ -177,7 +177,7 @@
   }
 
   /** Resolves once the term is ready or closed, or has taken too long to become ready. */
-  get rebuilt(): Promise<void> {
+  get rebuildSettled(): Promise<void> {
     return this.rebuild.settled;
   }
 
--- a/src/leader/worker-calls.ts
+++ b/src/leader/worker-calls.ts
@@ -11,7 +11,7 @@
 import type { TermDependencies } from './dependencies.js';
 
 /** The timeout of a call to a worker whose machine this epoch has seen. */
-export const CALL_TIMEOUT = ms(2500);
+export const WORKER_CALL_TIMEOUT = ms(2500);
 /** The timeout where the machine may be long gone, known only from late copies of heartbeats. */
 export const UNCONFIRMED_CALL_TIMEOUT = ms(1200);
 /** The share of a node's sockets that calls in flight may take, and the least number of them. */
--- a/src/ledger/batch-assembler.ts
+++ b/src/ledger/batch-assembler.ts
@@ -66,7 +66,7 @@
         checkAfter = PROGRESS_RETRY_INTERVAL;
         break;
       }
-      const isAlone = queue.isWrittenAlone(job);
+      const isAlone = queue.needsOwnTransaction(job);
       if (isAlone && !builder.isEmpty) continue;
       const changes = changeCountOf(job);
       if (!builder.canHold(changes)) {
--- a/src/ledger/commit-queue.ts
+++ b/src/ledger/commit-queue.ts
@@ -1,7 +1,7 @@
 /** What is to be written: jobs with changes that are not in the store yet, and in which order they are written. */
 import {
   ms,
-  since,
+  durationBetween,
   type Clock,
   type DurationMs,
   type JobId,
@@ -17,9 +17,9 @@
  * of when they were made plus this. Admissions and cancellations go before all.
  */
 const MAX_DELAY: Record<Exclude<WritePriority, typeof WritePriority.none>, DurationMs> = {
-  [WritePriority.admission]: ms(0),
+  [WritePriority.userRequest]: ms(0),
   [WritePriority.placement]: ms(400),
-  [WritePriority.completion]: ms(1000),
+  [WritePriority.jobEnd]: ms(1000),
   [WritePriority.progress]: ms(5000),
 };
 
@@ -41,7 +41,7 @@
 /** By when, on the steady clock, a change made at `changedAt` is to be written. */
 function writeBy(job: Job, changedAt: SteadyMs): number {
   const priority = priorityOf(job);
-  if (priority === WritePriority.admission) return -Infinity;
+  if (priority === WritePriority.userRequest) return -Infinity;
   const isUrgentPlacement = priority === WritePriority.placement && isUrgent(job.spec.priority);
   return changedAt + (isUrgentPlacement ? 0 : MAX_DELAY[priority]);
 }
@@ -51,7 +51,7 @@
   /** Jobs with changes that no transaction has taken, and since when. */
   private readonly changedSince = new Map<Job, SteadyMs>();
   /** Jobs of a transaction that was refused as too large: each is tried by itself, and not before then. */
-  private readonly writtenAloneAfter = new Map<Job, SteadyMs>();
+  private readonly ownTransactionAt = new Map<Job, SteadyMs>();
   private readonly lastCommit = new Map<JobId, SteadyMs>();
   /** Keys of notices that were dealt with: they are deleted along with other changes. */
   private readonly noticeKeys = new Set<string>();
@@ -74,7 +74,7 @@
   /** Nothing more of this job is written. */
   untrack(job: Job): void {
     job.onChange = undefined;
-    this.writtenAloneAfter.delete(job);
+    this.ownTransactionAt.delete(job);
     this.changedSince.delete(job);
   }
 
@@ -93,7 +93,7 @@
   }
 
   noteCommitted(job: Job): void {
-    this.writtenAloneAfter.delete(job);
+    this.ownTransactionAt.delete(job);
     this.lastCommit.set(job.id, this.clock.steady());
   }
 
@@ -104,12 +104,12 @@
   }
 
   /** The job is written in a transaction by itself, and not before `time`. */
-  writeAlone(job: Job, time: SteadyMs): void {
-    this.writtenAloneAfter.set(job, time);
+  retryInOwnTransaction(job: Job, time: SteadyMs): void {
+    this.ownTransactionAt.set(job, time);
   }
 
-  isWrittenAlone(job: Job): boolean {
-    return this.writtenAloneAfter.has(job);
+  needsOwnTransaction(job: Job): boolean {
+    return this.ownTransactionAt.has(job);
   }
 
   addNotice(key: string): void {
@@ -129,7 +129,7 @@
   get pendingAdmissions(): number {
     let count = 0;
     for (const job of this.changedSince.keys())
-      if (job.writePriority === WritePriority.admission && !job.hasWriteInFlight) count++;
+      if (job.writePriority === WritePriority.userRequest && !job.hasWriteInFlight) count++;
     return count;
   }
 
@@ -153,9 +153,9 @@
 
   /** How long a job may not be written yet; 0 or less if it may. */
   private waitOf(job: Job, now: SteadyMs): DurationMs {
-    const hold = since(now, this.writtenAloneAfter.get(job) ?? now);
+    const hold = durationBetween(now, this.ownTransactionAt.get(job) ?? now);
     if (hold > 0 || priorityOf(job) !== WritePriority.progress) return hold;
     const last = this.lastCommit.get(job.id);
-    return ms(last === undefined ? 0 : PROGRESS_INTERVAL - since(last, now));
+    return ms(last === undefined ? 0 : PROGRESS_INTERVAL - durationBetween(last, now));
   }
 }
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -1,4 +1,7 @@
-/** What a node that does not lead does with the store itself, on behalf of users. */
+/**
+ * Jobs as the store holds them. Any node, the leader too, looks jobs up and reads notices; only a node without a
+ * reachable leader creates and cancels jobs here, on behalf of users.
+ */
 import type { StoreClient } from '../store/client.js';
 import type { CommitResult } from '../store/results.js';
 import { Epoch, JobId, Revision, ms, type Clock, type DurationMs } from '../units/index.js';
@@ -23,7 +26,7 @@
 const WATCH_TIMEOUT = ms(10_000);
 /** The longest wait of a user's request for its turn at the store; past it the request is refused at once. */
 const MAX_QUEUE_WAIT = ms(1000);
-const USER_CALL = { patience: MAX_QUEUE_WAIT };
+const USER_CALL = { queueTimeout: MAX_QUEUE_WAIT };
 /** How many final states are kept in memory. */
 const MAX_FINAL_STATES = 2000;
 /** What records name as their writer's epoch if no leader wrote them. */
--- a/src/ledger/job.ts
+++ b/src/ledger/job.ts
@@ -76,10 +76,15 @@
 
 /** Why a record is to be written, most urgent first. */
 export const WritePriority = {
-  admission: 0,
+  /** A submission or a cancellation: its user waits for the answer. */
+  userRequest: 0,
+  /** Placements: their starts are sent once they are committed. */
   placement: 1,
-  completion: 2,
+  /** The last task of a job has ended, or a task of a cancelled job is gone. */
+  jobEnd: 2,
+  /** What only saves repeated work after a failover. */
   progress: 3,
+  /** Nothing new since the last transaction. */
   none: 4,
 } as const;
 export type WritePriority = (typeof WritePriority)[keyof typeof WritePriority];
@@ -134,9 +139,9 @@
   /** Machines on which its tasks failed, and until when none is placed there. */
   readonly avoidedMachines = new Map<MachineId, SteadyMs>();
   /** Until then nothing of it is placed, after failures. */
-  heldBackUntil = 0 as SteadyMs;
+  backoffUntil = 0 as SteadyMs;
   /** How often it was held back. */
-  holdCount = 0;
+  backoffCount = 0;
 
   /** A job of which all tasks wait. */
   constructor(
@@ -201,7 +206,7 @@
   requeue(index: number): void {
     if (!this.placements.delete(index)) return;
     this.waiting.add(index);
-    this.markChanged(this.isCancelled ? WritePriority.completion : WritePriority.progress);
+    this.markChanged(this.isCancelled ? WritePriority.jobEnd : WritePriority.progress);
   }
 
   /** The task is done, wherever it was thought to be. */
@@ -209,7 +214,7 @@
     if (!this.placements.delete(index)) this.waiting.remove(index);
     this.markChanged(
       this.waiting.size + this.placements.size === 0
-        ? WritePriority.completion
+        ? WritePriority.jobEnd
         : WritePriority.progress,
     );
   }
@@ -217,7 +222,7 @@
   cancel(): void {
     if (this.isCancelled) return;
     this.isCancelled = true;
-    this.markChanged(WritePriority.admission);
+    this.markChanged(WritePriority.userRequest);
   }
 
   /**
@@ -237,8 +242,8 @@
       }
     }
     this.lastPlacedAt = before.lastPlacedAt ?? this.lastPlacedAt;
-    this.heldBackUntil = before.heldBackUntil;
-    this.holdCount = before.holdCount;
+    this.backoffUntil = before.backoffUntil;
+    this.backoffCount = before.backoffCount;
     for (const [machine, until] of before.avoidedMachines) this.avoidedMachines.set(machine, until);
   }
 
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -85,7 +85,10 @@
     this.table.finalStates.set(id, final);
   }
 
-  /** Adds a live job. From now on its changes are written. */
+  /**
+   * Adds a live job. From now on its changes are written: each one schedules the commit loop, which assembles a
+   * transaction in a later microtask, so that all changes of one turn go together.
+   */
   insert(job: Job): void {
     this.table.set(job);
     this.queue.track(job);
--- a/src/ledger/queue-order.ts
+++ b/src/ledger/queue-order.ts
@@ -4,7 +4,14 @@
  * few tasks, so that none starves.
  */
 import type { Objective } from '../config/settings.js';
-import { ms, seconds, since, type DurationMs, type SteadyMs, type WallMs } from '../units/index.js';
+import {
+  ms,
+  seconds,
+  durationBetween,
+  type DurationMs,
+  type SteadyMs,
+  type WallMs,
+} from '../units/index.js';
 import type { Priority } from '../wire/index.js';
 import type { Job } from './job.js';
 
@@ -100,7 +107,9 @@
 
 /** For how long none of a job's tasks was placed. */
 function timeSincePlacement(job: Job, wall: WallMs, now: SteadyMs): DurationMs {
-  return job.lastPlacedAt === undefined ? ms(wall - job.submittedAt) : since(job.lastPlacedAt, now);
+  return job.lastPlacedAt === undefined
+    ? ms(wall - job.submittedAt)
+    : durationBetween(job.lastPlacedAt, now);
 }
 
 /** The position of a job with waiting tasks. `wall` and `now` are the present time on both clocks. */
--- a/src/ledger/transaction-writer.ts
+++ b/src/ledger/transaction-writer.ts
@@ -130,7 +130,7 @@
     for (const record of records) {
       const { job, version } = record;
       if (!isNews) {
-        queue.writeAlone(job, isSingle ? later(now, OVERSIZE_HOLD) : now);
+        queue.retryInOwnTransaction(job, isSingle ? later(now, OVERSIZE_HOLD) : now);
         if (isSingle) waiters.settle(job.id, version, false);
       }
       outcomes.notCommitted(record);
--- a/src/main.ts
+++ b/src/main.ts
@@ -45,7 +45,7 @@
   if (operator.lease > maxLeaderLease(settings.workers)) {
     log.warn('cancel_s leaves no time for a change of leader beside lease_s: tasks may outlast it');
   }
-  log.info({ area: settings.zone }, 'started');
+  log.info({ zone: settings.zone }, 'started');
 }
 
 async function main(argv: readonly string[]): Promise<void> {
--- a/src/peer/link.ts
+++ b/src/peer/link.ts
@@ -6,7 +6,7 @@
   SteadyMs,
   later,
   ms,
-  since,
+  durationBetween,
   type Clock,
   type DurationMs,
   type Endpoint,
@@ -53,7 +53,7 @@
   private get isSilent(): boolean {
     const { silentSince } = this;
     const now = this.clock.steady();
-    return silentSince !== undefined && since(silentSince, now) > UNRESPONSIVE_AFTER;
+    return silentSince !== undefined && durationBetween(silentSince, now) > UNRESPONSIVE_AFTER;
   }
 
   /** Ends the connection for good; what is pending gets no response. */
--- a/src/peer/liveness.ts
+++ b/src/peer/liveness.ts
@@ -1,7 +1,14 @@
 /** Heartbeats between controllers: who leads, who answers, and whether this node is cut off. */
 import type { Logger } from 'pino';
 import { detach } from '../units/detach.js';
-import { ms, since, seconds, type Clock, type NodeId, type SteadyMs } from '../units/index.js';
+import {
+  ms,
+  durationBetween,
+  seconds,
+  type Clock,
+  type NodeId,
+  type SteadyMs,
+} from '../units/index.js';
 import type { Peer } from './channel.js';
 import type { PeerStatus } from './messages.js';
 
@@ -27,10 +34,10 @@
   storeServedAt: SteadyMs,
   peers: readonly (ReceivedStatus | undefined)[],
 ): boolean {
-  if (peers.length === 0 || since(storeServedAt, now) < ISOLATED_AFTER) return false;
+  if (peers.length === 0 || durationBetween(storeServedAt, now) < ISOLATED_AFTER) return false;
   for (const peer of peers) {
     if (!peer) continue;
-    const age = since(peer.at, now);
+    const age = durationBetween(peer.at, now);
     if (age < ISOLATED_AFTER) return false;
     const isOutageForAll = !peer.status.storeReachable && peer.at > storeServedAt;
     if (isOutageForAll && age < OUTAGE_REPORT_TTL) return false;
@@ -39,7 +46,8 @@
 }
 
 /** Whether an answer at that time is recent enough for its sender to count as reachable. */
-export const isRecent = (at: SteadyMs, now: SteadyMs): boolean => since(at, now) < ISOLATED_AFTER;
+export const isRecent = (at: SteadyMs, now: SteadyMs): boolean =>
+  durationBetween(at, now) < ISOLATED_AFTER;
 
 /** What heartbeats carry, for `PeerLiveness`. */
 export interface StatusExchange {
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -6,7 +6,14 @@
 import type { Peer } from '../peer/channel.js';
 import type { HeartbeatResponse } from '../peer/messages.js';
 import { detach } from '../units/detach.js';
-import { later, ms, since, type Clock, type NodeId, type SteadyMs } from '../units/index.js';
+import {
+  later,
+  ms,
+  durationBetween,
+  type Clock,
+  type NodeId,
+  type SteadyMs,
+} from '../units/index.js';
 import type { Heartbeat, HeartbeatReply } from '../wire/index.js';
 import { Baselines } from './baselines.js';
 import { INITIAL_BATCH_SIZE, nextBatchSize, takeBatch, type PendingHeartbeat } from './batch.js';
@@ -70,7 +77,8 @@
     this.isFlushScheduled = true;
     const { clock } = this.options;
     const now = clock.steady();
-    const pause = this.lastSentAt === undefined ? 0 : BATCH_WINDOW - since(this.lastSentAt, now);
+    const pause =
+      this.lastSentAt === undefined ? 0 : BATCH_WINDOW - durationBetween(this.lastSentAt, now);
     clock.after(ms(Math.max(0, pause)), () => this.flush());
   }
 
@@ -119,7 +127,7 @@
       { type: 'workerHeartbeats', node, epoch, heartbeats },
       BATCH_TIMEOUT,
     );
-    this.batchSize = nextBatchSize(this.batchSize, since(sentAt, clock.steady()));
+    this.batchSize = nextBatchSize(this.batchSize, durationBetween(sentAt, clock.steady()));
     if (response?.type !== 'heartbeatResponses' || response.responses.length !== batch.length) {
       for (const pending of batch) pending.resolve(undefined);
       return;
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -41,7 +41,7 @@
   /** Leaves at once, whatever the budget holds, on connections of its own: for leases and the rebuild. */
   readonly urgent?: boolean;
   /** How long the call may wait for its turn; without it, as long as it takes. */
-  readonly patience?: DurationMs;
+  readonly queueTimeout?: DurationMs;
 }
 
 /** What a `StoreClient` works with. */
@@ -108,7 +108,7 @@
     options: CallOptions = {},
     writes = 0,
   ): Promise<Outcome> {
-    const { urgent = false, patience = ms(Infinity) } = options;
+    const { urgent = false, queueTimeout: patience = ms(Infinity) } = options;
     if (urgent) this.budget.forceTake(writes);
     else if (!(await this.queue.waitForTurn(writes, patience))) {
       return { kind: 'undelivered', reason: 'no turn in time' };
--- a/src/units/expiring-map.ts
+++ b/src/units/expiring-map.ts
@@ -1,5 +1,5 @@
 /** A map whose entries expire. */
-import { since, type DurationMs, type SteadyMs } from './index.js';
+import { durationBetween, type DurationMs, type SteadyMs } from './index.js';
 
 interface Entry<V> {
   readonly value: V;
@@ -27,7 +27,7 @@
   set(key: K, value: V, now: SteadyMs): void {
     this.entries.set(key, { value, setAt: now });
     this.sweptAt ??= now;
-    if (since(this.sweptAt, now) > this.ttl) this.sweep(now);
+    if (durationBetween(this.sweptAt, now) > this.ttl) this.sweep(now);
   }
 
   delete(key: K): void {
@@ -37,7 +37,7 @@
   private sweep(now: SteadyMs): void {
     this.sweptAt = now;
     for (const [key, { setAt }] of this.entries) {
-      if (since(setAt, now) > this.ttl) this.entries.delete(key);
+      if (durationBetween(setAt, now) > this.ttl) this.entries.delete(key);
     }
   }
 }
--- a/src/units/index.ts
+++ b/src/units/index.ts
@@ -48,7 +48,8 @@
 export const later = (time: SteadyMs, duration: DurationMs): SteadyMs =>
   (time + duration) as SteadyMs;
 /** The duration from one time to a later one; negative if it is an earlier one. */
-export const since = (from: SteadyMs, to: SteadyMs): DurationMs => (to - from) as DurationMs;
+export const durationBetween = (from: SteadyMs, to: SteadyMs): DurationMs =>
+  (to - from) as DurationMs;
 
 /** The name of one task. */
 export const taskKey = (job: JobId, index: number): TaskKey => `${job}/${index}` as TaskKey;
@@ -72,9 +73,11 @@
 export const MAX_DRIFT = 0.0005;
 
 /** A duration, lengthened: once it has passed on this clock, the original one has passed on every clock. */
-export const stretched = (duration: DurationMs): DurationMs => ms(duration * (1 + 2 * MAX_DRIFT));
+export const upperBoundUnderDrift = (duration: DurationMs): DurationMs =>
+  ms(duration * (1 + 2 * MAX_DRIFT));
 /** A duration, shortened: until it has passed on this clock, the original one has passed on no clock. */
-export const shrunk = (duration: DurationMs): DurationMs => ms(duration * (1 - 2 * MAX_DRIFT));
+export const lowerBoundUnderDrift = (duration: DurationMs): DurationMs =>
+  ms(duration * (1 - 2 * MAX_DRIFT));
 
 /** A call that is due later. */
 export interface Timer {
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -1,6 +1,6 @@
 /** The parts that answer requests, around a term that a test controls. */
 import { pino } from 'pino';
-import { Leadership } from '../../src/api/leadership.js';
+import { LeaderView } from '../../src/api/leadership.js';
 import { UserRequests } from '../../src/api/user-requests.js';
 import { WorkerHeartbeats } from '../../src/api/worker-heartbeats.js';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
@@ -49,7 +49,7 @@
   const peers = new Map<NodeId, Peer>();
   const catalog = new MachineCatalog();
   catalog.update(machineTypes);
-  const leadership = new Leadership(
+  const leadership = new LeaderView(
     { authority: () => epoch, leader: () => NodeId('node-0') },
     peers,
   );
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -75,7 +75,7 @@
   const autoscaler = new Autoscaler(
     {
       fleet,
-      listeningSince: () => SteadyMs(0),
+      answeringSince: () => SteadyMs(0),
       unreachableAt: new Map(),
       queue: () => [entry],
       specOf: () => job.spec,
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -9,7 +9,7 @@
 import { attemptKey, toWorkerStatus } from '../../src/fleet/worker-status.js';
 import type { PlacementIndex } from '../../src/leader/placement-index.js';
 import { CommandSender, type CommandSenderDependencies } from '../../src/leader/command-sender.js';
-import { takePush } from '../../src/leader/push-commands.js';
+import { preparePush } from '../../src/leader/push-commands.js';
 import { ReplyCommands } from '../../src/leader/reply-commands.js';
 import { Epoch, MachineId, SteadyMs, seconds } from '../../src/units/index.js';
 import { encodeHeartbeat, type Priority } from '../../src/wire/index.js';
@@ -128,7 +128,7 @@
     ['not committed', true, ({ job }) => (job.committedVersion = 0), []],
     ['sent in a reply', true, ({ placement }) => (placement.sentInReplyTo = heartbeat), []],
     ['reported', true, ({ placement }) => (placement.isReported = true), []],
-    ['the machine is draining', true, (_, machine) => (machine.isReturning = true), []],
+    ['the machine is draining', true, (_, machine) => (machine.isDecommissioning = true), []],
     ['cancelled, not sent', true, ({ job }) => (job.isCancelled = true), []],
     [
       'cancelled, sent in a reply',
@@ -165,7 +165,7 @@
     const task = placedTask(fleet, id, SteadyMs(0));
     change(task, machine);
     const jobs = new Map([[task.job.id, task.job]]);
-    const { commands, started } = takePush(machine, jobs, mayStart);
+    const { commands, started } = preparePush(machine, jobs, mayStart);
     const shown = commands.map((command) =>
       command.type === 'kill' ? `kill ${command.gracePeriodSeconds}` : command.type,
     );
@@ -174,6 +174,6 @@
     const isStart = expected.includes('launch');
     assert.deepEqual(started, isStart ? [attempt] : [], name);
     assert.equal(machine.pushedStarts.isUnacknowledged(attempt), isStart, name);
-    assert.deepEqual(takePush(machine, jobs, mayStart).commands, [], `${name}: once`);
+    assert.deepEqual(preparePush(machine, jobs, mayStart).commands, [], `${name}: once`);
   }
 });
--- a/test/unit/commit-queue.test.ts
+++ b/test/unit/commit-queue.test.ts
@@ -40,11 +40,11 @@
   job(6);
   assert.deepEqual(due(), { jobs: [], checkAfter: Infinity });
   progress.markChanged(WritePriority.progress);
-  completion.markChanged(WritePriority.completion);
+  completion.markChanged(WritePriority.jobEnd);
   await time.run(500);
   placement.markChanged(WritePriority.placement);
   urgent.markChanged(WritePriority.placement);
-  admission.markChanged(WritePriority.admission);
+  admission.markChanged(WritePriority.userRequest);
   assert.equal(changes(), 5);
   // By then: 5000, 1000, 900, 500 ms, at once.
   assert.deepEqual(due().jobs, [5, 4, 3, 2, 1]);
@@ -66,7 +66,7 @@
   await time.run(2000);
   assert.deepEqual(due(), { jobs: [1], checkAfter: Infinity });
   queue.noteCommitted(first);
-  first.markChanged(WritePriority.completion);
+  first.markChanged(WritePriority.jobEnd);
   assert.deepEqual(due(), { jobs: [1], checkAfter: Infinity });
   queue.untrack(first);
   queue.putBack(first);
@@ -77,13 +77,13 @@
   const { time, queue, job, due } = queueOfJobs();
   const large = job(1);
   large.markChanged(WritePriority.placement);
-  queue.writeAlone(large, SteadyMs(2000));
+  queue.retryInOwnTransaction(large, SteadyMs(2000));
   assert.deepEqual(due(), { jobs: [], checkAfter: 2000 });
   await time.run(2000);
   assert.deepEqual(due(), { jobs: [1], checkAfter: Infinity });
-  assert.ok(queue.isWrittenAlone(large));
+  assert.ok(queue.needsOwnTransaction(large));
   queue.noteCommitted(large);
-  assert.ok(!queue.isWrittenAlone(large));
+  assert.ok(!queue.needsOwnTransaction(large));
 });
 
 void test('waiters are answered once their version is settled, and all when it ends', async () => {
--- a/test/unit/config.test.ts
+++ b/test/unit/config.test.ts
@@ -11,7 +11,7 @@
 import { checkLeaderLease, parseOperator } from '../../src/config/operator-file.js';
 import { SettingsError } from '../../src/config/input.js';
 import { parseSettings } from '../../src/config/settings.js';
-import { seconds, shrunk, stretched } from '../../src/units/index.js';
+import { seconds, lowerBoundUnderDrift, upperBoundUnderDrift } from '../../src/units/index.js';
 import { settingsFile } from '../support/settings.js';
 
 void test('settings: an error names its field', () => {
@@ -71,8 +71,8 @@
       const times = { lease: seconds(lease), cancellationTime: seconds(lease + spare) };
       const { lease: leaderLease, renewInterval } = defaultsFor(times);
       // From the last renewal on: the leader's authority, then the lease of a worker answered at its very end.
-      const authority = shrunk(leaderLease);
-      assert.ok(authority + stretched(times.lease) < times.cancellationTime);
+      const authority = lowerBoundUnderDrift(leaderLease);
+      assert.ok(authority + upperBoundUnderDrift(times.lease) < times.cancellationTime);
       assert.ok(leaderLease >= 1000 && leaderLease <= 4000 && renewInterval <= leaderLease / 3);
     }),
     { seed: 20261202 },
--- a/test/unit/failure-backoff.test.ts
+++ b/test/unit/failure-backoff.test.ts
@@ -41,15 +41,11 @@
     reconciler.observe(machine, toWorkerStatus(heartbeat), 'heartbeat');
     assert.equal(job.placements.size, 0);
     const latest = clock.steady() + seconds(60);
-    const heldUntil = [
-      job.heldBackUntil,
-      machine.quarantinedUntil,
-      ...job.avoidedMachines.values(),
-    ];
+    const heldUntil = [job.backoffUntil, machine.quarantinedUntil, ...job.avoidedMachines.values()];
     for (const until of heldUntil) {
       assert.ok(until <= latest, `failure ${i}: held until ${until} of ${latest}`);
     }
     await time.run(time.now + 70_000);
   }
-  assert.ok(job.holdCount > 0);
+  assert.ok(job.backoffCount > 0);
 });
--- a/test/unit/gangs.test.ts
+++ b/test/unit/gangs.test.ts
@@ -31,12 +31,12 @@
   isReported: true,
   isRunning: true,
   isStopping: false,
-  machineLeavesIn: undefined,
+  reclaimIn: undefined,
   isReachable: true,
 };
 const gathering: GangTask = { ...running, isRunning: false };
 const placed: GangTask = { ...gathering, isReported: false };
-const leaving = (inMs: number): GangTask => ({ ...running, machineLeavesIn: ms(inMs) });
+const leaving = (inMs: number): GangTask => ({ ...running, reclaimIn: ms(inMs) });
 
 /** A gang of three tasks that takes three seconds to save a checkpoint. */
 const gang = (tasks: readonly GangTask[], change: Partial<GangState> = {}): GangState => ({
--- a/test/unit/lost-machines.test.ts
+++ b/test/unit/lost-machines.test.ts
@@ -25,7 +25,7 @@
 /** At second 100, with nothing known of other nodes. */
 const VIEW: LivenessView = {
   now: at(100),
-  listeningSince: at(0),
+  answeringSince: at(0),
   heartbeatInterval: seconds(3),
   lease: seconds(24),
   bootTime: () => seconds(10),
@@ -96,7 +96,7 @@
   ];
   const unreachableAt = new Map([[FOLLOWER, at(95)]]);
   const lostAt = (second: number): number =>
-    lostMachines(reconnecting, { ...VIEW, unreachableAt, listeningSince: at(91), now: at(second) })
+    lostMachines(reconnecting, { ...VIEW, unreachableAt, answeringSince: at(91), now: at(second) })
       .length;
   assert.deepEqual([lostAt(113), lostAt(138), lostAt(140)], [0, 0, 2]);
 });
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -204,7 +204,7 @@
 const newJob = (n: number, taskCount: number): Job => {
   const name = JobId(`run-${String(n).padStart(6, '0')}`);
   const job = new Job(name, spec({ id: name, taskCount }), WallMs(0), Revision(0));
-  job.markChanged(WritePriority.admission);
+  job.markChanged(WritePriority.userRequest);
   return job;
 };
 
--- a/test/unit/store.test.ts
+++ b/test/unit/store.test.ts
@@ -26,7 +26,7 @@
   const outcomes: { index: number; kind: string; at: number }[] = [];
   const readCount = 200;
   for (let index = 0; index < readCount; index++) {
-    void store.get(`live/${index}`, ms(1500), { patience: ms(1000) }).then(({ kind }) => {
+    void store.get(`live/${index}`, ms(1500), { queueTimeout: ms(1000) }).then(({ kind }) => {
       outcomes.push({ index, kind, at: time.now });
     });
   }
