--- a/eslint.config.js
+++ b/eslint.config.js
@@ -30,7 +30,12 @@
     'no-restricted-imports': [
       'error',
       {
-        patterns: [...PACKAGES.slice(i + 1).map((p) => `../${p}/*`), '../controller.js', '../servers.js', '../main.js'],
+        patterns: [
+          ...PACKAGES.slice(i + 1).map((p) => `../${p}/*`),
+          '../controller.js',
+          '../servers.js',
+          '../main.js',
+        ],
       },
     ],
   },
