--- a/src/api/job-queries.ts
+++ b/src/api/job-queries.ts
@@ -1,6 +1,6 @@
 /** Questions about a job, and cancellations: answered by the leader, or else by what the store holds. */
 import type { JobRecords } from '../ledger/job-records.js';
-import type { JobAnswer } from '../leader/job-requests.js';
+import type { JobLookupResult } from '../leader/job-requests.js';
 import type { Term } from '../leader/term.js';
 import { JobId, later, ms, durationBetween, sleep, type Clock } from '../units/index.js';
 import { JOB_ID } from '../wire/index.js';
@@ -85,7 +85,7 @@
   }
 
   /** The reply that an answer of our term allows; `absent` is the reply if there is no such job. */
-  replyIfAuthorised(term: Term, id: string, answer: JobAnswer, absent: Reply): Reply {
+  replyIfAuthorised(term: Term, id: string, answer: JobLookupResult, absent: Reply): Reply {
     // While this process waited, or stood still, another node may have begun to lead and have answered
     // users with a later state than the one known here. What is final stays as it is.
     const isAuthorised = answer.kind === 'final' || this.leadership.authorisedTerm() === term;
--- a/src/api/job-replies.ts
+++ b/src/api/job-replies.ts
@@ -1,7 +1,7 @@
 /** Replies about a job, by what is known of it. */
 import type { StoredJob } from '../ledger/job-records.js';
 import { statusOf, type FinalState, type Job } from '../ledger/job.js';
-import type { JobAnswer } from '../leader/job-requests.js';
+import type { JobLookupResult } from '../leader/job-requests.js';
 import { ms, type DurationMs } from '../units/index.js';
 import { JobStatus, encodeJobState } from '../wire/index.js';
 import { NO_SUCH_JOB, TRY_AGAIN, type Reply } from './reply.js';
@@ -36,7 +36,7 @@
 }
 
 /** The job as the leader knows it; `absent` is the reply if there is none. */
-export function jobAnswerReply(id: string, answer: JobAnswer, absent: Reply): Reply {
+export function jobAnswerReply(id: string, answer: JobLookupResult, absent: Reply): Reply {
   switch (answer.kind) {
     case 'live':
       // Not committed yet: the job may still come to nothing.
--- a/src/api/worker-heartbeats.ts
+++ b/src/api/worker-heartbeats.ts
@@ -120,7 +120,7 @@
   private async answerHere(heartbeat: Heartbeat, term: Term): Promise<Reply> {
     // It has seen a newer token than ours: we have no right to act any more.
     if (heartbeat.fencingToken > term.epoch) return NOT_AUTHORISED;
-    const follower = term.redirectsWorkers ? this.followerFor(heartbeat.machine) : undefined;
+    const follower = term.isRedirectingWorkers ? this.followerFor(heartbeat.machine) : undefined;
     if (follower !== undefined && !this.isRedirectFailed(heartbeat.machine))
       return redirectTo(follower);
     if (!(await this.isRebuilt(term))) return NOT_AUTHORISED;
@@ -135,7 +135,7 @@
    * leaders that end one after the other before they know would keep those beyond their time.
    */
   private async isRebuilt(term: Term): Promise<boolean> {
-    if (!term.isReady) await term.rebuildSettled;
+    if (!term.isReady) await term.recoverySettled;
     return term.isReady && this.leadership.authorisedTerm() === term;
   }
 
@@ -172,8 +172,8 @@
   ): HeartbeatResponse {
     if (relayed.kind === 'full') {
       if (relayed.heartbeat.fencingToken > term.epoch) return REFUSED;
-      const { reply, baseline } = term.handleRelayedHeartbeat(relayed.heartbeat, sender);
-      return { outcome: 'accepted', baseline, commands: reply.commands };
+      const { response, baseline } = term.handleRelayedHeartbeat(relayed.heartbeat, sender);
+      return { outcome: 'accepted', baseline, commands: response.commands };
     }
     if (relayed.fencingToken > term.epoch) return REFUSED;
     if (epoch !== term.epoch) return BASELINE_UNKNOWN;
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -14,7 +14,7 @@
 import { RecordLimits } from './ledger/record-limits.js';
 import { Election } from './leader/election.js';
 import { ImageHints } from './leader/image-hints.js';
-import { StoredCatalog } from './leader/stored-catalog.js';
+import { CatalogSync } from './leader/catalog-sync.js';
 import { Term } from './leader/term.js';
 import type { HttpClient } from './net/http.js';
 import type { Peer } from './peer/channel.js';
@@ -49,7 +49,7 @@
   private readonly jobRecords: JobRecords;
   private readonly cloud: CloudClient;
   private readonly catalog = new MachineCatalog();
-  private readonly storedCatalog: StoredCatalog;
+  private readonly catalogSync: CatalogSync;
   private readonly peerLiveness: PeerLiveness;
   private readonly leadership: LeaderView;
   private readonly imageHints = new ImageHints();
@@ -77,16 +77,16 @@
     this.cloud = new CloudClient(http, settings.cloudEndpoint, clock, settings.cloud.requestRate);
     this.election = this.createElection();
     this.leadership = new LeaderView(this.election, peers);
-    this.storedCatalog = new StoredCatalog({
+    this.catalogSync = new CatalogSync({
       store: this.store,
       catalog: this.catalog,
       clock,
-      isLeading: () => this.leadership.term !== undefined,
+      isLeader: () => this.leadership.term !== undefined,
     });
     this.peerLiveness = new PeerLiveness(peers, clock, log, {
       ownStatus: () => this.ownStatus(),
       onPeerStatus: ({ leader, epoch }) => {
-        if (leader !== '') this.election.noteLeader(NodeId(leader), epoch);
+        if (leader !== '') this.election.recordLeader(NodeId(leader), epoch);
       },
     });
     this.userRequests = this.createUserRequests();
@@ -98,15 +98,15 @@
     const { clock, random, log, processId } = this.environment;
     return new Election({
       store: this.store,
-      node: this.settings.node,
+      controllerId: this.settings.node,
       processId,
       timing: { duration: this.operator.lease, renewInterval: this.operator.renewInterval },
       clock,
       random,
       log,
       events: {
-        onGained: (epoch) => this.beginTerm(epoch),
-        onLost: () => this.endTerm(),
+        onTermStarted: (epoch) => this.beginTerm(epoch),
+        onTermEnded: () => this.endTerm(),
       },
     });
   }
@@ -168,8 +168,8 @@
       random,
       log: log.child({ epoch }),
       authority: () => this.election.authority(),
-      onDeposed: (deposed) => this.election.noteDeposed(deposed),
-      onMachineTypesChanged: () => detach(this.storedCatalog.save(), log, 'saving machine types'),
+      onDeposed: (deposed) => this.election.onDeposed(deposed),
+      onMachineTypesChanged: () => detach(this.catalogSync.save(), log, 'saving machine types'),
       imageHints,
       broadcastImageHints: (machines) => this.broadcastImageHints(machines),
       peers,
@@ -221,13 +221,13 @@
   /** Begins to take part in the election. Requests are answered before, as far as that goes. */
   start(): void {
     this.election.start();
-    detach(this.storedCatalog.run(), this.environment.log, 'reading machine types');
+    detach(this.catalogSync.run(), this.environment.log, 'reading machine types');
     this.peerLiveness.start();
   }
 
   /** For tests: what a killed process no longer does. */
   stop(): void {
-    this.storedCatalog.stop();
+    this.catalogSync.stop();
     this.election.stop();
     this.peerLiveness.stop();
     this.leadership.term?.close();
--- a/src/leader/attempt-clearance.ts
+++ b/src/leader/attempt-clearance.ts
@@ -5,10 +5,10 @@
 import type { Ledger } from '../ledger/ledger.js';
 import { durationBetween, type TaskRef } from '../units/index.js';
 import { ExitReason, JobStatus, type TaskStatus } from '../wire/index.js';
-import type { TermDependencies } from './dependencies.js';
+import type { TermDependencies } from './term-dependencies.js';
 
 /** Duplicates of messages are delivered up to this many worker leases late. */
-const LATE_DUPLICATE_LEASES = 3;
+const MAX_DUPLICATE_DELAY_LEASES = 3;
 
 /**
  * Decides which attempts may be forgotten. Once a worker has forgotten an attempt, the same start would run it
@@ -26,7 +26,7 @@
    * @param ref the task that the status names
    * @param job its job; undefined if there is no live one
    */
-  mayClear(machine: Machine, status: TaskStatus, ref: TaskRef, job: Job | undefined): boolean {
+  canClear(machine: Machine, status: TaskStatus, ref: TaskRef, job: Job | undefined): boolean {
     const attempt = attemptKey(status.task, status.attempt);
     const { pushedStarts } = machine;
     if (pushedStarts.isUnacknowledged(attempt)) return false;
@@ -35,20 +35,23 @@
     if (isDone && job && !(job.isDone(ref.index) && areCompletionsStored(job))) return false;
     if (!pushedStarts.isAcknowledged(attempt)) return true;
     // A completed task that is started again ends at once, which is harmless unless it must not run at all.
-    if (isDone && !this.mustNotRunAgain(job, this.ledger.finalState(ref.job))) {
+    if (isDone && !this.isRerunForbidden(job, this.ledger.finalState(ref.job))) {
       pushedStarts.forget(attempt);
       return true;
     }
     const now = this.deps.clock.steady();
     const endedAt = pushedStarts.noteEnded(attempt, now);
-    if (durationBetween(endedAt, now) < this.deps.settings.workers.lease * LATE_DUPLICATE_LEASES)
+    if (
+      durationBetween(endedAt, now) <
+      this.deps.settings.workers.lease * MAX_DUPLICATE_DELAY_LEASES
+    )
       return false;
     pushedStarts.forget(attempt);
     return true;
   }
 
   /** Whether a task of the job would violate a rule even in the moment that it takes to end. */
-  private mustNotRunAgain(job: Job | undefined, final: FinalState | undefined): boolean {
+  private isRerunForbidden(job: Job | undefined, final: FinalState | undefined): boolean {
     if (this.hasQuota(job?.spec.team ?? final?.team ?? '')) return true;
     if (!job) return final?.status !== JobStatus.done;
     return job.isCancelled || job.spec.singleZone || job.spec.spreadZones;
--- a/src/leader/stored-catalog.ts
+++ b/src/leader/catalog-sync.ts
@@ -9,33 +9,33 @@
 const CATALOG_KEY = 'catalog';
 const READ_INTERVAL = seconds(60);
 /** As long as nothing is known at all. */
-const FIRST_READ_INTERVAL = seconds(1);
+const INITIAL_READ_INTERVAL = seconds(1);
 const STORE_TIMEOUT = ms(2000);
 
 /** What the stored catalog needs of the rest of the node. */
-export interface StoredCatalogDependencies {
+export interface CatalogSyncDependencies {
   readonly store: Pick<StoreClient, 'get' | 'transact'>;
   readonly catalog: MachineCatalog;
   readonly clock: Clock;
   /** Whether this node leads: then it has the types from the cloud. */
-  readonly isLeading: () => boolean;
+  readonly isLeader: () => boolean;
 }
 
 /** Keeps this node's catalog and the stored one alike. */
-export class StoredCatalog {
-  private stopped = false;
+export class CatalogSync {
+  private isStopped = false;
 
-  constructor(private readonly deps: StoredCatalogDependencies) {}
+  constructor(private readonly deps: CatalogSyncDependencies) {}
 
   /** Reads the catalog at intervals while another node leads, until `stop`. */
   async run(): Promise<void> {
-    const { catalog, clock, isLeading, store } = this.deps;
-    while (!this.stopped) {
-      const interval = catalog.isKnown ? READ_INTERVAL : FIRST_READ_INTERVAL;
-      if (!isLeading()) {
+    const { catalog, clock, isLeader, store } = this.deps;
+    while (!this.isStopped) {
+      const interval = catalog.isKnown ? READ_INTERVAL : INITIAL_READ_INTERVAL;
+      if (!isLeader()) {
         const read = await store.get(CATALOG_KEY, STORE_TIMEOUT);
         // Asked again: this node may have come to lead meanwhile.
-        if (read.kind === 'found' && !isLeading()) catalog.restore(read.data);
+        if (read.kind === 'found' && !isLeader()) catalog.restore(read.data);
       }
       await sleep(clock, interval);
     }
@@ -49,6 +49,6 @@
 
   /** Reads no more. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 }
--- a/src/leader/command-sender.ts
+++ b/src/leader/command-sender.ts
@@ -11,7 +11,7 @@
   type JobId,
   type MachineId,
 } from '../units/index.js';
-import type { TermDependencies } from './dependencies.js';
+import type { TermDependencies } from './term-dependencies.js';
 import { MachineProbe } from './machine-probe.js';
 import type { PlacementIndex } from './placement-index.js';
 import { preparePush, type Push } from './push-commands.js';
--- a/src/leader/contact-history.ts
+++ b/src/leader/contact-history.ts
@@ -10,31 +10,31 @@
   /** When each other node was last known not to respond to us. */
   readonly unreachableAt = new Map<NodeId, SteadyMs>();
   private hadAuthority = true;
-  private unbrokenSince: SteadyMs;
+  private uninterruptedSince: SteadyMs;
 
   constructor(
     private readonly peers: ReadonlyMap<NodeId, Pick<Peer, 'responsive'>>,
     startedAt: SteadyMs,
   ) {
-    this.unbrokenSince = startedAt;
+    this.uninterruptedSince = startedAt;
   }
 
   /** Since when heartbeats are answered without a break. */
-  get answeringSince(): SteadyMs {
-    return this.unbrokenSince;
+  get respondingSince(): SteadyMs {
+    return this.uninterruptedSince;
   }
 
   /**
    * Nothing follows from silence while authority has lapsed, since no heartbeat is answered then. Nor does
    * it while this process stands still or is far behind: what was reported may still wait to be read.
    */
-  noteAuthority(hasAuthority: boolean, isStalled: boolean, now: SteadyMs): void {
-    if (hasAuthority && (!this.hadAuthority || isStalled)) this.unbrokenSince = now;
+  recordAuthority(hasAuthority: boolean, isStalled: boolean, now: SteadyMs): void {
+    if (hasAuthority && (!this.hadAuthority || isStalled)) this.uninterruptedSince = now;
     this.hadAuthority = hasAuthority;
   }
 
   /** Remembers which other nodes do not respond at this moment. */
-  noteUnreachablePeers(now: SteadyMs): void {
+  recordUnreachablePeers(now: SteadyMs): void {
     for (const [node, peer] of this.peers) {
       if (!peer.responsive) this.unreachableAt.set(node, now);
     }
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -20,21 +20,21 @@
   type Random,
   type SteadyMs,
 } from '../units/index.js';
-import { KEY_CALL_TIMEOUT, LeaderKey, type LeaderKeyState } from './leader-key.js';
+import { LEADER_KEY_REQUEST_TIMEOUT, LeaderKey, type LeaderKeyState } from './leader-key.js';
 
 /** How much earlier than the store's lease our authority ends, beside the clocks' drift. */
-const AUTHORITY_MARGIN = ms(150);
-const RETRY_PAUSE = ms(300);
+const AUTHORITY_SAFETY_MARGIN = ms(150);
+const RETRY_DELAY = ms(300);
 const WATCH_TIMEOUT = ms(10_000);
 const PROBE_INTERVAL = ms(1000);
 /** The state service is probed after so much silence. */
-const PROBE_AFTER_SILENCE = ms(2000);
+const PROBE_SILENCE_THRESHOLD = ms(2000);
 const PROBE_TIMEOUT = ms(1200);
 
 /** What the node does when leadership changes. Called synchronously. */
 export interface ElectionEvents {
-  onGained(epoch: Epoch): void;
-  onLost(epoch: Epoch): void;
+  onTermStarted(epoch: Epoch): void;
+  onTermEnded(epoch: Epoch): void;
 }
 
 /** The leader's lease at the store. */
@@ -47,7 +47,7 @@
 export interface ElectionDependencies {
   readonly store: StoreClient;
   /** This node. */
-  readonly node: NodeId;
+  readonly controllerId: NodeId;
   /** Tells this process from its predecessors on the same node. */
   readonly processId: string;
   readonly timing: LeaseTiming;
@@ -71,16 +71,16 @@
 export class Election {
   private readonly leaderKey: LeaderKey;
   private heldLease: HeldLease | undefined;
-  private holder: NodeId | undefined;
+  private knownLeader: NodeId | undefined;
   /** The epoch of the leader key that named the holder, by our own reading or another node's. */
-  private holderEpoch = 0;
-  private stopped = false;
+  private knownLeaderEpoch = 0;
+  private isStopped = false;
   /** Ends the wait for a change of the leader key. */
-  private wakeWatch: (() => void) | undefined;
+  private interruptWatch: (() => void) | undefined;
 
   constructor(private readonly deps: ElectionDependencies) {
-    const { log, node, processId, store } = deps;
-    this.leaderKey = new LeaderKey(store, { node, processId }, log);
+    const { log, controllerId, processId, store } = deps;
+    this.leaderKey = new LeaderKey(store, { controllerId, processId }, log);
   }
 
   /** The epoch under which we may act at this moment. */
@@ -92,12 +92,12 @@
 
   /** Who holds the leader key, as far as we know. */
   leader(): NodeId | undefined {
-    return this.heldLease ? this.deps.node : this.holder;
+    return this.heldLease ? this.deps.controllerId : this.knownLeader;
   }
 
   /** The epoch of the leader that we know of; 0 if we know of none. */
   leaderEpoch(): number {
-    return this.heldLease?.epoch ?? this.holderEpoch;
+    return this.heldLease?.epoch ?? this.knownLeaderEpoch;
   }
 
   /**
@@ -105,38 +105,38 @@
    * The later epoch proves that our key is gone, so leadership that only lapsed ends here: workers that
    * stayed with us are sent on at once, instead of trying node after node until their leases run out.
    */
-  noteLeader(node: NodeId, epoch: number): void {
-    if (epoch <= this.leaderEpoch() || node === this.deps.node) return;
-    this.endLeadership('another node knows a later leader');
-    this.holder = node;
-    this.holderEpoch = epoch;
+  recordLeader(leader: NodeId, epoch: number): void {
+    if (epoch <= this.leaderEpoch() || leader === this.deps.controllerId) return;
+    this.endTerm('another node knows a later leader');
+    this.knownLeader = leader;
+    this.knownLeaderEpoch = epoch;
   }
 
   /** The store, or a conflicting write, said that the key is no longer ours. */
-  noteDeposed(epoch: Epoch): void {
-    if (this.heldLease?.epoch === epoch) this.endLeadership('the leader key is not ours');
+  onDeposed(epoch: Epoch): void {
+    if (this.heldLease?.epoch === epoch) this.endTerm('the leader key is not ours');
   }
 
   /** Runs until `stop`. */
   start(): void {
     detach(this.run(), this.deps.log, 'election');
-    detach(this.runProbes(), this.deps.log, 'probing the state service');
+    detach(this.runStoreProbes(), this.deps.log, 'probing the state service');
   }
 
   /** Nothing more is asked or renewed; authority lasts until its time. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
   /** Renews the lease that is held, or follows the leader and acquires the key when it is free. */
   async run(): Promise<void> {
-    while (!this.stopped) {
+    while (!this.isStopped) {
       try {
         if (this.heldLease) await this.renew(this.heldLease);
         else await this.followOrAcquire(await this.leaderKey.read());
       } catch (error) {
         this.deps.log.error({ err: error }, 'election step failed');
-        await this.pause(RETRY_PAUSE);
+        await this.delay(RETRY_DELAY);
       }
     }
   }
@@ -144,52 +144,53 @@
   private async renew(lease: HeldLease): Promise<void> {
     const { clock, store, timing } = this.deps;
     const sentAt = clock.steady();
-    const timeout = ms(Math.min(KEY_CALL_TIMEOUT, timing.renewInterval));
+    const timeout = ms(Math.min(LEADER_KEY_REQUEST_TIMEOUT, timing.renewInterval));
     const result = await store.renewLease(lease.leaseId, timeout);
     if (this.heldLease !== lease) return;
     switch (result) {
       case 'renewed':
-        lease.validUntil = this.authorityEnd(sentAt);
-        await this.pause(ms(Math.max(0, sentAt + timing.renewInterval - clock.steady())));
+        lease.validUntil = this.authorityEndsAt(sentAt);
+        await this.delay(ms(Math.max(0, sentAt + timing.renewInterval - clock.steady())));
         break;
       case 'gone':
-        this.endLeadership('the lease ran out');
+        this.endTerm('the lease ran out');
         break;
       case 'failed':
-        await this.pauseBeforeRetry();
+        await this.delayBeforeRetry();
     }
   }
 
   private async followOrAcquire(key: LeaderKeyState): Promise<void> {
     switch (key.kind) {
       case 'unreadable':
-        return this.pauseBeforeRetry();
+        return this.delayBeforeRetry();
       case 'absent':
-        this.holder = undefined;
+        this.knownLeader = undefined;
         this.deps.store.setRole('leaderless');
         return this.acquire(Revision(0));
-      case 'ours':
+      case 'own':
         return this.resume(key.revision);
       case 'predecessor':
         return this.acquire(key.revision);
       case 'other':
-        if (key.revision >= this.holderEpoch) {
-          this.holder = key.node;
-          this.holderEpoch = key.revision;
+        if (key.revision >= this.knownLeaderEpoch) {
+          this.knownLeader = key.leaderId;
+          this.knownLeaderEpoch = key.revision;
         }
-        return this.follow(key.readAt);
+        return this.follow(key.readRevision);
     }
   }
 
   /** The key is ours by a transaction whose answer was lost: we lead if its lease still stands. */
   private async resume(revision: Revision): Promise<void> {
     const { clock, store } = this.deps;
-    const leaseId = await this.leaderKey.leaseAt(revision);
+    const leaseId = await this.leaderKey.leaseIdAt(revision);
     const sentAt = clock.steady();
     const isRenewed =
-      leaseId !== undefined && (await store.renewLease(leaseId, KEY_CALL_TIMEOUT)) === 'renewed';
-    if (isRenewed) this.beginLeadership(Epoch(revision), leaseId, this.authorityEnd(sentAt));
-    else await this.pause(RETRY_PAUSE);
+      leaseId !== undefined &&
+      (await store.renewLease(leaseId, LEADER_KEY_REQUEST_TIMEOUT)) === 'renewed';
+    if (isRenewed) this.startTerm(Epoch(revision), leaseId, this.authorityEndsAt(sentAt));
+    else await this.delay(RETRY_DELAY);
   }
 
   private async acquire(replaced: Revision): Promise<void> {
@@ -197,32 +198,35 @@
     const result = await this.leaderKey.write(replaced, this.deps.timing.duration);
     switch (result.kind) {
       case 'written':
-        this.beginLeadership(Epoch(result.revision), result.leaseId, this.authorityEnd(sentAt));
+        this.startTerm(Epoch(result.revision), result.leaseId, this.authorityEndsAt(sentAt));
         break;
       case 'conflict':
         break;
       case 'failed':
-        await this.pauseBeforeRetry();
+        await this.delayBeforeRetry();
     }
   }
 
   /** Waits for a change of the key. */
-  private async follow(from: Revision): Promise<void> {
+  private async follow(fromRevision: Revision): Promise<void> {
     const { store } = this.deps;
     store.setRole('following');
     // A watch on a connection that leads nowhere any more would keep us from noticing a change.
     const woken = new Promise<'woken'>((resolve) => {
-      this.wakeWatch = () => resolve('woken');
+      this.interruptWatch = () => resolve('woken');
     });
-    const change = await Promise.race([store.watch(LEADER_KEY, from, WATCH_TIMEOUT), woken]);
-    this.wakeWatch = undefined;
-    if (change === 'failed' || change === 'stale') await this.pauseBeforeRetry();
+    const change = await Promise.race([
+      store.watch(LEADER_KEY, fromRevision, WATCH_TIMEOUT),
+      woken,
+    ]);
+    this.interruptWatch = undefined;
+    if (change === 'failed' || change === 'stale') await this.delayBeforeRetry();
   }
 
-  private async runProbes(): Promise<void> {
-    while (!this.stopped) {
-      await this.probe();
-      await this.pause(PROBE_INTERVAL);
+  private async runStoreProbes(): Promise<void> {
+    while (!this.isStopped) {
+      await this.probeStore();
+      await this.delay(PROBE_INTERVAL);
     }
   }
 
@@ -230,46 +234,49 @@
    * Looks whether the state service serves us, beside the watch, when it has not answered for a while.
    * What it says of the leader key counts too.
    */
-  private async probe(): Promise<void> {
+  private async probeStore(): Promise<void> {
     const { clock, store } = this.deps;
-    if (this.heldLease || durationBetween(store.servedAt, clock.steady()) < PROBE_AFTER_SILENCE)
+    if (this.heldLease || durationBetween(store.servedAt, clock.steady()) < PROBE_SILENCE_THRESHOLD)
       return;
     const read = await store.get(LEADER_KEY, PROBE_TIMEOUT, { urgent: true });
     const isChanged =
-      read.kind === 'absent' || (read.kind === 'found' && read.revision !== this.holderEpoch);
-    if (isChanged) this.wakeWatch?.();
+      read.kind === 'absent' || (read.kind === 'found' && read.revision !== this.knownLeaderEpoch);
+    if (isChanged) this.interruptWatch?.();
   }
 
-  private beginLeadership(epoch: Epoch, leaseId: number, validUntil: SteadyMs): void {
+  private startTerm(epoch: Epoch, leaseId: number, validUntil: SteadyMs): void {
     this.heldLease = { epoch, leaseId, validUntil };
-    this.holder = this.deps.node;
-    this.holderEpoch = epoch;
+    this.knownLeader = this.deps.controllerId;
+    this.knownLeaderEpoch = epoch;
     this.deps.store.setRole('leading');
     this.deps.log.info({ epoch }, 'leadership gained');
-    this.deps.events.onGained(epoch);
+    this.deps.events.onTermStarted(epoch);
   }
 
-  private endLeadership(reason: string): void {
+  private endTerm(reason: string): void {
     const lease = this.heldLease;
     if (!lease) return;
     this.heldLease = undefined;
-    this.holder = undefined;
+    this.knownLeader = undefined;
     this.deps.store.setRole('leaderless');
     this.deps.log.warn({ epoch: lease.epoch, reason }, 'leadership lost');
-    this.deps.events.onLost(lease.epoch);
+    this.deps.events.onTermEnded(lease.epoch);
   }
 
   /** When authority ends that rests on a lease call sent at that time. */
-  private authorityEnd(sentAt: SteadyMs): SteadyMs {
-    return later(sentAt, ms(lowerBoundUnderDrift(this.deps.timing.duration) - AUTHORITY_MARGIN));
+  private authorityEndsAt(sentAt: SteadyMs): SteadyMs {
+    return later(
+      sentAt,
+      ms(lowerBoundUnderDrift(this.deps.timing.duration) - AUTHORITY_SAFETY_MARGIN),
+    );
   }
 
-  private pause(time: DurationMs): Promise<void> {
+  private delay(time: DurationMs): Promise<void> {
     return sleep(this.deps.clock, time);
   }
 
   /** So drawn that nodes that failed together do not try again together. */
-  private pauseBeforeRetry(): Promise<void> {
-    return this.pause(ms(RETRY_PAUSE * (0.5 + this.deps.random())));
+  private delayBeforeRetry(): Promise<void> {
+    return this.delay(ms(RETRY_DELAY * (0.5 + this.deps.random())));
   }
 }
--- a/src/leader/failure-backoff.ts
+++ b/src/leader/failure-backoff.ts
@@ -6,9 +6,9 @@
 import { ExitReason, type TaskStatus } from '../wire/index.js';
 
 /** A job that has failed on this many machines is probably at fault itself. */
-const MAX_FAILED_MACHINES = 3;
+const MAX_FAILED_MACHINES_PER_JOB = 3;
 /** The first quarantine of a machine, and half of the first back-off of a job. */
-const FAILURE_BACKOFF = seconds(15);
+const BASE_FAILURE_BACKOFF = seconds(15);
 /** Of a machine's failures, this many lengthen its quarantine. */
 const MAX_QUARANTINE_FACTOR = 4;
 /** No back-off is longer: a task must not wait for minutes beside free resources. */
@@ -20,7 +20,7 @@
   constructor(private readonly log: Logger) {}
 
   /** A placed task of the job has ended on the machine, other than by completing. */
-  noteExit(
+  onTaskExited(
     machine: Machine,
     job: Job,
     { exitReason }: Pick<TaskStatus, 'exitReason'>,
@@ -28,7 +28,7 @@
   ): void {
     switch (exitReason) {
       case ExitReason.failed:
-        this.noteFailure(machine, job, now);
+        this.recordFailure(machine, job, now);
         break;
       case ExitReason.insufficientResources:
       case ExitReason.attemptConflict:
@@ -42,19 +42,19 @@
   }
 
   /** The machine is suspected first: it is quarantined, and the job avoids it for longer. */
-  private noteFailure(machine: Machine, job: Job, now: SteadyMs): void {
+  private recordFailure(machine: Machine, job: Job, now: SteadyMs): void {
     machine.failureCount++;
     job.avoidedMachines.set(machine.id, later(now, MAX_FAILURE_BACKOFF));
     const factor = Math.min(MAX_QUARANTINE_FACTOR, machine.failureCount);
-    machine.quarantinedUntil = later(now, ms(FAILURE_BACKOFF * factor));
-    if (job.avoidedMachines.size >= MAX_FAILED_MACHINES) this.holdBack(job, now);
+    machine.quarantinedUntil = later(now, ms(BASE_FAILURE_BACKOFF * factor));
+    if (job.avoidedMachines.size >= MAX_FAILED_MACHINES_PER_JOB) this.backOffJob(job, now);
   }
 
   /** Having failed on several machines, the job is suspected: it must not quarantine the whole fleet. */
-  private holdBack(job: Job, now: SteadyMs): void {
+  private backOffJob(job: Job, now: SteadyMs): void {
     job.backoffCount++;
     job.avoidedMachines.clear();
-    const backoff = Math.min(MAX_FAILURE_BACKOFF, FAILURE_BACKOFF * 2 ** job.backoffCount);
+    const backoff = Math.min(MAX_FAILURE_BACKOFF, BASE_FAILURE_BACKOFF * 2 ** job.backoffCount);
     job.backoffUntil = later(now, ms(backoff));
     this.log.warn({ job: job.id, team: job.spec.team }, 'job held back after failures');
   }
--- a/src/leader/gang-controller.ts
+++ b/src/leader/gang-controller.ts
@@ -3,7 +3,7 @@
 import type { Job, Placement } from '../ledger/job.js';
 import { ms, seconds, durationBetween, type Clock, type MachineId } from '../units/index.js';
 import { nextAction, type GangState, type GangTask } from './gang-lifecycle.js';
-import { canSave, type PlacementIndex } from './placement-index.js';
+import { canCheckpoint, type PlacementIndex } from './placement-index.js';
 import { isStartUnsent } from './placement-state.js';
 
 /** How stops reach machines. */
@@ -85,7 +85,7 @@
       waitingCount: job.waiting.size,
       doneCount: job.doneCount,
       tasks: Array.from(job.placements.values(), (placement) => this.taskOf(placement)),
-      checkpointTime: canSave(job) ? seconds(job.spec.checkpointSeconds) : undefined,
+      checkpointTime: canCheckpoint(job) ? seconds(job.spec.checkpointSeconds) : undefined,
     };
   }
 
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -7,12 +7,12 @@
 import type { Command, Heartbeat, HeartbeatReply } from '../wire/index.js';
 import type { StatusObserver } from './command-sender.js';
 import type { PlacementIndex } from './placement-index.js';
-import { ReceptionCheck } from './reception-check.js';
+import { ResponseDeliveryCheck } from './response-delivery-check.js';
 
 /** Decides the commands of a reply. */
-export interface ReplyComposer {
+export interface ResponseCommandSource {
   /** To be called when the status has been reconciled with the placements. */
-  commandsForReply(machine: Machine, status: WorkerStatus): Command[];
+  commandsForResponse(machine: Machine, status: WorkerStatus): Command[];
 }
 
 /** What the handler uses. */
@@ -23,7 +23,7 @@
   readonly lease: DurationMs;
   readonly placements: PlacementIndex;
   readonly observer: StatusObserver;
-  readonly replies: ReplyComposer;
+  readonly responseCommands: ResponseCommandSource;
   /** A machine that was not up is up now, and may be given tasks. */
   readonly onMachineUp: () => void;
 }
@@ -31,73 +31,73 @@
 /** Processes heartbeats under one epoch. */
 export class HeartbeatHandler {
   private nextBaseline = 1;
-  private readonly emptyReply: HeartbeatReply;
-  private readonly reception: ReceptionCheck;
+  private readonly emptyResponse: HeartbeatReply;
+  private readonly deliveryCheck: ResponseDeliveryCheck;
 
   constructor(private readonly options: HeartbeatHandlerOptions) {
     const { epoch, placements, lease } = options;
-    this.emptyReply = { fencingToken: epoch, commands: [] };
-    this.reception = new ReceptionCheck(epoch, placements.ledger.jobs, lease);
+    this.emptyResponse = { fencingToken: epoch, commands: [] };
+    this.deliveryCheck = new ResponseDeliveryCheck(epoch, placements.ledger.jobs, lease);
   }
 
   /** A heartbeat that came directly from its worker. */
   handleDirect(heartbeat: Heartbeat): HeartbeatReply {
-    return this.receive(heartbeat, toWorkerStatus(heartbeat), undefined);
+    return this.acceptFull(heartbeat, toWorkerStatus(heartbeat), undefined);
   }
 
   /** A heartbeat that a follower relayed; and the baseline by which the follower may refer to it. */
   handleRelayed(
     heartbeat: Heartbeat,
-    relayNode: NodeId,
-  ): { reply: HeartbeatReply; baseline: number } {
+    relayId: NodeId,
+  ): { response: HeartbeatReply; baseline: number } {
     const baseline = this.nextBaseline++;
     const status = { ...toWorkerStatus(heartbeat), baseline };
-    return { reply: this.receive(heartbeat, status, relayNode), baseline };
+    return { response: this.acceptFull(heartbeat, status, relayId), baseline };
   }
 
   /**
    * A heartbeat that shows the same tasks as its baseline; undefined if the baseline is not the newest status
    * of the machine, so that the heartbeat is needed in full.
    */
-  handleUnchanged(heartbeat: UnchangedHeartbeat, relayNode: NodeId): HeartbeatReply | undefined {
+  handleUnchanged(heartbeat: UnchangedHeartbeat, relayId: NodeId): HeartbeatReply | undefined {
     const machine = this.options.placements.fleet.machines.get(MachineId(heartbeat.machine));
     const last = machine?.status;
     if (!machine || last?.baseline !== heartbeat.unchangedSince) return undefined;
     if (last.session !== heartbeat.session) return undefined;
     const { sequence, fencingToken } = heartbeat;
-    return this.accept(machine, { ...last, sequence, fencingToken }, relayNode);
+    return this.accept(machine, { ...last, sequence, fencingToken }, relayId);
   }
 
-  private receive(
+  private acceptFull(
     heartbeat: Heartbeat,
     status: WorkerStatus,
-    relayNode: NodeId | undefined,
+    relayId: NodeId | undefined,
   ): HeartbeatReply {
     const id = MachineId(heartbeat.machine);
     const { fleet } = this.options.placements;
-    if (fleet.isGone(id)) return this.emptyReply;
+    if (fleet.isGone(id)) return this.emptyResponse;
     const { machineType, zone, spot } = heartbeat;
     const machine = fleet.observe(id, { machineType, zone, spot }, heartbeat.address);
-    return this.accept(machine, status, relayNode);
+    return this.accept(machine, status, relayId);
   }
 
   private accept(
     machine: Machine,
     status: WorkerStatus,
-    relayNode: NodeId | undefined,
+    relayId: NodeId | undefined,
   ): HeartbeatReply {
-    const { clock, epoch, lease, observer, onMachineUp, replies } = this.options;
+    const { clock, epoch, lease, observer, onMachineUp, responseCommands } = this.options;
     const now = clock.steady();
     const wasUp = machine.isUp;
     const last = machine.status;
     const isFresh = machine.recordStatus(status, now);
-    if (isFresh && last) this.reception.check(machine, status, last, now);
+    if (isFresh && last) this.deliveryCheck.check(machine, status, last, now);
     // A stale heartbeat is answered too, and its worker counts a new lease from when it was sent.
     machine.extendLease(workerLeaseEnd(now, lease));
-    if (!isFresh) return this.emptyReply;
-    machine.relayNode = relayNode;
+    if (!isFresh) return this.emptyResponse;
+    machine.relayNode = relayId;
     if (!wasUp) onMachineUp();
     observer.observe(machine, status, 'heartbeat');
-    return { fencingToken: epoch, commands: replies.commandsForReply(machine, status) };
+    return { fencingToken: epoch, commands: responseCommands.commandsForResponse(machine, status) };
   }
 }
--- a/src/leader/notice-watcher.ts
+++ b/src/leader/inbox-watcher.ts
@@ -4,11 +4,11 @@
 import { seconds, sleep, type Clock } from '../units/index.js';
 import type { JobRequests } from './job-requests.js';
 
-const RETRY_PAUSE = seconds(1);
+const RETRY_DELAY = seconds(1);
 
 /** Carries out notices as they appear, and deletes each that is settled. */
-export class NoticeWatcher {
-  private closed = false;
+export class InboxWatcher {
+  private isClosed = false;
 
   constructor(
     private readonly jobRecords: Pick<JobRecords, 'notices' | 'watchNotices'>,
@@ -19,25 +19,25 @@
 
   /** Ends only after `close`. */
   async run(): Promise<void> {
-    while (!this.closed) {
+    while (!this.isClosed) {
       const listed = await this.jobRecords.notices();
-      if (this.closed) return;
+      if (this.isClosed) return;
       if (listed) {
         // In one function on purpose: a further await for each notice would divide their deletions among more transactions.
         for (const { key, id, isCancellation } of listed.notices) {
-          const answer = isCancellation ? await this.jobs.cancel(id) : await this.jobs.find(id);
-          if (this.closed) return;
+          const result = isCancellation ? await this.jobs.cancel(id) : await this.jobs.find(id);
+          if (this.isClosed) return;
           // One that is written again while it is being deleted asks for nothing that has not been done.
-          if (answer.kind !== 'unknown') this.ledger.deleteNotice(key);
+          if (result.kind !== 'unknown') this.ledger.deleteNotice(key);
         }
         if (await this.jobRecords.watchNotices(listed.revision)) continue;
       }
-      await sleep(this.clock, RETRY_PAUSE);
+      await sleep(this.clock, RETRY_DELAY);
     }
   }
 
   /** What is under way comes to nothing. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
   }
 }
--- a/src/leader/rebuild.ts
+++ b/src/leader/job-recovery.ts
@@ -8,12 +8,12 @@
 import { JobId, ms, sleep, type Clock, type Timer } from '../units/index.js';
 
 const STORE_TIMEOUT = ms(2000);
-const RETRY_PAUSE = ms(300);
+const RETRY_DELAY = ms(300);
 /** Heartbeats that come while the records are read wait so long, counted from the beginning of the term. */
-const MAX_WAIT = ms(1500);
+const MAX_HEARTBEAT_WAIT = ms(1500);
 
 /** What a rebuild needs of the rest of the node. */
-export interface RebuildDependencies {
+export interface JobRecoveryDependencies {
   readonly store: Pick<StoreClient, 'list'>;
   readonly recordLimits: Pick<RecordLimits, 'noteRecord'>;
   readonly clock: Clock;
@@ -21,34 +21,34 @@
 }
 
 /** Reads the live records once, and tells those who wait for it. */
-export class Rebuild {
+export class JobRecovery {
   /** Resolves once the records are read, the rebuild is closed, or it has taken too long. */
   readonly settled: Promise<void>;
   private settle: () => void = () => undefined;
   private readonly timer: Timer;
-  private closed = false;
+  private isClosed = false;
 
   constructor(
-    private readonly deps: RebuildDependencies,
+    private readonly deps: JobRecoveryDependencies,
     /** Takes a job that was read. */
-    private readonly adopt: (job: Job) => void,
+    private readonly onJobRead: (job: Job) => void,
   ) {
     this.settled = new Promise((resolve) => (this.settle = resolve));
-    this.timer = deps.clock.after(MAX_WAIT, () => this.settle());
+    this.timer = deps.clock.after(MAX_HEARTBEAT_WAIT, () => this.settle());
   }
 
   /** Resolves with true once all records are read, however often that must be tried; false if closed. */
   async run(): Promise<boolean> {
-    while (!this.closed) {
+    while (!this.isClosed) {
       const listed = await this.deps.store.list(LIVE_PREFIX, STORE_TIMEOUT, { urgent: true });
-      if (this.closed) return false;
+      if (this.isClosed) return false;
       if (listed) {
         const now = this.deps.clock.steady();
         for (const item of listed.items) {
           const id = JobId(item.key.slice(LIVE_PREFIX.length));
           try {
             this.deps.recordLimits.noteRecord(item.data);
-            this.adopt(decodeJob(id, item.data, item.revision, now));
+            this.onJobRead(decodeJob(id, item.data, item.revision, now));
           } catch (error) {
             const message = 'unreadable record; the job waits for repair';
             this.deps.log.error({ job: id, err: error }, message);
@@ -56,14 +56,14 @@
         }
         return true;
       }
-      await sleep(this.deps.clock, RETRY_PAUSE);
+      await sleep(this.deps.clock, RETRY_DELAY);
     }
     return false;
   }
 
   /** Releases those who wait, whether the records are read or not. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.timer.cancel();
     this.settle();
   }
--- a/src/leader/job-requests.ts
+++ b/src/leader/job-requests.ts
@@ -20,7 +20,7 @@
   | { readonly kind: 'final'; readonly final: FinalState };
 
 /** What the leader knows of a job. */
-export type JobAnswer =
+export type JobLookupResult =
   | KnownJob
   /** No record holds it. */
   | { readonly kind: 'absent' }
@@ -29,13 +29,13 @@
 
 /** What became of a submission; a repeat gets what is known of the job. */
 export type SubmitOutcome =
-  | JobAnswer
+  | JobLookupResult
   /** This submission made the job, and the store holds it. */
   | { readonly kind: 'created' }
   /** It could not be written soon: `wait` is about how long that would take. */
   | { readonly kind: 'busy'; readonly wait: DurationMs };
 
-const UNKNOWN: JobAnswer = { kind: 'unknown' };
+const UNKNOWN_JOB: JobLookupResult = { kind: 'unknown' };
 
 /** What these requests need of the rest of the term. */
 export interface JobRequestDependencies {
@@ -49,31 +49,31 @@
 
 /** Submits, finds and cancels jobs under one epoch. */
 export class JobRequests {
-  private closed = false;
+  private isClosed = false;
 
   constructor(private readonly deps: JobRequestDependencies) {}
 
   /** From now on, what is not in memory is unknown. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
   }
 
   /** Creates the job unless it is there; resolves once that is committed, or its outcome unknown. */
   async submit(spec: JobSpec): Promise<SubmitOutcome> {
     const id = JobId(spec.id);
-    const known = this.inMemory(id);
-    if (known) return this.repeat(id, known);
+    const known = this.findInMemory(id);
+    if (known) return this.resubmit(id, known);
     // What can't be written soon is refused at once, with the time after which to come back.
     const wait = this.deps.ledger.admissionWait();
     if (wait > MAX_ADMISSION_WAIT) return { kind: 'busy', wait };
     return this.create(id, spec);
   }
 
-  private async repeat(id: JobId, known: KnownJob): Promise<JobAnswer> {
+  private async resubmit(id: JobId, known: KnownJob): Promise<JobLookupResult> {
     if (known.kind === 'live' && known.job.revision === 0) {
       await this.deps.ledger.whenCommitted(known.job);
     }
-    return (await this.latestInMemory(id)) ?? UNKNOWN;
+    return (await this.findLatestInMemory(id)) ?? UNKNOWN_JOB;
   }
 
   private async create(id: JobId, spec: JobSpec): Promise<SubmitOutcome> {
@@ -85,25 +85,25 @@
     // What fits on a machine now is placed in the same transaction that creates the job.
     scheduler.placeWaiting();
     const isCommitted = await ledger.whenCommitted(job);
-    const latest = await this.latestInMemory(id);
+    const latest = await this.findLatestInMemory(id);
     if (latest?.kind === 'final') return latest;
-    if (latest?.kind !== 'live' || latest.job.revision === 0) return UNKNOWN;
+    if (latest?.kind !== 'live' || latest.job.revision === 0) return UNKNOWN_JOB;
     // It may have been cancelled, too, while it was being written.
     const isCreated = isCommitted && latest.job === job && !job.isCancelled;
     return isCreated ? { kind: 'created' } : latest;
   }
 
   /** The job as it is, by memory or, if it is not there, by the store. */
-  async find(id: JobId): Promise<JobAnswer> {
-    const known = await this.latestInMemory(id);
-    if (known) return known.kind === 'live' && known.job.revision === 0 ? UNKNOWN : known;
+  async find(id: JobId): Promise<JobLookupResult> {
+    const known = await this.findLatestInMemory(id);
+    if (known) return known.kind === 'live' && known.job.revision === 0 ? UNKNOWN_JOB : known;
     const stored = await this.deps.jobRecords.lookup(id);
-    if (this.closed) return UNKNOWN;
+    if (this.isClosed) return UNKNOWN_JOB;
     switch (stored.kind) {
       case 'live':
         // Another node wrote it while it could not reach us.
-        if (!this.inMemory(id)) this.adopt(stored.job);
-        return this.inMemory(id) ?? UNKNOWN;
+        if (!this.findInMemory(id)) this.addStoredJob(stored.job);
+        return this.findInMemory(id) ?? UNKNOWN_JOB;
       case 'final':
         this.deps.ledger.rememberFinal(id, stored.final);
         return stored;
@@ -114,7 +114,7 @@
   }
 
   /** Cancels the job; resolves once that is committed, or its outcome unknown. */
-  async cancel(id: JobId): Promise<JobAnswer> {
+  async cancel(id: JobId): Promise<JobLookupResult> {
     const found = await this.find(id);
     if (found.kind !== 'live') return found;
     const { job } = found;
@@ -124,15 +124,15 @@
       if (isStartUnsent(placement)) this.deps.placements.requeueTask(job, index, 'cancelled');
     }
     const isCommitted = await this.deps.ledger.whenCommitted(job);
-    if (!isCommitted) return UNKNOWN;
+    if (!isCommitted) return UNKNOWN_JOB;
     for (const placement of job.placements.values()) {
       this.deps.commands.schedulePush(placement.machine);
     }
-    return this.inMemory(id) ?? UNKNOWN;
+    return this.findInMemory(id) ?? UNKNOWN_JOB;
   }
 
   /** Takes a job that the store holds into the ledger, and its placements onto their machines. */
-  adopt(job: Job): void {
+  addStoredJob(job: Job): void {
     const { clock, ledger, placements, scheduler } = this.deps;
     ledger.insert(job);
     scheduler.forecast.noteSubmission(job.spec, clock.steady());
@@ -142,7 +142,7 @@
   }
 
   /** What is in memory of a job; undefined if nothing is. */
-  private inMemory(id: JobId): KnownJob | undefined {
+  private findInMemory(id: JobId): KnownJob | undefined {
     const job = this.deps.ledger.jobs.get(id);
     if (job) return { kind: 'live', job };
     const final = this.deps.ledger.finalState(id);
@@ -154,11 +154,11 @@
    * another node may read that end in the store before we get the response. No answer may be older than
    * one that was given before, so that write is waited for.
    */
-  private async latestInMemory(id: JobId): Promise<JobAnswer | undefined> {
-    const known = this.inMemory(id);
+  private async findLatestInMemory(id: JobId): Promise<JobLookupResult | undefined> {
+    const known = this.findInMemory(id);
     if (known?.kind !== 'live' || !known.job.hasTerminalWriteInFlight) return known;
     await this.deps.ledger.whenCommitted(known.job);
-    const latest = this.inMemory(id);
-    return latest?.kind === 'live' && latest.job.hasTerminalWriteInFlight ? UNKNOWN : latest;
+    const latest = this.findInMemory(id);
+    return latest?.kind === 'live' && latest.job.hasTerminalWriteInFlight ? UNKNOWN_JOB : latest;
   }
 }
--- a/src/leader/leader-key.ts
+++ b/src/leader/leader-key.ts
@@ -6,13 +6,13 @@
 import { NodeId, ms, type DurationMs, type Revision } from '../units/index.js';
 
 /** A process that can lead. */
-export interface Candidate {
-  readonly node: NodeId;
+export interface LeaderCandidate {
+  readonly controllerId: NodeId;
   /** Tells the process from its predecessors on the same node. */
   readonly processId: string;
 }
 
-const HolderRecord = z.object({ node: z.string(), run: z.string() });
+const LeaderRecord = z.object({ node: z.string(), run: z.string() });
 
 /** What the leader key says, from the point of view of one candidate. */
 export type LeaderKeyState =
@@ -20,16 +20,16 @@
   | { readonly kind: 'unreadable' }
   | { readonly kind: 'absent' }
   /** The candidate itself wrote it: a transaction whose answer was lost. */
-  | { readonly kind: 'ours'; readonly revision: Revision }
+  | { readonly kind: 'own'; readonly revision: Revision }
   /** A process of the same node wrote it. It is dead, since the candidate runs in its place. */
   | { readonly kind: 'predecessor'; readonly revision: Revision }
   /** Another node holds it; `node` is undefined if the record can't be read. */
   | {
       readonly kind: 'other';
-      readonly node: NodeId | undefined;
+      readonly leaderId: NodeId | undefined;
       readonly revision: Revision;
       /** The revision of the store at which the key was read, from which it can be watched. */
-      readonly readAt: Revision;
+      readonly readRevision: Revision;
     };
 
 /** How an attempt to write the leader key ended. */
@@ -41,13 +41,13 @@
   | { readonly kind: 'failed' };
 
 /** The longest that one call of the election may take. */
-export const KEY_CALL_TIMEOUT = ms(1500);
+export const LEADER_KEY_REQUEST_TIMEOUT = ms(1500);
 
 /** The leader key, as one candidate reads and writes it. */
 export class LeaderKey {
   constructor(
     private readonly store: StoreClient,
-    private readonly candidate: Candidate,
+    private readonly candidate: LeaderCandidate,
     private readonly log: ErrorLog,
   ) {}
 
@@ -55,43 +55,47 @@
   async read(): Promise<LeaderKeyState> {
     // Listed rather than read, since a list says at which revision: the key's own may be older than
     // what the store keeps of its history, and a watch from there would be refused at once, for ever.
-    const listed = await this.store.list(LEADER_KEY, KEY_CALL_TIMEOUT, { urgent: true });
+    const listed = await this.store.list(LEADER_KEY, LEADER_KEY_REQUEST_TIMEOUT, { urgent: true });
     if (!listed) return { kind: 'unreadable' };
     const item = listed.items.find(({ key }) => key === LEADER_KEY);
     if (!item) return { kind: 'absent' };
     const { revision } = item;
-    const holder = HolderRecord.safeParse(item.data);
-    if (holder.success && holder.data.node === this.candidate.node) {
+    const leader = LeaderRecord.safeParse(item.data);
+    if (leader.success && leader.data.node === this.candidate.controllerId) {
       return {
-        kind: holder.data.run === this.candidate.processId ? 'ours' : 'predecessor',
+        kind: leader.data.run === this.candidate.processId ? 'own' : 'predecessor',
         revision,
       };
     }
-    const node = holder.success ? NodeId(holder.data.node) : undefined;
-    return { kind: 'other', node, revision, readAt: listed.revision };
+    const leaderId = leader.success ? NodeId(leader.data.node) : undefined;
+    return { kind: 'other', leaderId, revision, readRevision: listed.revision };
   }
 
   /** The lease that the key hangs on; undefined if the key was not read as it was at that revision. */
-  async leaseAt(revision: Revision): Promise<number | undefined> {
-    const read = await this.store.get(LEADER_KEY, KEY_CALL_TIMEOUT, { urgent: true });
+  async leaseIdAt(revision: Revision): Promise<number | undefined> {
+    const read = await this.store.get(LEADER_KEY, LEADER_KEY_REQUEST_TIMEOUT, { urgent: true });
     return read.kind === 'found' && read.revision === revision ? read.leaseId : undefined;
   }
 
   /** Writes the key, on a new lease, in place of what was read at that revision (0: absent). */
   async write(replaced: Revision, leaseDuration: DurationMs): Promise<LeaderKeyWrite> {
-    const leaseId = await this.store.createLease(leaseDuration, KEY_CALL_TIMEOUT);
+    const leaseId = await this.store.createLease(leaseDuration, LEADER_KEY_REQUEST_TIMEOUT);
     if (leaseId === undefined) return { kind: 'failed' };
-    const { node, processId } = this.candidate;
+    const { controllerId, processId } = this.candidate;
     const result = await this.store.transact(
       [{ key: LEADER_KEY, revision: replaced }],
-      [{ put: LEADER_KEY, data: { node, run: processId }, leaseId }],
-      KEY_CALL_TIMEOUT,
+      [{ put: LEADER_KEY, data: { node: controllerId, run: processId }, leaseId }],
+      LEADER_KEY_REQUEST_TIMEOUT,
       { urgent: true },
     );
     if (result.kind === 'committed') return { kind: 'written', revision: result.revision, leaseId };
     // After an unknown outcome the lease must stand: the key may hang on it.
     if (result.kind !== 'unknown') {
-      detach(this.store.revokeLease(leaseId, KEY_CALL_TIMEOUT), this.log, 'revoking a lease');
+      detach(
+        this.store.revokeLease(leaseId, LEADER_KEY_REQUEST_TIMEOUT),
+        this.log,
+        'revoking a lease',
+      );
     }
     return { kind: result.kind === 'conflict' ? 'conflict' : 'failed' };
   }
--- a/src/leader/machine-loss.ts
+++ b/src/leader/machine-loss-handler.ts
@@ -6,7 +6,7 @@
 import type { PlacementIndex } from './placement-index.js';
 
 /** Releases the tasks of machines that certainly run none any more. */
-export class MachineLoss {
+export class MachineLossHandler {
   constructor(
     private readonly fleet: Fleet,
     private readonly placements: PlacementIndex,
--- a/src/leader/machine-probe.ts
+++ b/src/leader/machine-probe.ts
@@ -11,7 +11,7 @@
   type SteadyMs,
 } from '../units/index.js';
 import type { StatusObserver } from './command-sender.js';
-import type { TermDependencies } from './dependencies.js';
+import type { TermDependencies } from './term-dependencies.js';
 import { UNCONFIRMED_CALL_TIMEOUT, type WorkerCalls } from './worker-calls.js';
 
 /** How often a machine is probed. */
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -95,17 +95,17 @@
     this.log.debug({ job: job.id, index, machine, reason }, 'task is free again');
     this.releaseTask(job, index);
     job.requeue(index);
-    this.checkGang(job);
+    this.checkGangIntact(job);
   }
 
   /** Assigns the placed tasks of a job that the store holds. */
   addJob(job: Job): void {
     for (const [index, placement] of job.placements) this.assignTask(job, index, placement);
-    this.checkGang(job);
+    this.checkGangIntact(job);
   }
 
-  private checkGang(job: Job): void {
-    if (job.isGang && isDivided(job)) this.events.onGangBroken(job);
+  private checkGangIntact(job: Job): void {
+    if (job.isGang && hasMixedTaskStates(job)) this.events.onGangBroken(job);
   }
 
   completeTask(job: Job, index: number): void {
@@ -136,7 +136,7 @@
   /** The task is to stop so that it can run elsewhere or later; it saves a checkpoint first if it can. */
   preempt(job: Job, index: number, placement: Placement): void {
     if (placement.evictionGraceSeconds === undefined)
-      this.stopTask(job, index, placement, canSave(job) ? job.spec.checkpointSeconds : 0);
+      this.stopTask(job, index, placement, canCheckpoint(job) ? job.spec.checkpointSeconds : 0);
   }
 
   /** The task is to stop within the grace period. A shorter one replaces that of an earlier call. */
@@ -149,20 +149,20 @@
   }
 
   /** The CPUs of all tasks that are to stop and may still run. */
-  get cpusBeingFreed(): number {
+  get totalStoppingCpus(): number {
     let total = 0;
     for (const cpus of this.stoppingCpus.values()) total += cpus;
     return total;
   }
 
   /** The task was seen running for the first time. */
-  noteRunning(job: Job, index: number, placement: Placement): void {
+  markRunning(job: Job, index: number, placement: Placement): void {
     placement.hasRun = true;
     this.recentStarts.push({ job, index, placement, startedAt: this.clock.steady() });
   }
 
   /** Tasks that started within `RECENT_START_WINDOW`, oldest first. They may have ended since. */
-  startedRecently(now: SteadyMs): readonly RecentStart[] {
+  recentlyStartedTasks(now: SteadyMs): readonly RecentStart[] {
     const first = this.recentStarts.findIndex(
       ({ startedAt }) => durationBetween(startedAt, now) <= RECENT_START_WINDOW,
     );
@@ -184,8 +184,8 @@
 }
 
 /** Whether the tasks of a job are not all in the same state: placed, waiting or done. */
-const isDivided = (job: Job): boolean =>
+const hasMixedTaskStates = (job: Job): boolean =>
   [job.placements.size, job.waiting.size, job.doneCount].filter((count) => count > 0).length > 1;
 
 /** Whether a task of the job can save a checkpoint when it is stopped. */
-export const canSave = (job: Job): boolean => job.spec.checkpointIntervalSeconds > 0;
+export const canCheckpoint = (job: Job): boolean => job.spec.checkpointIntervalSeconds > 0;
--- a/src/leader/placement-state.ts
+++ b/src/leader/placement-state.ts
@@ -24,7 +24,7 @@
   !placement.sentInReplyTo;
 
 /** Whether the task is to be stopped, because its job is cancelled or it has to make way. */
-export const isToBeStopped = (job: Job, placement: Placement): boolean =>
+export const shouldStopTask = (job: Job, placement: Placement): boolean =>
   job.isCancelled || placement.evictionGraceSeconds !== undefined;
 
 /** Whether the record of the placement is in the store, which must be so before its start is sent. */
--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -49,7 +49,7 @@
       if (!isUrgent(job.spec.priority)) continue;
       const assigned = assignments.filter((assignment) => assignment.job === job.id).length;
       const unplaced = job.waiting.size - assigned;
-      let missingCpus = unplaced * job.spec.cpus - this.placements.cpusBeingFreed;
+      let missingCpus = unplaced * job.spec.cpus - this.placements.totalStoppingCpus;
       if (unplaced <= 0 || missingCpus <= 0) continue;
       // Freed capacity would not help a team that has used up its quota.
       const quota = quotas.get(job.spec.team);
@@ -67,7 +67,7 @@
   /** Tasks that may be stopped for a job: on machines with its image first, then those that lose least work. */
   private candidates(job: Job, now: SteadyMs): PreemptionCandidate[] {
     const candidates: PreemptionCandidate[] = [];
-    for (const start of this.placements.startedRecently(now)) {
+    for (const start of this.placements.recentlyStartedTasks(now)) {
       if (!isPreemptibleFor(job, start)) continue;
       const lostWork = durationBetween(start.startedAt, now);
       const machine = this.placements.fleet.machines.get(start.placement.machine);
--- a/src/leader/push-commands.ts
+++ b/src/leader/push-commands.ts
@@ -4,7 +4,7 @@
 import type { Job, Placement } from '../ledger/job.js';
 import type { JobId, TaskKey } from '../units/index.js';
 import type { Command } from '../wire/index.js';
-import { isCommitted, isStartUnsent, isToBeStopped } from './placement-state.js';
+import { isCommitted, isStartUnsent, shouldStopTask } from './placement-state.js';
 import { MAX_COMMANDS } from './reply-commands.js';
 import { kill, launch } from './task-commands.js';
 
@@ -32,7 +32,7 @@
     const job = jobs.get(id);
     const placement = job?.placements.get(index);
     if (!job || !placement || !isCommitted(job, placement)) continue;
-    if (isToBeStopped(job, placement)) addStop(push, key, attempt, job, placement);
+    if (shouldStopTask(job, placement)) addStop(push, key, attempt, job, placement);
     else if (mayStartHere && isStartUnsent(placement)) {
       placement.isStartPushed = true;
       addStart(push, machine, key, attempt);
--- a/src/leader/reply-commands.ts
+++ b/src/leader/reply-commands.ts
@@ -6,8 +6,8 @@
 import { parseTaskKey } from '../units/index.js';
 import { TaskState, type Command, type TaskStatus } from '../wire/index.js';
 import { AttemptClearance } from './attempt-clearance.js';
-import type { TermDependencies } from './dependencies.js';
-import { isCommitted, isToBeStopped, placementOfAttempt } from './placement-state.js';
+import type { TermDependencies } from './term-dependencies.js';
+import { isCommitted, shouldStopTask, placementOfAttempt } from './placement-state.js';
 import { clear, kill, launch } from './task-commands.js';
 
 /** No start is added to a message that has this many commands, so that it fits a response to a worker. */
@@ -29,7 +29,7 @@
   }
 
   /** The commands for the worker that sent this status with a heartbeat. */
-  commandsForReply(machine: Machine, status: WorkerStatus): Command[] {
+  commandsForResponse(machine: Machine, status: WorkerStatus): Command[] {
     const commands: Command[] = [];
     for (const task of status.tasks) {
       const command = this.commandForReported(machine, task);
@@ -47,7 +47,7 @@
     const job = this.ledger.jobs.get(ref.job);
     const placement = placementOfAttempt(job, ref.index, machine.id, attempt);
     if (state === TaskState.exited) {
-      const isClear = !placement && this.clearance.mayClear(machine, status, ref, job);
+      const isClear = !placement && this.clearance.canClear(machine, status, ref, job);
       return isClear ? clear(task, attempt) : undefined;
     }
     if (!placement || job?.isCancelled) return kill(task, attempt, 0);
@@ -65,7 +65,7 @@
       const placement = job?.placements.get(assigned.index);
       const attempt = attemptKey(key, assigned.attempt);
       if (!job || !placement || status.byAttempt.has(attempt)) continue;
-      if (isToBeStopped(job, placement)) {
+      if (shouldStopTask(job, placement)) {
         // A pushed start may still be delivered. Executed and stopped here, it has no effect then.
         if (machine.pushedStarts.isUnacknowledged(attempt))
           commands.push(launch(key, assigned.attempt), kill(key, assigned.attempt, 0));
--- a/src/leader/reception-check.ts
+++ b/src/leader/response-delivery-check.ts
@@ -11,13 +11,13 @@
 } from '../units/index.js';
 
 /** A new session with more than this share of the old one's lease left shows that a reply was lost. */
-const UNEXPIRED_LEASE_SHARE = 0.4;
+const MIN_UNEXPIRED_LEASE_SHARE = 0.4;
 
 /**
  * Compares successive heartbeats of a machine. One that receives no replies would keep its tasks for ever,
  * since each of its heartbeats seems to renew its lease.
  */
-export class ReceptionCheck {
+export class ResponseDeliveryCheck {
   constructor(
     private readonly epoch: Epoch,
     private readonly jobs: ReadonlyMap<JobId, Job>,
@@ -32,7 +32,7 @@
       machine.notReceivingSince ??= now;
       return;
     }
-    const effect = this.effectOfReplies(machine, status);
+    const effect = this.effectOfResponses(machine, status);
     if (effect === 'visible') machine.noteReceiving();
     else if (effect === 'missing' || status.fencingToken < this.epoch)
       machine.noteIgnoredReply(now);
@@ -47,12 +47,12 @@
   ): boolean {
     return (
       status.session > previous.session &&
-      durationBetween(now, machine.leaseExpiresAt) > this.lease * UNEXPIRED_LEASE_SHARE
+      durationBetween(now, machine.leaseExpiresAt) > this.lease * MIN_UNEXPIRED_LEASE_SHARE
     );
   }
 
   /** Whether the status shows an attempt whose start was sent in a reply, or lacks one that it should show. */
-  private effectOfReplies(
+  private effectOfResponses(
     machine: Machine,
     status: WorkerStatus,
   ): 'visible' | 'missing' | 'noneExpected' {
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -6,7 +6,7 @@
 import type { DurationMs, Epoch, JobId, MachineId, SteadyMs } from '../units/index.js';
 import { AnticipatedWork, type AnticipatedSubmission } from './anticipated-work.js';
 import { candidateMachines } from './candidate-machines.js';
-import type { TermDependencies } from './dependencies.js';
+import type { TermDependencies } from './term-dependencies.js';
 import type { PlacementIndex } from './placement-index.js';
 import { PlacingLoop } from './placing-loop.js';
 import { Preemption, type CommandPusher } from './preemption.js';
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -14,21 +14,21 @@
 } from '../units/index.js';
 import { ExitReason, TaskState, type TaskStatus } from '../wire/index.js';
 import type { StatusObserver } from './command-sender.js';
-import type { TermDependencies } from './dependencies.js';
+import type { TermDependencies } from './term-dependencies.js';
 import { FailureBackoff } from './failure-backoff.js';
 import type { PlacementIndex } from './placement-index.js';
-import { isCommitted, isToBeStopped, placementOfAttempt } from './placement-state.js';
+import { isCommitted, shouldStopTask, placementOfAttempt } from './placement-state.js';
 
 /** Updates placements, orphans and idle times with what machines report. */
 export class StatusReconciler implements StatusObserver {
-  private readonly backoff: FailureBackoff;
+  private readonly failureBackoff: FailureBackoff;
 
   constructor(
     private readonly epoch: Epoch,
     private readonly placements: PlacementIndex,
     private readonly deps: Pick<TermDependencies, 'clock' | 'log'>,
   ) {
-    this.backoff = new FailureBackoff(deps.log);
+    this.failureBackoff = new FailureBackoff(deps.log);
   }
 
   observe(machine: Machine, status: WorkerStatus, source: StatusSource): void {
@@ -52,7 +52,7 @@
     const job = this.placements.ledger.jobs.get(ref.job);
     const placement = placementOfAttempt(job, index, machine.id, task.attempt);
     if (task.state !== TaskState.exited) {
-      if (job && placement) this.observeLive(machine, job, index, placement, task);
+      if (job && placement) this.observeActiveTask(machine, job, index, placement, task);
       else this.placements.fleet.noteOrphan(taskKey(ref.job, index), machine.id);
     } else if (task.exitReason === ExitReason.done) {
       // Whichever attempt has completed, the task is done.
@@ -61,11 +61,11 @@
       this.placements.requeueTask(job, index, task.exitReason ?? 'exited');
       if (task.exitReason === ExitReason.failed)
         this.deps.log.warn({ job: job.id, index, machine: machine.id }, 'task failed');
-      this.backoff.noteExit(machine, job, task, now);
+      this.failureBackoff.onTaskExited(machine, job, task, now);
     }
   }
 
-  private observeLive(
+  private observeActiveTask(
     machine: Machine,
     job: Job,
     index: number,
@@ -74,7 +74,7 @@
   ): void {
     placement.isReported = true;
     if (task.state !== TaskState.running) return;
-    if (!placement.hasRun) this.noteStart(machine, job, index, placement);
+    if (!placement.hasRun) this.recordStart(machine, job, index, placement);
     machine.noteImageUse(job.spec.image, job.spec.imageSizeGb);
   }
 
@@ -98,7 +98,7 @@
       return;
     }
     const attempt = attemptKey(key, assigned.attempt);
-    if (status.byAttempt.has(attempt) || !isUnwanted(machine, job, placement)) return;
+    if (status.byAttempt.has(attempt) || !shouldRequeueIfAbsent(machine, job, placement)) return;
     const evidence = {
       status,
       source,
@@ -112,8 +112,8 @@
   }
 
   /** The log shows where the time between a submission and its start was spent. */
-  private noteStart(machine: Machine, job: Job, index: number, placement: Placement): void {
-    this.placements.noteRunning(job, index, placement);
+  private recordStart(machine: Machine, job: Job, index: number, placement: Placement): void {
+    this.placements.markRunning(job, index, placement);
     const { clock, log } = this.deps;
     log.debug(
       {
@@ -135,7 +135,7 @@
  * than started. An inherited placement is not started: the earlier leader may have released its resources without
  * having written that, and starting it could exceed the quota of its team.
  */
-const isUnwanted = (machine: Machine, job: Job, placement: Placement): boolean =>
-  isToBeStopped(job, placement) ||
+const shouldRequeueIfAbsent = (machine: Machine, job: Job, placement: Placement): boolean =>
+  shouldStopTask(job, placement) ||
   placement.isInherited ||
   (machine.isDraining && isCommitted(job, placement));
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -15,15 +15,15 @@
 import type { Heartbeat, HeartbeatReply, JobSpec } from '../wire/index.js';
 import { CommandSender } from './command-sender.js';
 import { ContactHistory } from './contact-history.js';
-import type { TermDependencies } from './dependencies.js';
+import type { TermDependencies } from './term-dependencies.js';
 import { GangController } from './gang-controller.js';
 import { HeartbeatHandler } from './heartbeat-handler.js';
-import { JobRequests, type JobAnswer, type SubmitOutcome } from './job-requests.js';
-import { MachineLoss } from './machine-loss.js';
-import { NoticeWatcher } from './notice-watcher.js';
+import { JobRequests, type JobLookupResult, type SubmitOutcome } from './job-requests.js';
+import { MachineLossHandler } from './machine-loss-handler.js';
+import { InboxWatcher } from './inbox-watcher.js';
 import { PeriodicWork } from './periodic-work.js';
 import { PlacementIndex } from './placement-index.js';
-import { Rebuild } from './rebuild.js';
+import { JobRecovery } from './job-recovery.js';
 import { ReplyCommands } from './reply-commands.js';
 import { Scheduler } from './scheduler.js';
 import { StatusReconciler } from './status-reconciler.js';
@@ -35,16 +35,16 @@
   private readonly placements: PlacementIndex;
   private readonly commands: CommandSender;
   private readonly gangs: GangController;
-  private readonly heartbeats: HeartbeatHandler;
+  private readonly heartbeatHandler: HeartbeatHandler;
   private readonly scheduler: Scheduler;
   private readonly contacts: ContactHistory;
-  private readonly machineLoss: MachineLoss;
+  private readonly machineLoss: MachineLossHandler;
   private readonly autoscaler: Autoscaler;
-  private readonly jobs: JobRequests;
-  private readonly rebuild: Rebuild;
-  private readonly notices: NoticeWatcher;
+  private readonly jobRequests: JobRequests;
+  private readonly jobRecovery: JobRecovery;
+  private readonly inboxWatcher: InboxWatcher;
   private readonly periodicWork: PeriodicWork;
-  private closed = false;
+  private hasClosed = false;
 
   constructor(
     readonly epoch: Epoch,
@@ -52,22 +52,29 @@
   ) {
     const { clock, jobRecords, log } = deps;
     const startedAt = clock.steady();
-    this.rebuild = new Rebuild(deps, (job) => this.jobs.adopt(job));
+    this.jobRecovery = new JobRecovery(deps, (job) => this.jobRequests.addStoredJob(job));
     this.ledger = this.createLedger();
     this.fleet = this.createFleet(startedAt);
-    this.placements = this.createPlacements();
+    this.placements = this.createPlacementIndex();
     const observer = new StatusReconciler(epoch, this.placements, deps);
     this.commands = new CommandSender(epoch, this.placements, observer, deps);
     this.gangs = new GangController(this.placements, this.commands, clock);
-    this.heartbeats = this.createHeartbeats(observer);
+    this.heartbeatHandler = this.createHeartbeatHandler(observer);
     this.scheduler = new Scheduler(epoch, this.placements, this.commands, deps);
     this.contacts = new ContactHistory(deps.peers, startedAt);
-    this.machineLoss = new MachineLoss(this.fleet, this.placements, clock, log);
+    this.machineLoss = new MachineLossHandler(this.fleet, this.placements, clock, log);
     this.autoscaler = this.createAutoscaler();
     const { ledger, fleet, placements, commands, gangs, scheduler } = this;
     const { autoscaler, contacts, machineLoss } = this;
-    this.jobs = new JobRequests({ ledger, placements, commands, scheduler, jobRecords, clock });
-    this.notices = new NoticeWatcher(jobRecords, this.jobs, ledger, clock);
+    this.jobRequests = new JobRequests({
+      ledger,
+      placements,
+      commands,
+      scheduler,
+      jobRecords,
+      clock,
+    });
+    this.inboxWatcher = new InboxWatcher(jobRecords, this.jobRequests, ledger, clock);
     this.periodicWork = new PeriodicWork(
       {
         epoch,
@@ -88,9 +95,9 @@
   private createLedger(): Ledger {
     const { clock, log, onDeposed, random, recordLimits, store } = this.deps;
     const events: LedgerEvents = {
-      onCommitted: (job) => this.pushStarts(job),
+      onCommitted: (job) => this.scheduleStarts(job),
       onReplaced: (job) => this.placements.replaceJob(job),
-      onDropped: (job) => this.releasePlacements(job),
+      onDropped: (job) => this.releasePlacedTasks(job),
       onFinished: (job, final) => {
         log.info({ job: job.id, team: final.team, status: final.status }, 'job over');
       },
@@ -121,7 +128,7 @@
     });
   }
 
-  private createPlacements(): PlacementIndex {
+  private createPlacementIndex(): PlacementIndex {
     const { clock, log } = this.deps;
     return new PlacementIndex({
       ledger: this.ledger,
@@ -135,7 +142,7 @@
     });
   }
 
-  private createHeartbeats(observer: StatusReconciler): HeartbeatHandler {
+  private createHeartbeatHandler(observer: StatusReconciler): HeartbeatHandler {
     const { clock, settings } = this.deps;
     return new HeartbeatHandler({
       epoch: this.epoch,
@@ -143,7 +150,7 @@
       lease: settings.workers.lease,
       placements: this.placements,
       observer,
-      replies: new ReplyCommands(this.ledger, this.deps),
+      responseCommands: new ReplyCommands(this.ledger, this.deps),
       onMachineUp: () => this.scheduler.schedulePlacing(),
     });
   }
@@ -153,7 +160,7 @@
     const autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        answeringSince: () => this.contacts.answeringSince,
+        answeringSince: () => this.contacts.respondingSince,
         unreachableAt: this.contacts.unreachableAt,
         queue: () => this.scheduler.queue(),
         specOf: (id) => this.ledger.jobs.get(id)?.spec,
@@ -173,39 +180,39 @@
 
   /** Whether the term is over. */
   get isClosed(): boolean {
-    return this.closed;
+    return this.hasClosed;
   }
 
   /** Resolves once the term is ready or closed, or has taken too long to become ready. */
-  get rebuildSettled(): Promise<void> {
-    return this.rebuild.settled;
+  get recoverySettled(): Promise<void> {
+    return this.jobRecovery.settled;
   }
 
   /** Whether workers that report straight to this node are sent to the others. */
-  get redirectsWorkers(): boolean {
-    return this.periodicWork.redirectsWorkers;
+  get isRedirectingWorkers(): boolean {
+    return this.periodicWork.isRedirectingWorkers;
   }
 
   /** Resolves once the records are read and the work at intervals has begun, or the term is closed. */
   async start(): Promise<void> {
-    if (!(await this.rebuild.run())) return;
+    if (!(await this.jobRecovery.run())) return;
     this.scheduler.isReady = true;
-    this.rebuild.close();
+    this.jobRecovery.close();
     this.deps.log.info(
       { jobs: this.ledger.jobs.size, machines: this.fleet.machines.size },
       'rebuilt from the records',
     );
-    detach(this.notices.run(), this.deps.log, 'watching notices');
+    detach(this.inboxWatcher.run(), this.deps.log, 'watching notices');
     this.periodicWork.start();
   }
 
   /** Nothing is written, sent or concluded any more. */
   close(): void {
-    this.closed = true;
-    this.rebuild.close();
-    this.notices.close();
+    this.hasClosed = true;
+    this.jobRecovery.close();
+    this.inboxWatcher.close();
     this.periodicWork.close();
-    this.jobs.close();
+    this.jobRequests.close();
     this.ledger.close();
     this.commands.close();
     this.scheduler.close();
@@ -216,21 +223,21 @@
 
   /** See `JobRequests.submit`. */
   submitJob(spec: JobSpec): Promise<SubmitOutcome> {
-    return this.jobs.submit(spec);
+    return this.jobRequests.submit(spec);
   }
 
   /** See `JobRequests.find`. */
-  findJob(id: JobId): Promise<JobAnswer> {
-    return this.jobs.find(id);
+  findJob(id: JobId): Promise<JobLookupResult> {
+    return this.jobRequests.find(id);
   }
 
   /** See `JobRequests.cancel`. */
-  cancelJob(id: JobId): Promise<JobAnswer> {
-    return this.jobs.cancel(id);
+  cancelJob(id: JobId): Promise<JobLookupResult> {
+    return this.jobRequests.cancel(id);
   }
 
   /** Placements are committed: their starts may leave. */
-  private pushStarts(job: Job): void {
+  private scheduleStarts(job: Job): void {
     for (const placement of job.placements.values()) {
       const isStartDue = !placement.isReported && !placement.isStartPushed;
       if (isStartDue && placement.version <= job.committedVersion) {
@@ -240,7 +247,7 @@
   }
 
   /** A submission came to nothing: the starts of what was placed of it never left. */
-  private releasePlacements(job: Job): void {
+  private releasePlacedTasks(job: Job): void {
     for (const index of job.placements.keys()) this.placements.releaseTask(job, index);
   }
 
@@ -248,22 +255,22 @@
 
   /** The answer to a heartbeat that came straight from its worker. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
-    return this.heartbeats.handleDirect(heartbeat);
+    return this.heartbeatHandler.handleDirect(heartbeat);
   }
 
   /** The answer to a heartbeat that a follower passed on, and the baseline for later ones. */
   handleRelayedHeartbeat(
     heartbeat: Heartbeat,
-    through: NodeId,
-  ): { reply: HeartbeatReply; baseline: number } {
-    return this.heartbeats.handleRelayed(heartbeat, through);
+    relayId: NodeId,
+  ): { response: HeartbeatReply; baseline: number } {
+    return this.heartbeatHandler.handleRelayed(heartbeat, relayId);
   }
 
   /** The answer to a heartbeat that shows what its baseline showed; undefined if it must come in full. */
   handleUnchangedHeartbeat(
     heartbeat: UnchangedHeartbeat,
-    through: NodeId,
+    relayId: NodeId,
   ): HeartbeatReply | undefined {
-    return this.heartbeats.handleUnchanged(heartbeat, through);
+    return this.heartbeatHandler.handleUnchanged(heartbeat, relayId);
   }
 }
--- a/src/leader/worker-calls.ts
+++ b/src/leader/worker-calls.ts
@@ -8,7 +8,7 @@
 import { detach } from '../units/detach.js';
 import { ms, type DurationMs, type Epoch } from '../units/index.js';
 import type { Command } from '../wire/index.js';
-import type { TermDependencies } from './dependencies.js';
+import type { TermDependencies } from './term-dependencies.js';
 
 /** The timeout of a call to a worker whose machine this epoch has seen. */
 export const WORKER_CALL_TIMEOUT = ms(2500);
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -8,7 +8,7 @@
 import { AdmissionControl } from '../../src/ledger/admission.js';
 import type { JobRecords } from '../../src/ledger/job-records.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
-import type { JobAnswer } from '../../src/leader/job-requests.js';
+import type { JobLookupResult } from '../../src/leader/job-requests.js';
 import type { Term } from '../../src/leader/term.js';
 import type { Peer } from '../../src/peer/channel.js';
 import { HeartbeatRelay } from '../../src/relay/heartbeat-relay.js';
@@ -26,25 +26,28 @@
  * What answers HTTP on a node that leads until `loseAuthority` is called; its term answers every request
  * about a job with `found`, when `answer` is called.
  */
-export function leadingNode(found: JobAnswer) {
+export function leadingNode(found: JobLookupResult) {
   const settings = parseSettings(settingsFile(0));
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const jobRecords = {} as JobRecords;
   let epoch: Epoch | undefined = EPOCH;
   let answer = (): void => undefined;
-  const answerLater = (): Promise<JobAnswer> =>
+  const answerLater = (): Promise<JobLookupResult> =>
     new Promise((resolve) => (answer = () => resolve(found)));
   const term = {
     epoch,
     isClosed: false,
     isReady: true,
-    redirectsWorkers: false,
+    isRedirectingWorkers: false,
     findJob: answerLater,
     cancelJob: answerLater,
     submitJob: answerLater,
     handleHeartbeat: () => ({ fencingToken: EPOCH, commands: [] }),
-    handleRelayedHeartbeat: () => ({ reply: { fencingToken: EPOCH, commands: [] }, baseline: 1 }),
+    handleRelayedHeartbeat: () => ({
+      response: { fencingToken: EPOCH, commands: [] },
+      baseline: 1,
+    }),
   };
   const peers = new Map<NodeId, Peer>();
   const catalog = new MachineCatalog();
--- a/test/unit/attempt-clearance.test.ts
+++ b/test/unit/attempt-clearance.test.ts
@@ -55,11 +55,11 @@
     state: 'exited',
     exitReason: attempt.exitReason,
   };
-  const mayClear = (): boolean =>
-    subject.mayClear(machine, status, { job: job.id, index: 0 }, isLive ? job : undefined);
-  const atOnce = mayClear();
+  const canClear = (): boolean =>
+    subject.canClear(machine, status, { job: job.id, index: 0 }, isLive ? job : undefined);
+  const atOnce = canClear();
   await time.run(after);
-  return [atOnce, mayClear()];
+  return [atOnce, canClear()];
 }
 
 void test('an attempt is forgotten when no start of it can be delivered that would do harm', async () => {
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -110,8 +110,8 @@
     if (isEvicted) placement.evictionGraceSeconds = 0;
     if (mayStillArrive) machine.pushedStarts.noteSent(attemptKey(key, placement.attempt));
     const ledger = { jobs: new Map([[job.id, job]]), finalState: () => undefined };
-    const replies = new ReplyCommands(ledger, { clock, settings });
-    const commands = replies.commandsForReply(machine, toWorkerStatus(heartbeat));
+    const responseCommands = new ReplyCommands(ledger, { clock, settings });
+    const commands = responseCommands.commandsForResponse(machine, toWorkerStatus(heartbeat));
     assert.deepEqual(
       commands.map((command) => command.type),
       types,
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -28,20 +28,20 @@
     const log = pino({ level: 'silent' });
     const election = new Election({
       store: store as unknown as StoreClient,
-      node: NodeId('node-0'),
+      controllerId: NodeId('node-0'),
       processId: 'run',
       timing: { duration: ms(4000), renewInterval: ms(1200) },
       clock: new ProcessClock(time, 0, 0),
       random: () => 0.5,
       log,
-      events: { onGained: () => undefined, onLost: (lostEpoch) => lost.push(lostEpoch) },
+      events: { onTermStarted: () => undefined, onTermEnded: (lostEpoch) => lost.push(lostEpoch) },
     });
     detach(election.run(), log, 'election');
     await new Promise((resolve) => setImmediate(resolve));
     assert.equal(election.authority(), 7);
     await time.run(5000);
     assert.deepEqual([election.authority(), election.leader()], [undefined, 'node-0']);
-    election.noteLeader(NodeId(node), epoch);
+    election.recordLeader(NodeId(node), epoch);
     assert.equal(election.leader(), stays ? 'node-0' : node, name);
     assert.deepEqual(lost, stays ? [] : [7], name);
     election.stop();
@@ -109,13 +109,13 @@
     const log = pino({ level: 'silent' });
     const election = new Election({
       store: store as unknown as StoreClient,
-      node: NodeId('node-0'),
+      controllerId: NodeId('node-0'),
       processId: 'run',
       timing: { duration: ms(4000), renewInterval: ms(1200) },
       clock: new ProcessClock(time, 0, 0),
       random: () => 0.5,
       log,
-      events: { onGained: () => undefined, onLost: () => undefined },
+      events: { onTermStarted: () => undefined, onTermEnded: () => undefined },
     });
     detach(election.run(), log, 'election');
     await new Promise((resolve) => setImmediate(resolve));
--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -69,7 +69,7 @@
       lease: settings.workers.lease,
       placements,
       observer: new StatusReconciler(epoch, placements, { clock, log: pino({ level: 'silent' }) }),
-      replies: { commandsForReply: () => [] },
+      responseCommands: { commandsForResponse: () => [] },
       onMachineUp: () => undefined,
     });
   }
@@ -165,8 +165,8 @@
   private handle(epoch: number, relayed: RelayedHeartbeat): HeartbeatResponse {
     const node = NodeId('node-1');
     if (relayed.kind === 'full') {
-      const { reply, baseline } = this.relayed.handler.handleRelayed(relayed.heartbeat, node);
-      return { outcome: 'accepted', baseline, commands: reply.commands };
+      const { response, baseline } = this.relayed.handler.handleRelayed(relayed.heartbeat, node);
+      return { outcome: 'accepted', baseline, commands: response.commands };
     }
     const isKnown = epoch === this.relayed.epoch;
     const reply = isKnown ? this.relayed.handler.handleUnchanged(relayed, node) : undefined;
--- a/test/unit/reception-check.test.ts
+++ b/test/unit/response-delivery-check.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { workerLeaseEnd } from '../../src/fleet/worker-lease.js';
 import { toWorkerStatus } from '../../src/fleet/worker-status.js';
-import { ReceptionCheck } from '../../src/leader/reception-check.js';
+import { ResponseDeliveryCheck } from '../../src/leader/response-delivery-check.js';
 import { Epoch, MachineId, SteadyMs, seconds } from '../../src/units/index.js';
 import type { TaskStatus } from '../../src/wire/index.js';
 import { emptyFleet, placedTask } from '../support/fleet.js';
@@ -21,7 +21,7 @@
   const machine = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, '');
   const { job, placement, key } = placedTask(fleet, id, SteadyMs(0));
   if (isStartSent) placement.sentInReplyTo = { session: 1, sequence: 0 };
-  const check = new ReceptionCheck(epoch, new Map([[job.id, job]]), lease);
+  const check = new ResponseDeliveryCheck(epoch, new Map([[job.id, job]]), lease);
   const task: TaskStatus = { task: key, attempt: placement.attempt, state: 'fetching' };
   for (const [i, [session, fencingToken, showsTask, atSecond]] of steps.entries()) {
     const now = SteadyMs(atSecond * 1000);
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -6,7 +6,7 @@
 import { parseSettings } from '../../src/config/settings.js';
 import type { StoredJob } from '../../src/ledger/job-records.js';
 import { Job, type FinalState } from '../../src/ledger/job.js';
-import type { JobAnswer } from '../../src/leader/job-requests.js';
+import type { JobLookupResult } from '../../src/leader/job-requests.js';
 import { NodeId, Revision, WallMs, ms, sleep } from '../../src/units/index.js';
 import { encode, encodeJobSpec, parseSubmission, type JobSpec } from '../../src/wire/index.js';
 import { machineTypes } from '../standin/machine-types.js';
@@ -17,7 +17,13 @@
 void test('an answer that rests on authority is given under it to the end', async () => {
   const running = new Job(JOB, spec({}), WallMs(0), Revision(5));
   const body = encode(encodeJobSpec(spec({})));
-  type Case = [name: string, method: string, path: string, found: JobAnswer, expected: number];
+  type Case = [
+    name: string,
+    method: string,
+    path: string,
+    found: JobLookupResult,
+    expected: number,
+  ];
   const cases: Case[] = [
     ['a question', 'GET', `/v1/jobs/${JOB}`, { kind: 'live', job: running }, 200],
     ['a question about no job', 'GET', `/v1/jobs/${JOB}`, { kind: 'absent' }, 404],
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -28,7 +28,7 @@
       let settle = (): void => undefined;
       Object.assign(term, {
         isReady: false,
-        rebuildSettled: new Promise<void>((resolve) => (settle = resolve)),
+        recoverySettled: new Promise<void>((resolve) => (settle = resolve)),
       });
       const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-1') };
       const accepted = relayed
@@ -88,7 +88,7 @@
 
 void test('a leader that is too small redirects workers, and serves those that are back at once', async () => {
   const { workerHeartbeats, term, peers } = leadingNode({ kind: 'absent' });
-  Object.assign(term, { redirectsWorkers: true });
+  Object.assign(term, { isRedirectingWorkers: true });
   const status = async (machine: string) =>
     (await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf(machine))))).status;
   assert.equal(await status('vm-0'), 200, 'no other node answers');
@@ -114,7 +114,7 @@
   Object.assign(term, {
     handleRelayedHeartbeat: () => {
       handled++;
-      return { reply: { fencingToken: EPOCH, commands }, baseline: 1 };
+      return { response: { fencingToken: EPOCH, commands }, baseline: 1 };
     },
   });
   const batch = Array.from({ length: 60 }, (_, i) => {
