--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -1,6 +1,7 @@
 /**
- * Leader election: holds, or waits for, the leader key. The epoch is the revision of the transaction that
- * wrote the key. Authority ends before the store's lease does.
+ * Leader election through the leader key in the store. A controller leads while it holds the key; the other
+ * controllers watch it. The epoch of a term is the revision of the transaction that wrote the key. The leader's
+ * authority, that is its right to act under the epoch, ends before its lease at the store does.
  */
 import type { Logger } from 'pino';
 import { LEADER_KEY } from '../ledger/store-keys.js';
@@ -22,16 +23,16 @@
 } from '../units/index.js';
 import { LEADER_KEY_REQUEST_TIMEOUT, LeaderKey, type LeaderKeyState } from './leader-key.js';
 
-/** How much earlier than the store's lease our authority ends, beside the clocks' drift. */
+/** How much earlier than the store's lease authority ends, in addition to the allowance for clock drift. */
 const AUTHORITY_SAFETY_MARGIN = ms(150);
 const RETRY_DELAY = ms(300);
 const WATCH_TIMEOUT = ms(10_000);
 const PROBE_INTERVAL = ms(1000);
-/** The state service is probed after so much silence. */
+/** The store is probed when it has not responded for this long. */
 const PROBE_SILENCE_THRESHOLD = ms(2000);
 const PROBE_TIMEOUT = ms(1200);
 
-/** What the node does when leadership changes. Called synchronously. */
+/** Callbacks for the terms of this controller. They are called synchronously. */
 export interface ElectionEvents {
   onTermStarted(epoch: Epoch): void;
   onTermEnded(epoch: Epoch): void;
@@ -43,12 +44,11 @@
   readonly renewInterval: DurationMs;
 }
 
-/** What an election needs of the rest of the node. */
+/** The dependencies of an election on the rest of the controller. */
 export interface ElectionDependencies {
   readonly store: StoreClient;
-  /** This node. */
   readonly controllerId: NodeId;
-  /** Tells this process from its predecessors on the same node. */
+  /** Distinguishes this process from earlier processes of the same controller. */
   readonly processId: string;
   readonly timing: LeaseTiming;
   readonly clock: Clock;
@@ -60,22 +60,22 @@
 interface HeldLease {
   readonly epoch: Epoch;
   readonly leaseId: number;
-  /** When our authority ends, by the steady clock, counted from when the renewal was sent. */
+  /** When authority ends, by the steady clock; computed from the time at which the renewal was sent. */
   validUntil: SteadyMs;
 }
 
 /**
- * Authority may lapse (no renewal got through) without leadership being over: no other node can lead while
- * the key stands, so it goes on with the next renewal.
+ * Takes part in the election for one controller. Authority may lapse because no renewal succeeded while the term
+ * goes on: no other controller can lead as long as the key exists, so the next successful renewal restores authority.
  */
 export class Election {
   private readonly leaderKey: LeaderKey;
   private heldLease: HeldLease | undefined;
   private knownLeader: NodeId | undefined;
-  /** The epoch of the leader key that named the holder, by our own reading or another node's. */
+  /** The epoch of the leader key that named `knownLeader`, as read by this controller or by a peer. */
   private knownLeaderEpoch = 0;
   private isStopped = false;
-  /** Ends the wait for a change of the leader key. */
+  /** Ends the current wait for a change of the leader key. */
   private interruptWatch: (() => void) | undefined;
 
   constructor(private readonly deps: ElectionDependencies) {
@@ -83,59 +83,61 @@
     this.leaderKey = new LeaderKey(store, { controllerId, processId }, log);
   }
 
-  /** The epoch under which we may act at this moment. */
+  /** The epoch under which this controller may act now; undefined if it has no authority. */
   authority(): Epoch | undefined {
     return this.heldLease && this.deps.clock.steady() < this.heldLease.validUntil
       ? this.heldLease.epoch
       : undefined;
   }
 
-  /** Who holds the leader key, as far as we know. */
+  /** The controller that holds the leader key, as far as this controller knows. */
   leader(): NodeId | undefined {
     return this.heldLease ? this.deps.controllerId : this.knownLeader;
   }
 
-  /** The epoch of the leader that we know of; 0 if we know of none. */
+  /** The epoch of the known leader; 0 if none is known. */
   leaderEpoch(): number {
     return this.heldLease?.epoch ?? this.knownLeaderEpoch;
   }
 
   /**
-   * Another node knows of a later leader: our own reading may be stale, or the store be out for us.
-   * The later epoch proves that our key is gone, so leadership that only lapsed ends here: workers that
-   * stayed with us are sent on at once, instead of trying node after node until their leases run out.
+   * Records a leader that a peer knows. What this controller read itself may be stale, or it may not reach the
+   * store. A later epoch proves that this controller's key is gone, so a term whose authority has lapsed ends here.
+   * Workers that still report to this controller are then redirected at once; otherwise they would try one
+   * controller after another until their leases expire.
    */
   recordLeader(leader: NodeId, epoch: number): void {
     if (epoch <= this.leaderEpoch() || leader === this.deps.controllerId) return;
-    this.endTerm('another node knows a later leader');
+    this.endTerm('a peer knows a later leader');
     this.knownLeader = leader;
     this.knownLeaderEpoch = epoch;
   }
 
-  /** The store, or a conflicting write, said that the key is no longer ours. */
+  /** Ends the term because the store, or a conflicting write, showed that another controller holds the key. */
   onDeposed(epoch: Epoch): void {
-    if (this.heldLease?.epoch === epoch) this.endTerm('the leader key is not ours');
+    if (this.heldLease?.epoch === epoch)
+      this.endTerm('this controller no longer holds the leader key');
   }
 
-  /** Runs until `stop`. */
+  /** Starts the election and the store probes, which run until `stop`. */
   start(): void {
     detach(this.run(), this.deps.log, 'election');
-    detach(this.runStoreProbes(), this.deps.log, 'probing the state service');
+    detach(this.runStoreProbes(), this.deps.log, 'probing the store');
   }
 
-  /** Nothing more is asked or renewed; authority lasts until its time. */
+  /** Stops reading the key and renewing the lease. Authority remains until it expires. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Renews the lease that is held, or follows the leader and acquires the key when it is free. */
+  /** Renews the lease while this controller leads; otherwise watches the key and acquires it when it is free. */
   async run(): Promise<void> {
     while (!this.isStopped) {
       try {
         if (this.heldLease) await this.renew(this.heldLease);
         else await this.followOrAcquire(await this.leaderKey.read());
       } catch (error) {
-        this.deps.log.error({ err: error }, 'election step failed');
+        this.deps.log.error({ err: error }, 'election: unexpected error; retrying after a delay');
         await this.delay(RETRY_DELAY);
       }
     }
@@ -153,7 +155,7 @@
         await this.delay(ms(Math.max(0, sentAt + timing.renewInterval - clock.steady())));
         break;
       case 'gone':
-        this.endTerm('the lease ran out');
+        this.endTerm('the lease of the leader key expired');
         break;
       case 'failed':
         await this.delayBeforeRetry();
@@ -181,7 +183,10 @@
     }
   }
 
-  /** The key is ours by a transaction whose answer was lost: we lead if its lease still stands. */
+  /**
+   * Handles a key that this process wrote by a transaction whose response was lost. The controller leads if the
+   * key's lease can still be renewed.
+   */
   private async resume(revision: Revision): Promise<void> {
     const { clock, store } = this.deps;
     const leaseId = await this.leaderKey.leaseIdAt(revision);
@@ -207,17 +212,17 @@
     }
   }
 
-  /** Waits for a change of the key. */
+  /** Waits until the key changes, a probe interrupts the wait, or the watch times out. */
   private async follow(fromRevision: Revision): Promise<void> {
     const { store } = this.deps;
     store.setRole('following');
-    // A watch on a connection that leads nowhere any more would keep us from noticing a change.
-    const woken = new Promise<'woken'>((resolve) => {
-      this.interruptWatch = () => resolve('woken');
+    // A watch on a dead connection would never report a change, so a probe can interrupt the wait.
+    const interrupted = new Promise<'interrupted'>((resolve) => {
+      this.interruptWatch = () => resolve('interrupted');
     });
     const change = await Promise.race([
       store.watch(LEADER_KEY, fromRevision, WATCH_TIMEOUT),
-      woken,
+      interrupted,
     ]);
     this.interruptWatch = undefined;
     if (change === 'failed' || change === 'stale') await this.delayBeforeRetry();
@@ -231,8 +236,8 @@
   }
 
   /**
-   * Looks whether the state service serves us, beside the watch, when it has not answered for a while.
-   * What it says of the leader key counts too.
+   * Checks, in parallel to the watch, whether the store is reachable when it has not responded for
+   * `PROBE_SILENCE_THRESHOLD`. If the probe shows that the leader key has changed, the watch is interrupted.
    */
   private async probeStore(): Promise<void> {
     const { clock, store } = this.deps;
@@ -249,7 +254,7 @@
     this.knownLeader = this.deps.controllerId;
     this.knownLeaderEpoch = epoch;
     this.deps.store.setRole('leading');
-    this.deps.log.info({ epoch }, 'leadership gained');
+    this.deps.log.info({ epoch }, 'election: acquired the leader key; starting a term');
     this.deps.events.onTermStarted(epoch);
   }
 
@@ -259,11 +264,14 @@
     this.heldLease = undefined;
     this.knownLeader = undefined;
     this.deps.store.setRole('leaderless');
-    this.deps.log.warn({ epoch: lease.epoch, reason }, 'leadership lost');
+    this.deps.log.warn(
+      { epoch: lease.epoch, reason },
+      'election: lost the leader key; ending the term',
+    );
     this.deps.events.onTermEnded(lease.epoch);
   }
 
-  /** When authority ends that rests on a lease call sent at that time. */
+  /** When the authority ends that a lease request sent at `sentAt` grants. */
   private authorityEndsAt(sentAt: SteadyMs): SteadyMs {
     return later(
       sentAt,
@@ -275,7 +283,7 @@
     return sleep(this.deps.clock, time);
   }
 
-  /** So drawn that nodes that failed together do not try again together. */
+  /** Waits for a random time, so that controllers that failed together do not retry together. */
   private delayBeforeRetry(): Promise<void> {
     return this.delay(ms(RETRY_DELAY * (0.5 + this.deps.random())));
   }
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Receives the heartbeats of workers and answers them with commands. */
+/** Handles heartbeats of workers and responds with commands. */
 import type { Machine } from '../fleet/machine.js';
 import { workerLeaseEnd } from '../fleet/worker-lease.js';
 import { toWorkerStatus, type WorkerStatus } from '../fleet/worker-status.js';
@@ -9,26 +9,26 @@
 import type { PlacementIndex } from './placement-index.js';
 import { ResponseDeliveryCheck } from './response-delivery-check.js';
 
-/** Decides the commands of a reply. */
+/** Decides the response commands for a heartbeat. */
 export interface ResponseCommandSource {
-  /** To be called when the status has been reconciled with the placements. */
+  /** Must be called after the status has been reconciled with the placements. */
   commandsForResponse(machine: Machine, status: WorkerStatus): Command[];
 }
 
-/** What the handler uses. */
+/** The dependencies of the heartbeat handler. */
 export interface HeartbeatHandlerOptions {
   readonly epoch: Epoch;
   readonly clock: Clock;
-  /** The length of a worker's lease. */
+  /** The duration of a worker's lease. */
   readonly lease: DurationMs;
   readonly placements: PlacementIndex;
   readonly observer: StatusObserver;
   readonly responseCommands: ResponseCommandSource;
-  /** A machine that was not up is up now, and may be given tasks. */
+  /** Called when a machine comes up, so that tasks can be placed on it. */
   readonly onMachineUp: () => void;
 }
 
-/** Processes heartbeats under one epoch. */
+/** Handles heartbeats under one epoch. */
 export class HeartbeatHandler {
   private nextBaseline = 1;
   private readonly emptyResponse: HeartbeatReply;
@@ -40,12 +40,12 @@
     this.deliveryCheck = new ResponseDeliveryCheck(epoch, placements.ledger.jobs, lease);
   }
 
-  /** A heartbeat that came directly from its worker. */
+  /** Handles a heartbeat that came directly from its worker. */
   handleDirect(heartbeat: Heartbeat): HeartbeatReply {
     return this.acceptFull(heartbeat, toWorkerStatus(heartbeat), undefined);
   }
 
-  /** A heartbeat that a follower relayed; and the baseline by which the follower may refer to it. */
+  /** Handles a heartbeat that a follower relayed. The follower refers to its status by the returned baseline. */
   handleRelayed(
     heartbeat: Heartbeat,
     relayId: NodeId,
@@ -56,8 +56,8 @@
   }
 
   /**
-   * A heartbeat that shows the same tasks as its baseline; undefined if the baseline is not the newest status
-   * of the machine, so that the heartbeat is needed in full.
+   * Handles a heartbeat that shows the same tasks as its baseline. Returns undefined if the baseline is not the
+   * newest status of the machine; the heartbeat must then be sent in full.
    */
   handleUnchanged(heartbeat: UnchangedHeartbeat, relayId: NodeId): HeartbeatReply | undefined {
     const machine = this.options.placements.fleet.machines.get(MachineId(heartbeat.machine));
@@ -92,7 +92,7 @@
     const last = machine.status;
     const isFresh = machine.recordStatus(status, now);
     if (isFresh && last) this.deliveryCheck.check(machine, status, last, now);
-    // A stale heartbeat is answered too, and its worker counts a new lease from when it was sent.
+    // A stale heartbeat gets a response too, and its worker then renews the lease from when the heartbeat was sent.
     machine.extendLease(workerLeaseEnd(now, lease));
     if (!isFresh) return this.emptyResponse;
     machine.relayNode = relayId;
--- a/src/leader/job-recovery.ts
+++ b/src/leader/job-recovery.ts
@@ -1,4 +1,4 @@
-/** What a new leader does first: it reads the records of all live jobs. */
+/** Recovery at the start of a term: the new leader reads the records of all live jobs. */
 import type { Logger } from 'pino';
 import { decodeJob } from '../ledger/codec.js';
 import { LIVE_PREFIX } from '../ledger/store-keys.js';
@@ -9,10 +9,10 @@
 
 const STORE_TIMEOUT = ms(2000);
 const RETRY_DELAY = ms(300);
-/** Heartbeats that come while the records are read wait so long, counted from the beginning of the term. */
+/** Heartbeats that arrive during recovery wait until at most this long after the start of the term. */
 const MAX_HEARTBEAT_WAIT = ms(1500);
 
-/** What a rebuild needs of the rest of the node. */
+/** The dependencies of recovery on the rest of the controller. */
 export interface JobRecoveryDependencies {
   readonly store: Pick<StoreClient, 'list'>;
   readonly recordLimits: Pick<RecordLimits, 'noteRecord'>;
@@ -20,9 +20,9 @@
   readonly log: Logger;
 }
 
-/** Reads the live records once, and tells those who wait for it. */
+/** Reads the live records once and notifies waiting callers through `settled`. */
 export class JobRecovery {
-  /** Resolves once the records are read, the rebuild is closed, or it has taken too long. */
+  /** Resolves once the records have been read, recovery is closed, or `MAX_HEARTBEAT_WAIT` has passed. */
   readonly settled: Promise<void>;
   private settle: () => void = () => undefined;
   private readonly timer: Timer;
@@ -30,14 +30,14 @@
 
   constructor(
     private readonly deps: JobRecoveryDependencies,
-    /** Takes a job that was read. */
+    /** Receives each job that was read. */
     private readonly onJobRead: (job: Job) => void,
   ) {
     this.settled = new Promise((resolve) => (this.settle = resolve));
     this.timer = deps.clock.after(MAX_HEARTBEAT_WAIT, () => this.settle());
   }
 
-  /** Resolves with true once all records are read, however often that must be tried; false if closed. */
+  /** Retries until all records have been read. Resolves with true then, and with false if closed earlier. */
   async run(): Promise<boolean> {
     while (!this.isClosed) {
       const listed = await this.deps.store.list(LIVE_PREFIX, STORE_TIMEOUT, { urgent: true });
@@ -50,7 +50,8 @@
             this.deps.recordLimits.noteRecord(item.data);
             this.onJobRead(decodeJob(id, item.data, item.revision, now));
           } catch (error) {
-            const message = 'unreadable record; the job waits for repair';
+            const message =
+              'recovery: unreadable job record; the job waits until the record is repaired';
             this.deps.log.error({ job: id, err: error }, message);
           }
         }
@@ -61,7 +62,7 @@
     return false;
   }
 
-  /** Releases those who wait, whether the records are read or not. */
+  /** Stops recovery and resolves `settled`, whether or not the records have been read. */
   close(): void {
     this.isClosed = true;
     this.timer.cancel();
--- a/src/leader/leader-key.ts
+++ b/src/leader/leader-key.ts
@@ -1,49 +1,49 @@
-/** The leader key: the record of the store that names the leading process, and hangs on its lease. */
+/** The leader key: the record in the store that names the leading process and is bound to that process's lease. */
 import * as z from 'zod';
 import { LEADER_KEY } from '../ledger/store-keys.js';
 import type { StoreClient } from '../store/client.js';
 import { detach, type ErrorLog } from '../units/detach.js';
 import { NodeId, ms, type DurationMs, type Revision } from '../units/index.js';
 
-/** A process that can lead. */
+/** A process that can become leader. */
 export interface LeaderCandidate {
   readonly controllerId: NodeId;
-  /** Tells the process from its predecessors on the same node. */
+  /** Distinguishes the process from earlier processes of the same controller. */
   readonly processId: string;
 }
 
 const LeaderRecord = z.object({ node: z.string(), run: z.string() });
 
-/** What the leader key says, from the point of view of one candidate. */
+/** The state of the leader key from the point of view of one candidate. */
 export type LeaderKeyState =
-  /** The store did not answer. */
+  /** The store did not respond. */
   | { readonly kind: 'unreadable' }
   | { readonly kind: 'absent' }
-  /** The candidate itself wrote it: a transaction whose answer was lost. */
+  /** The candidate itself wrote the key, by a transaction whose response was lost. */
   | { readonly kind: 'own'; readonly revision: Revision }
-  /** A process of the same node wrote it. It is dead, since the candidate runs in its place. */
+  /** An earlier process of the same controller wrote the key. It has ended, since the candidate replaces it. */
   | { readonly kind: 'predecessor'; readonly revision: Revision }
-  /** Another node holds it; `node` is undefined if the record can't be read. */
+  /** Another controller holds the key; `leaderId` is undefined if the record can't be parsed. */
   | {
       readonly kind: 'other';
       readonly leaderId: NodeId | undefined;
       readonly revision: Revision;
-      /** The revision of the store at which the key was read, from which it can be watched. */
+      /** The revision of the store at which the key was read; a watch of the key can start there. */
       readonly readRevision: Revision;
     };
 
-/** How an attempt to write the leader key ended. */
+/** The outcome of an attempt to write the leader key. */
 export type LeaderKeyWrite =
   | { readonly kind: 'written'; readonly revision: Revision; readonly leaseId: number }
-  /** The key is not as it was read. */
+  /** The key has changed since it was read. */
   | { readonly kind: 'conflict' }
-  /** Not written, or not known to be. */
+  /** The key was not written, or the outcome is unknown. */
   | { readonly kind: 'failed' };
 
-/** The longest that one call of the election may take. */
+/** The timeout of each request to the store that concerns the leader key. */
 export const LEADER_KEY_REQUEST_TIMEOUT = ms(1500);
 
-/** The leader key, as one candidate reads and writes it. */
+/** Reads and writes the leader key for one candidate. */
 export class LeaderKey {
   constructor(
     private readonly store: StoreClient,
@@ -51,10 +51,9 @@
     private readonly log: ErrorLog,
   ) {}
 
-  /** Reads the key. */
   async read(): Promise<LeaderKeyState> {
-    // Listed rather than read, since a list says at which revision: the key's own may be older than
-    // what the store keeps of its history, and a watch from there would be refused at once, for ever.
+    // The key is listed rather than read, because only a list returns the revision of the store. The key's own
+    // revision may be older than the history that the store keeps: the store would refuse each watch from there.
     const listed = await this.store.list(LEADER_KEY, LEADER_KEY_REQUEST_TIMEOUT, { urgent: true });
     if (!listed) return { kind: 'unreadable' };
     const item = listed.items.find(({ key }) => key === LEADER_KEY);
@@ -71,13 +70,13 @@
     return { kind: 'other', leaderId, revision, readRevision: listed.revision };
   }
 
-  /** The lease that the key hangs on; undefined if the key was not read as it was at that revision. */
+  /** The lease that the key is bound to; undefined if the key can't be read or no longer has that revision. */
   async leaseIdAt(revision: Revision): Promise<number | undefined> {
     const read = await this.store.get(LEADER_KEY, LEADER_KEY_REQUEST_TIMEOUT, { urgent: true });
     return read.kind === 'found' && read.revision === revision ? read.leaseId : undefined;
   }
 
-  /** Writes the key, on a new lease, in place of what was read at that revision (0: absent). */
+  /** Writes the key with a new lease, provided that its revision is still `replaced` (0: the key is absent). */
   async write(replaced: Revision, leaseDuration: DurationMs): Promise<LeaderKeyWrite> {
     const leaseId = await this.store.createLease(leaseDuration, LEADER_KEY_REQUEST_TIMEOUT);
     if (leaseId === undefined) return { kind: 'failed' };
@@ -89,12 +88,12 @@
       { urgent: true },
     );
     if (result.kind === 'committed') return { kind: 'written', revision: result.revision, leaseId };
-    // After an unknown outcome the lease must stand: the key may hang on it.
+    // After an unknown outcome the lease must not be revoked: the key may be bound to it.
     if (result.kind !== 'unknown') {
       detach(
         this.store.revokeLease(leaseId, LEADER_KEY_REQUEST_TIMEOUT),
         this.log,
-        'revoking a lease',
+        'revoking the unused lease of a leader key',
       );
     }
     return { kind: result.kind === 'conflict' ? 'conflict' : 'failed' };
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciliation of a machine's status with the placements that records have there. */
+/** Reconciles the status of a machine with the placements that the job records have there. */
 import { isProvenAbsent } from '../fleet/absence.js';
 import type { AssignedTask } from '../fleet/load.js';
 import type { Machine } from '../fleet/machine.js';
@@ -19,7 +19,7 @@
 import type { PlacementIndex } from './placement-index.js';
 import { isCommitted, shouldStopTask, placementOfAttempt } from './placement-state.js';
 
-/** Updates placements, orphans and idle times with what machines report. */
+/** Updates placements, orphaned tasks and idle times from the statuses of machines. */
 export class StatusReconciler implements StatusObserver {
   private readonly failureBackoff: FailureBackoff;
 
@@ -55,12 +55,15 @@
       if (job && placement) this.observeActiveTask(machine, job, index, placement, task);
       else this.placements.fleet.noteOrphan(taskKey(ref.job, index), machine.id);
     } else if (task.exitReason === ExitReason.done) {
-      // Whichever attempt has completed, the task is done.
+      // The task is done no matter which of its attempts has completed.
       if (job && !job.isDone(index)) this.observeCompletion(machine, job, index);
     } else if (job && placement) {
       this.placements.requeueTask(job, index, task.exitReason ?? 'exited');
       if (task.exitReason === ExitReason.failed)
-        this.deps.log.warn({ job: job.id, index, machine: machine.id }, 'task failed');
+        this.deps.log.warn(
+          { job: job.id, index, machine: machine.id },
+          'task failed on its machine; it is queued again',
+        );
       this.failureBackoff.onTaskExited(machine, job, task, now);
     }
   }
@@ -108,10 +111,10 @@
       epoch: this.epoch,
     };
     if (isProvenAbsent(evidence))
-      this.placements.requeueTask(job, assigned.index, 'not on its machine');
+      this.placements.requeueTask(job, assigned.index, 'the task is not on its machine');
   }
 
-  /** The log shows where the time between a submission and its start was spent. */
+  /** Marks the task as running, and logs how the time between submission and start was spent. */
   private recordStart(machine: Machine, job: Job, index: number, placement: Placement): void {
     this.placements.markRunning(job, index, placement);
     const { clock, log } = this.deps;
@@ -125,15 +128,15 @@
         sincePlacedMs: Math.round(durationBetween(placement.placedAt, clock.steady())),
         hadImage: placement.wasImageCached,
       },
-      'running',
+      'task is running',
     );
   }
 }
 
 /**
- * Whether a task that the machine does not show is to be queued again as soon as its absence is proven, rather
- * than started. An inherited placement is not started: the earlier leader may have released its resources without
- * having written that, and starting it could exceed the quota of its team.
+ * Whether a task that is missing from the machine's status is queued again once its absence is proven, instead of
+ * being started. An inherited placement is not started: the previous leader may have released its resources without
+ * writing that to the store, so a start could exceed the quota of the team.
  */
 const shouldRequeueIfAbsent = (machine: Machine, job: Job, placement: Placement): boolean =>
   shouldStopTask(job, placement) ||
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -1,7 +1,7 @@
 /**
- * A term: what the leader does under one epoch. This module makes its parts and passes calls on to them:
- * records and fleet (`Ledger`, `Fleet`, `PlacementIndex`), heartbeats and commands, placing, capacity,
- * users' requests, and the work at intervals.
+ * A term: the work of the leader under one epoch. This module creates the components of a term and delegates
+ * calls to them: records and fleet (`Ledger`, `Fleet`, `PlacementIndex`), heartbeats and commands, placement,
+ * scaling, users' requests and periodic work.
  */
 import { Autoscaler } from '../capacity/autoscaler.js';
 import { Fleet } from '../fleet/fleet.js';
@@ -28,7 +28,7 @@
 import { Scheduler } from './scheduler.js';
 import { StatusReconciler } from './status-reconciler.js';
 
-/** From the gain of an epoch to its loss. `start` it once; `close` ends all that it does. */
+/** Leads under one epoch. `start` is called once; `close` ends all work of the term. */
 export class Term {
   private readonly ledger: Ledger;
   private readonly fleet: Fleet;
@@ -99,7 +99,7 @@
       onReplaced: (job) => this.placements.replaceJob(job),
       onDropped: (job) => this.releasePlacedTasks(job),
       onFinished: (job, final) => {
-        log.info({ job: job.id, team: final.team, status: final.status }, 'job over');
+        log.info({ job: job.id, team: final.team, status: final.status }, 'job finished');
       },
       onDeposed: () => onDeposed(this.epoch),
     };
@@ -173,40 +173,40 @@
     return autoscaler;
   }
 
-  /** Whether the records are read: before that, this term answers no request about a job and places no task. */
+  /** Whether all job records have been read. Before that, the term handles no job request and places no task. */
   get isReady(): boolean {
     return this.scheduler.isReady;
   }
 
-  /** Whether the term is over. */
+  /** Whether the term has ended. */
   get isClosed(): boolean {
     return this.hasClosed;
   }
 
-  /** Resolves once the term is ready or closed, or has taken too long to become ready. */
+  /** Resolves once the term is ready or closed, or recovery has exceeded its time limit. */
   get recoverySettled(): Promise<void> {
     return this.jobRecovery.settled;
   }
 
-  /** Whether workers that report straight to this node are sent to the others. */
+  /** Whether workers that send heartbeats directly to this controller are redirected to followers. */
   get isRedirectingWorkers(): boolean {
     return this.periodicWork.isRedirectingWorkers;
   }
 
-  /** Resolves once the records are read and the work at intervals has begun, or the term is closed. */
+  /** Resolves once all records have been read and periodic work has started, or the term is closed. */
   async start(): Promise<void> {
     if (!(await this.jobRecovery.run())) return;
     this.scheduler.isReady = true;
     this.jobRecovery.close();
     this.deps.log.info(
       { jobs: this.ledger.jobs.size, machines: this.fleet.machines.size },
-      'rebuilt from the records',
+      'job records recovered from the store; scheduling starts',
     );
-    detach(this.inboxWatcher.run(), this.deps.log, 'watching notices');
+    detach(this.inboxWatcher.run(), this.deps.log, 'watching the inbox');
     this.periodicWork.start();
   }
 
-  /** Nothing is written, sent or concluded any more. */
+  /** Ends the term: from now on, nothing is written, sent or decided. */
   close(): void {
     this.hasClosed = true;
     this.jobRecovery.close();
@@ -236,7 +236,7 @@
     return this.jobRequests.cancel(id);
   }
 
-  /** Placements are committed: their starts may leave. */
+  /** Schedules the starts of a job's committed placements. */
   private scheduleStarts(job: Job): void {
     for (const placement of job.placements.values()) {
       const isStartDue = !placement.isReported && !placement.isStartPushed;
@@ -246,19 +246,19 @@
     }
   }
 
-  /** A submission came to nothing: the starts of what was placed of it never left. */
+  /** Releases the placements of a job whose submission failed. Their starts were never sent. */
   private releasePlacedTasks(job: Job): void {
     for (const index of job.placements.keys()) this.placements.releaseTask(job, index);
   }
 
   // --- machines ---------------------------------------------------------------------------------
 
-  /** The answer to a heartbeat that came straight from its worker. */
+  /** Returns the response to a heartbeat that came directly from its worker. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
     return this.heartbeatHandler.handleDirect(heartbeat);
   }
 
-  /** The answer to a heartbeat that a follower passed on, and the baseline for later ones. */
+  /** Returns the response to a heartbeat that a follower relayed, and the baseline for later heartbeats. */
   handleRelayedHeartbeat(
     heartbeat: Heartbeat,
     relayId: NodeId,
@@ -266,7 +266,7 @@
     return this.heartbeatHandler.handleRelayed(heartbeat, relayId);
   }
 
-  /** The answer to a heartbeat that shows what its baseline showed; undefined if it must come in full. */
+  /** Returns the response to a heartbeat with the same tasks as its baseline; undefined if it must be sent in full. */
   handleUnchangedHeartbeat(
     heartbeat: UnchangedHeartbeat,
     relayId: NodeId,
