--- a/src/leader/attempt-clearance.ts
+++ b/src/leader/attempt-clearance.ts
@@ -1,4 +1,4 @@
-/** When a worker may forget an attempt that has exited. */
+/** Decides when a worker may forget an attempt that has exited. */
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey } from '../fleet/worker-status.js';
 import type { FinalState, Job } from '../ledger/job.js';
@@ -7,12 +7,12 @@
 import { ExitReason, JobStatus, type TaskStatus } from '../wire/index.js';
 import type { TermDependencies } from './term-dependencies.js';
 
-/** Duplicates of messages are delivered up to this many worker leases late. */
+/** How late a duplicate of a message can be delivered, as a number of worker leases. */
 const MAX_DUPLICATE_DELAY_LEASES = 3;
 
 /**
- * Decides which attempts may be forgotten. Once a worker has forgotten an attempt, the same start would run it
- * again: one that is still in flight, or the duplicate of one that was executed long ago.
+ * Decides which attempts a worker may forget. Once a worker has forgotten an attempt, a start of it would run it
+ * again. Such a start may still be in flight, or be a late duplicate of a start that was executed long ago.
  */
 export class AttemptClearance {
   constructor(
@@ -23,8 +23,8 @@
   /**
    * Whether the worker may forget an exited attempt.
    *
-   * @param ref the task that the status names
-   * @param job its job; undefined if there is no live one
+   * @param ref the task of the status
+   * @param job the live job of the task; undefined if there is none
    */
   canClear(machine: Machine, status: TaskStatus, ref: TaskRef, job: Job | undefined): boolean {
     const attempt = attemptKey(status.task, status.attempt);
@@ -34,7 +34,7 @@
     // The worker's status is the only record of a completion until the store has it.
     if (isDone && job && !(job.isDone(ref.index) && areCompletionsStored(job))) return false;
     if (!pushedStarts.isAcknowledged(attempt)) return true;
-    // A completed task that is started again ends at once, which is harmless unless it must not run at all.
+    // A completed task that is started again exits at once. This is harmless unless it must not run at all.
     if (isDone && !this.isRerunForbidden(job, this.ledger.finalState(ref.job))) {
       pushedStarts.forget(attempt);
       return true;
@@ -50,7 +50,7 @@
     return true;
   }
 
-  /** Whether a task of the job would violate a rule even in the moment that it takes to end. */
+  /** Whether a completed task of the job would violate a constraint even for the moment until it exits. */
   private isRerunForbidden(job: Job | undefined, final: FinalState | undefined): boolean {
     if (this.hasQuota(job?.spec.team ?? final?.team ?? '')) return true;
     if (!job) return final?.status !== JobStatus.done;
@@ -63,7 +63,7 @@
   }
 }
 
-/** Whether the store has all completions of a job. */
+/** Whether all completed tasks of a job are recorded in the store. */
 function areCompletionsStored(job: Job): boolean {
   return job.committedVersion >= job.version || job.committedProgress.doneCount >= job.doneCount;
 }
--- a/src/leader/contact-history.ts
+++ b/src/leader/contact-history.ts
@@ -1,13 +1,13 @@
 /**
- * When this leader may conclude something from the silence of machines: since when it answers heartbeats
- * without a break, and which followers, through which machines report, did not respond.
+ * Records what this leader needs to know before it treats a silent machine as lost: since when it has responded to
+ * heartbeats without interruption, and when each follower that relays heartbeats was last unreachable.
  */
 import type { Peer } from '../peer/channel.js';
 import type { NodeId, SteadyMs } from '../units/index.js';
 
-/** Kept up to date by the periodic work of a term, read by capacity planning. */
+/** Updated by the periodic work of a term and read by the autoscaler. */
 export class ContactHistory {
-  /** When each other node was last known not to respond to us. */
+  /** When each peer was last known not to respond to this controller. */
   readonly unreachableAt = new Map<NodeId, SteadyMs>();
   private hadAuthority = true;
   private uninterruptedSince: SteadyMs;
@@ -19,24 +19,25 @@
     this.uninterruptedSince = startedAt;
   }
 
-  /** Since when heartbeats are answered without a break. */
+  /** Since when this leader has responded to heartbeats without interruption. */
   get respondingSince(): SteadyMs {
     return this.uninterruptedSince;
   }
 
   /**
-   * Nothing follows from silence while authority has lapsed, since no heartbeat is answered then. Nor does
-   * it while this process stands still or is far behind: what was reported may still wait to be read.
+   * Records whether the leader can handle heartbeats now. The silence of a machine means nothing while authority
+   * has lapsed, since no heartbeat gets a response then. Neither does it while the process has stalled or is far
+   * behind, since heartbeats may have arrived that the process has not read yet.
    */
   recordAuthority(hasAuthority: boolean, isStalled: boolean, now: SteadyMs): void {
     if (hasAuthority && (!this.hadAuthority || isStalled)) this.uninterruptedSince = now;
     this.hadAuthority = hasAuthority;
   }
 
-  /** Remembers which other nodes do not respond at this moment. */
+  /** Records which peers do not respond at the moment. */
   recordUnreachablePeers(now: SteadyMs): void {
-    for (const [node, peer] of this.peers) {
-      if (!peer.responsive) this.unreachableAt.set(node, now);
+    for (const [peerId, peer] of this.peers) {
+      if (!peer.responsive) this.unreachableAt.set(peerId, now);
     }
   }
 }
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -113,7 +113,7 @@
     this.knownLeaderEpoch = epoch;
   }
 
-  /** Ends the term because the store, or a conflicting write, showed that another controller holds the key. */
+  /** Ends the term because the store, or a conflicting write, showed that this controller lost the key. */
   onDeposed(epoch: Epoch): void {
     if (this.heldLease?.epoch === epoch)
       this.endTerm('this controller no longer holds the leader key');
--- a/src/leader/failure-backoff.ts
+++ b/src/leader/failure-backoff.ts
@@ -1,25 +1,25 @@
-/** How long machines and jobs are kept back after a task that failed or was refused. */
+/** Backoff of machines and jobs after a task that failed or was refused. */
 import type { Logger } from 'pino';
 import type { Machine } from '../fleet/machine.js';
 import type { Job } from '../ledger/job.js';
 import { later, ms, seconds, type SteadyMs } from '../units/index.js';
 import { ExitReason, type TaskStatus } from '../wire/index.js';
 
-/** A job that has failed on this many machines is probably at fault itself. */
+/** A job that has failed on this many machines probably causes the failures itself. */
 const MAX_FAILED_MACHINES_PER_JOB = 3;
-/** The first quarantine of a machine, and half of the first back-off of a job. */
+/** The first quarantine of a machine, and half of the first backoff of a job. */
 const BASE_FAILURE_BACKOFF = seconds(15);
-/** Of a machine's failures, this many lengthen its quarantine. */
+/** The quarantine of a machine grows with each of its failures, up to this multiple of `BASE_FAILURE_BACKOFF`. */
 const MAX_QUARANTINE_FACTOR = 4;
-/** No back-off is longer: a task must not wait for minutes beside free resources. */
+/** The limit of each backoff: a task must not wait for minutes while resources are free. */
 const MAX_FAILURE_BACKOFF = seconds(60);
 const REFUSAL_BACKOFF = seconds(2);
 
-/** Quarantines machines and holds jobs back. */
+/** Quarantines machines and delays jobs. */
 export class FailureBackoff {
   constructor(private readonly log: Logger) {}
 
-  /** A placed task of the job has ended on the machine, other than by completing. */
+  /** Handles the exit of a placed task of the job that has not completed. */
   onTaskExited(
     machine: Machine,
     job: Job,
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The machine is suspected first: it is quarantined, and the job avoids it for longer. */
+  /** Treats the machine as the likely cause: it is quarantined, and the job avoids it for longer. */
   private recordFailure(machine: Machine, job: Job, now: SteadyMs): void {
     machine.failureCount++;
     job.avoidedMachines.set(machine.id, later(now, MAX_FAILURE_BACKOFF));
@@ -50,12 +50,15 @@
     if (job.avoidedMachines.size >= MAX_FAILED_MACHINES_PER_JOB) this.backOffJob(job, now);
   }
 
-  /** Having failed on several machines, the job is suspected: it must not quarantine the whole fleet. */
+  /** Treats a job that failed on several machines as the likely cause, so that it cannot quarantine the whole fleet. */
   private backOffJob(job: Job, now: SteadyMs): void {
     job.backoffCount++;
     job.avoidedMachines.clear();
     const backoff = Math.min(MAX_FAILURE_BACKOFF, BASE_FAILURE_BACKOFF * 2 ** job.backoffCount);
     job.backoffUntil = later(now, ms(backoff));
-    this.log.warn({ job: job.id, team: job.spec.team }, 'job held back after failures');
+    this.log.warn(
+      { job: job.id, team: job.spec.team },
+      'job failed on several machines; its tasks wait for a backoff',
+    );
   }
 }
--- a/src/leader/fleet-log.ts
+++ b/src/leader/fleet-log.ts
@@ -1,4 +1,4 @@
-/** A log line now and then for those on call: what there is, what is in use, and what waits. */
+/** Logs a periodic summary for operators: the machines, the CPUs in use and the waiting tasks. */
 import type { Logger } from 'pino';
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Fleet } from '../fleet/fleet.js';
@@ -7,16 +7,16 @@
 
 const LOG_INTERVAL = seconds(10);
 
-/** The machines of one type, spot or not. */
+/** The machines of one type, either spot or on-demand. */
 interface MachineSummary {
   up: number;
   booting: number;
-  /** Processors of the machines that are up, and how many of them are in use. */
+  /** CPUs of the machines that are up; `used` says how many of them are in use. */
   cpus: number;
   used: number;
 }
 
-/** What the log line is made of. */
+/** The dependencies of the fleet summary. */
 export interface FleetLogDependencies {
   readonly fleet: Fleet;
   readonly ledger: Pick<Ledger, 'jobs'>;
@@ -24,20 +24,23 @@
   readonly log: Logger;
 }
 
-/** Logs the state of the fleet at intervals. */
+/** Logs a summary of the fleet at intervals. */
 export class FleetLog {
   constructor(
     private readonly deps: FleetLogDependencies,
     private loggedAt: SteadyMs,
   ) {}
 
-  /** Logs if the interval has passed. */
+  /** Logs the summary if `LOG_INTERVAL` has passed since the last one. */
   tick(now: SteadyMs): void {
     if (durationBetween(this.loggedAt, now) < LOG_INTERVAL) return;
     this.loggedAt = now;
     const { ledger, log } = this.deps;
     const machines = this.machinesByType();
-    log.info({ machines, jobs: ledger.jobs.size, waiting: this.waitingTasksByClass() }, 'fleet');
+    log.info(
+      { machines, jobs: ledger.jobs.size, waiting: this.waitingTasksByClass() },
+      'fleet summary',
+    );
   }
 
   private machinesByType(): Record<string, MachineSummary> {
--- a/src/leader/inbox-watcher.ts
+++ b/src/leader/inbox-watcher.ts
@@ -1,4 +1,7 @@
-/** Notices: what other nodes did and ask for, through the store, while they could not reach a leader. */
+/**
+ * Processes inbox entries. Other controllers write them to the store while they cannot reach a leader: about jobs
+ * that they have created, and to request cancellations.
+ */
 import type { JobRecords } from '../ledger/job-records.js';
 import type { Ledger } from '../ledger/ledger.js';
 import { seconds, sleep, type Clock } from '../units/index.js';
@@ -6,7 +9,7 @@
 
 const RETRY_DELAY = seconds(1);
 
-/** Carries out notices as they appear, and deletes each that is settled. */
+/** Processes inbox entries as they appear, and deletes each entry whose outcome is known. */
 export class InboxWatcher {
   private isClosed = false;
 
@@ -17,17 +20,17 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Ends only after `close`. */
+  /** Runs until `close`. */
   async run(): Promise<void> {
     while (!this.isClosed) {
       const listed = await this.jobRecords.notices();
       if (this.isClosed) return;
       if (listed) {
-        // In one function on purpose: a further await for each notice would divide their deletions among more transactions.
+        // All in one function, because another await for each entry would spread the deletions over more transactions.
         for (const { key, id, isCancellation } of listed.notices) {
           const result = isCancellation ? await this.jobs.cancel(id) : await this.jobs.find(id);
           if (this.isClosed) return;
-          // One that is written again while it is being deleted asks for nothing that has not been done.
+          // If the entry is written again during its deletion, nothing is lost: what it asks for is already done.
           if (result.kind !== 'unknown') this.ledger.deleteNotice(key);
         }
         if (await this.jobRecords.watchNotices(listed.revision)) continue;
@@ -36,7 +39,7 @@
     }
   }
 
-  /** What is under way comes to nothing. */
+  /** Stops processing. An entry that is being processed is not deleted. */
   close(): void {
     this.isClosed = true;
   }
--- a/src/leader/job-requests.ts
+++ b/src/leader/job-requests.ts
@@ -1,4 +1,4 @@
-/** Jobs that users submit, ask for and cancel, as the leader of an epoch answers. */
+/** Handles users' requests to submit, read and cancel jobs, as the leader of one epoch. */
 import type { JobRecords } from '../ledger/job-records.js';
 import { Job, WritePriority, type FinalState } from '../ledger/job.js';
 import type { Ledger } from '../ledger/ledger.js';
@@ -9,35 +9,35 @@
 import { isStartUnsent } from './placement-state.js';
 import type { Scheduler } from './scheduler.js';
 
-/** A submission that would wait longer for its turn to be written is refused at once. */
+/** A submission that would wait longer than this before it can be written is refused at once. */
 const MAX_ADMISSION_WAIT = ms(1000);
 
-/** A job of which something is certain. */
+/** A job whose state the leader knows. */
 type KnownJob =
-  /** A job that is not over. It is not committed yet while its revision is 0. */
+  /** The job has not finished. While its revision is 0, it is not committed yet. */
   | { readonly kind: 'live'; readonly job: Job }
-  /** A job that is over, which stays so. */
+  /** The job has finished. This is permanent. */
   | { readonly kind: 'final'; readonly final: FinalState };
 
-/** What the leader knows of a job. */
+/** The result of looking up a job. */
 export type JobLookupResult =
   | KnownJob
-  /** No record holds it. */
+  /** No record of the job exists. */
   | { readonly kind: 'absent' }
-  /** Not known at this moment. */
+  /** The state of the job cannot be determined at the moment. */
   | { readonly kind: 'unknown' };
 
-/** What became of a submission; a repeat gets what is known of the job. */
+/** The outcome of a submission. A repeated submission gets the result of looking up the job. */
 export type SubmitOutcome =
   | JobLookupResult
-  /** This submission made the job, and the store holds it. */
+  /** This submission created the job, and the job is committed. */
   | { readonly kind: 'created' }
-  /** It could not be written soon: `wait` is about how long that would take. */
+  /** The job could not be written soon; `wait` estimates how long that would take. */
   | { readonly kind: 'busy'; readonly wait: DurationMs };
 
 const UNKNOWN_JOB: JobLookupResult = { kind: 'unknown' };
 
-/** What these requests need of the rest of the term. */
+/** The dependencies of job requests on the rest of the term. */
 export interface JobRequestDependencies {
   readonly ledger: Ledger;
   readonly placements: PlacementIndex;
@@ -53,17 +53,17 @@
 
   constructor(private readonly deps: JobRequestDependencies) {}
 
-  /** From now on, what is not in memory is unknown. */
+  /** Ends lookups in the store: from now on, jobs that are not in memory are unknown. */
   close(): void {
     this.isClosed = true;
   }
 
-  /** Creates the job unless it is there; resolves once that is committed, or its outcome unknown. */
+  /** Creates the job unless it exists. Resolves once the job is committed or the outcome is unknown. */
   async submit(spec: JobSpec): Promise<SubmitOutcome> {
     const id = JobId(spec.id);
     const known = this.findInMemory(id);
     if (known) return this.resubmit(id, known);
-    // What can't be written soon is refused at once, with the time after which to come back.
+    // A job that cannot be written soon is refused at once, with the time after which to retry.
     const wait = this.deps.ledger.admissionWait();
     if (wait > MAX_ADMISSION_WAIT) return { kind: 'busy', wait };
     return this.create(id, spec);
@@ -82,18 +82,18 @@
     job.markChanged(WritePriority.userRequest);
     ledger.insert(job);
     scheduler.forecast.noteSubmission(spec, clock.steady());
-    // What fits on a machine now is placed in the same transaction that creates the job.
+    // Tasks that fit on a machine now are placed in the same transaction that creates the job.
     scheduler.placeWaiting();
     const isCommitted = await ledger.whenCommitted(job);
     const latest = await this.findLatestInMemory(id);
     if (latest?.kind === 'final') return latest;
     if (latest?.kind !== 'live' || latest.job.revision === 0) return UNKNOWN_JOB;
-    // It may have been cancelled, too, while it was being written.
+    // The job may also have been cancelled while it was being written.
     const isCreated = isCommitted && latest.job === job && !job.isCancelled;
     return isCreated ? { kind: 'created' } : latest;
   }
 
-  /** The job as it is, by memory or, if it is not there, by the store. */
+  /** Looks up the job in memory, and in the store if it is not in memory. */
   async find(id: JobId): Promise<JobLookupResult> {
     const known = await this.findLatestInMemory(id);
     if (known) return known.kind === 'live' && known.job.revision === 0 ? UNKNOWN_JOB : known;
@@ -101,7 +101,7 @@
     if (this.isClosed) return UNKNOWN_JOB;
     switch (stored.kind) {
       case 'live':
-        // Another node wrote it while it could not reach us.
+        // Another controller wrote the job while it could not reach the leader.
         if (!this.findInMemory(id)) this.addStoredJob(stored.job);
         return this.findInMemory(id) ?? UNKNOWN_JOB;
       case 'final':
@@ -113,13 +113,13 @@
     }
   }
 
-  /** Cancels the job; resolves once that is committed, or its outcome unknown. */
+  /** Cancels the job. Resolves once the cancellation is committed or its outcome is unknown. */
   async cancel(id: JobId): Promise<JobLookupResult> {
     const found = await this.find(id);
     if (found.kind !== 'live') return found;
     const { job } = found;
     job.cancel();
-    // What was never started need not be stopped.
+    // A task whose start was never sent need not be stopped.
     for (const [index, placement] of [...job.placements]) {
       if (isStartUnsent(placement)) this.deps.placements.requeueTask(job, index, 'cancelled');
     }
@@ -131,7 +131,7 @@
     return this.findInMemory(id) ?? UNKNOWN_JOB;
   }
 
-  /** Takes a job that the store holds into the ledger, and its placements onto their machines. */
+  /** Adds a job that was read from the store to the ledger, and assigns its placed tasks to their machines. */
   addStoredJob(job: Job): void {
     const { clock, ledger, placements, scheduler } = this.deps;
     ledger.insert(job);
@@ -141,7 +141,7 @@
     scheduler.schedulePlacing();
   }
 
-  /** What is in memory of a job; undefined if nothing is. */
+  /** Looks up the job in memory; undefined if it is not there. */
   private findInMemory(id: JobId): KnownJob | undefined {
     const job = this.deps.ledger.jobs.get(id);
     if (job) return { kind: 'live', job };
@@ -150,9 +150,9 @@
   }
 
   /**
-   * What is in memory of a job; undefined if nothing is. While the write that ends the job is under way,
-   * another node may read that end in the store before we get the response. No answer may be older than
-   * one that was given before, so that write is waited for.
+   * Looks up the job in memory; undefined if it is not there. While the write of a final record is in flight,
+   * another controller may read that record in the store before the leader gets the response. A user must never
+   * see an older state after a newer one, so this method waits for the write.
    */
   private async findLatestInMemory(id: JobId): Promise<JobLookupResult | undefined> {
     const known = this.findInMemory(id);
--- a/src/leader/machine-loss-handler.ts
+++ b/src/leader/machine-loss-handler.ts
@@ -1,11 +1,11 @@
-/** Machines whose worker's lease expired, or that the cloud no longer has. */
+/** Handles machines whose worker's lease has expired or that no longer exist in the cloud. */
 import type { Logger } from 'pino';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
 import type { Clock } from '../units/index.js';
 import type { PlacementIndex } from './placement-index.js';
 
-/** Releases the tasks of machines that certainly run none any more. */
+/** Releases the tasks of machines that certainly no longer run any. */
 export class MachineLossHandler {
   constructor(
     private readonly fleet: Fleet,
@@ -14,7 +14,7 @@
     private readonly log: Logger,
   ) {}
 
-  /** Releases what was on machines whose worker's lease has certainly expired. */
+  /** Releases the tasks of machines whose worker's lease has certainly expired. */
   expireLeases(): void {
     const now = this.clock.steady();
     for (const machine of this.fleet.machines.values()) {
@@ -22,7 +22,7 @@
       if (now <= machine.leaseExpiresAt || isUnused) continue;
       this.log.warn(
         { machine: machine.id, tasks: machine.assignments.size },
-        'worker lease expired',
+        'worker lease expired; its tasks are queued again',
       );
       machine.expireLease();
       this.placements.releaseMachine(machine, 'worker lease expired');
@@ -30,10 +30,13 @@
     this.fleet.forgetGone(now);
   }
 
-  /** The cloud answered that the machine is deleted, or that it stopped on its own. */
+  /** Removes a machine of which the cloud responded that it is deleted or has stopped on its own. */
   remove(machine: Machine, reason: string): void {
     const tasks = machine.assignments.size;
-    this.log.info({ machine: machine.id, tasks, reason }, 'machine is gone');
+    this.log.info(
+      { machine: machine.id, tasks, reason },
+      'machine removed from the fleet; its tasks are queued again',
+    );
     this.fleet.remove(machine, this.clock.steady());
     this.placements.releaseMachine(machine, reason);
   }
--- a/src/leader/periodic-work.ts
+++ b/src/leader/periodic-work.ts
@@ -1,4 +1,4 @@
-/** What a leader does at intervals, beside what requests and heartbeats bring about. */
+/** The work of a leader that runs at intervals rather than in response to requests and heartbeats. */
 import type { Autoscaler } from '../capacity/autoscaler.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Ledger } from '../ledger/ledger.js';
@@ -21,14 +21,14 @@
 import { shouldRedirectWorkers } from './worker-redirects.js';
 
 const TICK_INTERVAL = ms(500);
-/** So much later than it was due, a tick shows that this process does not keep up. */
+/** A tick that is late by more than this shows that the process has stalled or does not keep up. */
 const STALLED_TICK_THRESHOLD = seconds(1);
-/** So much later, that it has no time for what can be left to the answers to heartbeats. */
+/** A tick that is late by more than this shows that the process is busy: starts then go in response commands. */
 const BUSY_TICK_THRESHOLD = ms(150);
-/** Capacity is planned so much after a tick, in a turn of its own: after a failover both take long. */
+/** Delay from a tick to scaling, which runs in a separate event loop turn: after a failover, both take long. */
 const SCALING_DELAY = ms(1);
 
-/** The parts of a term that the periodic work drives. */
+/** The components of a term that periodic work uses. */
 export interface PeriodicWorkComponents {
   readonly epoch: Epoch;
   readonly deps: TermDependencies;
@@ -38,11 +38,11 @@
   readonly gangs: GangController;
   readonly scheduler: Scheduler;
   readonly autoscaler: Autoscaler;
-  readonly contacts: ContactHistory;
-  readonly machineLoss: MachineLossHandler;
+  readonly contactHistory: ContactHistory;
+  readonly machineLossHandler: MachineLossHandler;
 }
 
-/** The tick of a term, from `start` to `close`. */
+/** Runs the tick of a term from `start` to `close`. */
 export class PeriodicWork {
   private readonly imageHintSender: ImageHintSender;
   private readonly fleetLog: FleetLog;
@@ -52,7 +52,7 @@
   private scalingTimer: Timer | undefined;
   private isClosed = false;
 
-  /** Intervals are counted from `startedAt`. */
+  /** All intervals start at `startedAt`. */
   constructor(
     private readonly components: PeriodicWorkComponents,
     startedAt: SteadyMs,
@@ -64,17 +64,17 @@
     this.fleetLog = new FleetLog({ fleet, ledger, catalog, log }, startedAt);
   }
 
-  /** Whether workers that report straight to this node are sent to the others. */
+  /** Whether workers that send heartbeats directly to this controller are redirected to followers. */
   get isRedirectingWorkers(): boolean {
     return this.isRedirecting;
   }
 
-  /** The first tick is at once. */
+  /** Runs the first tick immediately. */
   start(): void {
     this.tick();
   }
 
-  /** No further tick. */
+  /** Cancels all further ticks. */
   close(): void {
     this.isClosed = true;
     this.tickTimer?.cancel();
@@ -87,24 +87,24 @@
     try {
       this.runTick(clock.steady());
     } catch (error) {
-      log.error({ err: error }, 'tick failed');
+      log.error({ err: error }, 'leader: periodic work failed; retrying at the next tick');
     }
     this.lastTickAt = clock.steady();
     this.tickTimer = clock.after(TICK_INTERVAL, () => this.tick());
   }
 
   private runTick(now: SteadyMs): void {
-    const { commands, contacts, ledger, machineLoss } = this.components;
+    const { commands, contactHistory, ledger, machineLossHandler } = this.components;
     const hasAuthority = this.hasAuthority();
     const sinceLastTick = durationBetween(this.lastTickAt, now);
-    contacts.recordAuthority(
+    contactHistory.recordAuthority(
       hasAuthority,
       sinceLastTick > TICK_INTERVAL + STALLED_TICK_THRESHOLD,
       now,
     );
-    contacts.recordUnreachablePeers(now);
+    contactHistory.recordUnreachablePeers(now);
     commands.isBusy = sinceLastTick > TICK_INTERVAL + BUSY_TICK_THRESHOLD;
-    machineLoss.expireLeases();
+    machineLossHandler.expireLeases();
     if (hasAuthority) this.tickAsLeader();
     ledger.scheduleCommit();
   }
@@ -113,7 +113,7 @@
     return this.components.deps.authority() === this.components.epoch;
   }
 
-  /** What only a leader with authority does. */
+  /** Runs the periodic work that requires authority. */
   private tickAsLeader(): void {
     const { commands, deps, fleet, gangs, scheduler } = this.components;
     this.updateWorkerRedirects();
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -1,4 +1,4 @@
-/** The placements of jobs and the assignments of machines, kept in agreement. */
+/** Keeps the placements of jobs and the assignments of machines consistent. */
 import type { Logger } from 'pino';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
@@ -15,18 +15,18 @@
   type TaskKey,
 } from '../units/index.js';
 
-/** A task that started within this time may be preempted, since little work is lost. */
+/** A task that started at most this long ago may be preempted, since little work is lost. */
 export const RECENT_START_WINDOW = seconds(8);
 
-/** Is notified of changes of placements. */
+/** Callbacks for changes of placements. */
 export interface PlacementEvents {
-  /** A waiting task may find free resources now. */
+  /** Called when a waiting task may now find free resources. */
   onCapacityChanged(): void;
-  /** A gang has lost a task, or was found without one, while others of it may be on machines. */
+  /** Called when a gang lacks a task, newly or as found in its record, while its other tasks may be on machines. */
   onGangBroken(job: Job): void;
 }
 
-/** A task that has begun to run lately. */
+/** A task that was recently seen running for the first time. */
 export interface RecentStart {
   readonly job: Job;
   readonly index: number;
@@ -34,7 +34,7 @@
   readonly startedAt: SteadyMs;
 }
 
-/** What the index uses. */
+/** The dependencies of the placement index. */
 export interface PlacementIndexOptions {
   readonly ledger: Ledger;
   readonly fleet: Fleet;
@@ -44,8 +44,8 @@
 }
 
 /**
- * Each change of where a task is goes through here, so that records and fleet agree. The index also keeps what the
- * scheduler asks for often: the tasks that are being stopped and those that have started lately.
+ * Every change of a task's placement goes through this class, so that records and fleet stay consistent. It also
+ * keeps what the scheduler reads often: the tasks that are being stopped and the tasks that started recently.
  */
 export class PlacementIndex {
   readonly ledger: Ledger;
@@ -53,7 +53,7 @@
   private readonly clock: Clock;
   private readonly log: Logger;
   private readonly events: PlacementEvents;
-  /** The CPUs of tasks that are to stop and may still run. */
+  /** The CPUs of each task that has to stop and may still be running. */
   private readonly stoppingCpus = new Map<TaskKey, number>();
   /** Oldest first. */
   private recentStarts: RecentStart[] = [];
@@ -77,7 +77,7 @@
     });
   }
 
-  /** The task is on no machine any more, or its start was never sent. The job itself does not change. */
+  /** Releases a task that is on no machine any more or whose start was never sent. The job does not change. */
   releaseTask(job: Job, index: number): void {
     const placement = job.placements.get(index);
     if (!placement) return;
@@ -87,18 +87,21 @@
     this.events.onCapacityChanged();
   }
 
-  /** The task is proven to be on no machine, and waits again. */
+  /** Queues a task again that is proven to be on no machine. */
   requeueTask(job: Job, index: number, reason: string): void {
     const placement = job.placements.get(index);
     if (!placement) return;
     const { machine } = placement;
-    this.log.debug({ job: job.id, index, machine, reason }, 'task is free again');
+    this.log.debug(
+      { job: job.id, index, machine, reason },
+      'task released from its machine; it is queued again',
+    );
     this.releaseTask(job, index);
     job.requeue(index);
     this.checkGangIntact(job);
   }
 
-  /** Assigns the placed tasks of a job that the store holds. */
+  /** Assigns the placed tasks of a job that was read from the store. */
   addJob(job: Job): void {
     for (const [index, placement] of job.placements) this.assignTask(job, index, placement);
     this.checkGangIntact(job);
@@ -113,14 +116,14 @@
     job.complete(index);
   }
 
-  /** When one task of a gang is done, all of them are, whatever becomes of their machines. */
+  /** Completes all tasks of a gang: when one of them is done, all are done, even if their machines are lost. */
   completeGang(job: Job): void {
     for (let index = 0; index < job.spec.taskCount; index++) {
       if (!job.isDone(index)) this.completeTask(job, index);
     }
   }
 
-  /** The store holds another record of the job than expected, whose placements replace the known ones. */
+  /** Replaces the placements of a job because the store holds a different record of it than expected. */
   replaceJob(job: Job): void {
     for (const machine of this.fleet.machines.values()) {
       for (const [key, assigned] of machine.assignments)
@@ -133,13 +136,13 @@
     this.events.onCapacityChanged();
   }
 
-  /** The task is to stop so that it can run elsewhere or later; it saves a checkpoint first if it can. */
+  /** Stops a task so that it can run elsewhere or later. It saves a checkpoint first if it can. */
   preempt(job: Job, index: number, placement: Placement): void {
     if (placement.evictionGraceSeconds === undefined)
       this.stopTask(job, index, placement, canCheckpoint(job) ? job.spec.checkpointSeconds : 0);
   }
 
-  /** The task is to stop within the grace period. A shorter one replaces that of an earlier call. */
+  /** Stops a task within the grace period. A shorter grace period replaces that of an earlier call. */
   stopTask(job: Job, index: number, placement: Placement, graceSeconds: number): void {
     const { evictionGraceSeconds } = placement;
     if (evictionGraceSeconds !== undefined && evictionGraceSeconds <= graceSeconds) return;
@@ -148,20 +151,20 @@
     this.stoppingCpus.set(taskKey(job.id, index), job.spec.cpus);
   }
 
-  /** The CPUs of all tasks that are to stop and may still run. */
+  /** The total CPUs of all tasks that have to stop and may still be running. */
   get totalStoppingCpus(): number {
     let total = 0;
     for (const cpus of this.stoppingCpus.values()) total += cpus;
     return total;
   }
 
-  /** The task was seen running for the first time. */
+  /** Records that the task was seen running for the first time. */
   markRunning(job: Job, index: number, placement: Placement): void {
     placement.hasRun = true;
     this.recentStarts.push({ job, index, placement, startedAt: this.clock.steady() });
   }
 
-  /** Tasks that started within `RECENT_START_WINDOW`, oldest first. They may have ended since. */
+  /** Tasks that started within `RECENT_START_WINDOW`, oldest first. They may have exited since then. */
   recentlyStartedTasks(now: SteadyMs): readonly RecentStart[] {
     const first = this.recentStarts.findIndex(
       ({ startedAt }) => durationBetween(startedAt, now) <= RECENT_START_WINDOW,
@@ -170,7 +173,7 @@
     return this.recentStarts;
   }
 
-  /** Everything on the machine is over: its tasks are queued again. */
+  /** Queues the tasks of a machine that no longer runs anything. */
   releaseMachine(machine: Machine, reason: string): void {
     for (const assigned of [...machine.assignments.values()]) {
       const job = this.ledger.jobs.get(assigned.job);
@@ -183,7 +186,7 @@
   }
 }
 
-/** Whether the tasks of a job are not all in the same state: placed, waiting or done. */
+/** Whether the tasks of a job are in different states among placed, waiting and done. */
 const hasMixedTaskStates = (job: Job): boolean =>
   [job.placements.size, job.waiting.size, job.doneCount].filter((count) => count > 0).length > 1;
 
--- a/src/leader/placement-state.ts
+++ b/src/leader/placement-state.ts
@@ -1,10 +1,10 @@
-/** Questions about one placement of a job's task. */
+/** Predicates and lookups for the placement of one task. */
 import type { Job, Placement } from '../ledger/job.js';
 import type { MachineId } from '../units/index.js';
 
 /**
- * The placement of a task if it is on this machine with this attempt; undefined if the task is placed otherwise,
- * waits or is done, or the job is not known.
+ * The placement of a task if it is on this machine with this attempt. Undefined if the task is placed elsewhere or
+ * with another attempt, is waiting or done, or if the job is unknown.
  */
 export function placementOfAttempt(
   job: Job | undefined,
@@ -16,17 +16,17 @@
   return placement?.machine === machine && placement.attempt === attempt ? placement : undefined;
 }
 
-/** Whether the start was certainly never sent, so that the machine can't have the task. */
+/** Whether the start was certainly never sent, so that the machine cannot have the task. */
 export const isStartUnsent = (placement: Placement): boolean =>
   !placement.isInherited &&
   !placement.isReported &&
   !placement.isStartPushed &&
   !placement.sentInReplyTo;
 
-/** Whether the task is to be stopped, because its job is cancelled or it has to make way. */
+/** Whether the task must be stopped, because its job is cancelled or the task is evicted. */
 export const shouldStopTask = (job: Job, placement: Placement): boolean =>
   job.isCancelled || placement.evictionGraceSeconds !== undefined;
 
-/** Whether the record of the placement is in the store, which must be so before its start is sent. */
+/** Whether the placement is committed to the store. Its start must not be sent before that. */
 export const isCommitted = (job: Job, placement: Placement): boolean =>
   placement.version <= job.committedVersion;
--- a/src/leader/response-delivery-check.ts
+++ b/src/leader/response-delivery-check.ts
@@ -1,4 +1,4 @@
-/** Detects machines whose heartbeats arrive while nothing that is sent to them does. */
+/** Detects machines whose heartbeats arrive although nothing that is sent to them is delivered. */
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey, isAfter, type WorkerStatus } from '../fleet/worker-status.js';
 import type { Job } from '../ledger/job.js';
@@ -10,12 +10,12 @@
   type SteadyMs,
 } from '../units/index.js';
 
-/** A new session with more than this share of the old one's lease left shows that a reply was lost. */
+/** A new session while more than this share of the old session's lease is left shows that a response was lost. */
 const MIN_UNEXPIRED_LEASE_SHARE = 0.4;
 
 /**
- * Compares successive heartbeats of a machine. One that receives no replies would keep its tasks for ever,
- * since each of its heartbeats seems to renew its lease.
+ * Compares successive heartbeats of a machine. Without this check, a machine that receives no responses would keep
+ * its tasks forever, since each of its heartbeats seems to renew its lease.
  */
 export class ResponseDeliveryCheck {
   constructor(
@@ -24,7 +24,7 @@
     private readonly lease: DurationMs,
   ) {}
 
-  /** To be called after a heartbeat has been recorded and before it extends the lease. */
+  /** Must be called after a heartbeat has been recorded and before it extends the lease. */
   check(machine: Machine, status: WorkerStatus, previous: WorkerStatus, now: SteadyMs): void {
     if (status.fencingToken >= this.epoch && previous.fencingToken < this.epoch)
       machine.noteReceiving();
@@ -38,7 +38,7 @@
       machine.noteIgnoredReply(now);
   }
 
-  /** Whether the worker lease has expired although the last heartbeat was answered in time. */
+  /** Whether the worker's lease has expired although the last heartbeat got a response in time. */
   private hasLostLease(
     machine: Machine,
     status: WorkerStatus,
@@ -51,7 +51,7 @@
     );
   }
 
-  /** Whether the status shows an attempt whose start was sent in a reply, or lacks one that it should show. */
+  /** Whether the status shows an attempt whose start was a response command, or lacks one that it should show. */
   private effectOfResponses(
     machine: Machine,
     status: WorkerStatus,
--- a/src/leader/term-dependencies.ts
+++ b/src/leader/term-dependencies.ts
@@ -1,4 +1,4 @@
-/** What a term, and each of its parts, needs of the rest of the node. */
+/** The dependencies of a term and its components on the rest of the controller. */
 import type { Logger } from 'pino';
 import type { OperatorSettings } from '../config/operator.js';
 import type { Settings } from '../config/settings.js';
@@ -13,7 +13,7 @@
 import type { Clock, Epoch, NodeId, Random } from '../units/index.js';
 import type { ImageHints } from './image-hints.js';
 
-/** Shared by the parts of a term; all of it outlives the term. */
+/** Shared by the components of a term. All of these objects outlive the term. */
 export interface TermDependencies {
   readonly settings: Settings;
   readonly operator: OperatorSettings;
@@ -26,16 +26,16 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
-  /** The epoch if we may act under it at this moment. */
+  /** The epoch under which this controller may act now; undefined if it has no authority. */
   readonly authority: () => Epoch | undefined;
-  /** A write showed that the leader key is not that epoch's any more. */
+  /** Called when a write shows that the leader key no longer belongs to that epoch. */
   readonly onDeposed: (epoch: Epoch) => void;
-  /** The catalog holds other machine types than before. */
+  /** Called when the machine types in the catalog have changed. */
   readonly onMachineTypesChanged: () => void;
-  /** The images on machines by the hints of leaders, earlier ones and this one. */
+  /** The images on machines, according to the hints of this leader and of earlier ones. */
   readonly imageHints: ImageHints;
-  /** Sends the other nodes hints: which images machines hold. */
+  /** Sends hints to the other controllers about which images machines hold. */
   readonly broadcastImageHints: (machines: readonly MachineImages[]) => void;
-  /** The connections to the other nodes, through which workers report and get commands. */
+  /** The connections to the other controllers, which relay heartbeats of workers and commands to them. */
   readonly peers: ReadonlyMap<NodeId, Peer>;
 }
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -37,8 +37,8 @@
   private readonly gangs: GangController;
   private readonly heartbeatHandler: HeartbeatHandler;
   private readonly scheduler: Scheduler;
-  private readonly contacts: ContactHistory;
-  private readonly machineLoss: MachineLossHandler;
+  private readonly contactHistory: ContactHistory;
+  private readonly machineLossHandler: MachineLossHandler;
   private readonly autoscaler: Autoscaler;
   private readonly jobRequests: JobRequests;
   private readonly jobRecovery: JobRecovery;
@@ -61,11 +61,11 @@
     this.gangs = new GangController(this.placements, this.commands, clock);
     this.heartbeatHandler = this.createHeartbeatHandler(observer);
     this.scheduler = new Scheduler(epoch, this.placements, this.commands, deps);
-    this.contacts = new ContactHistory(deps.peers, startedAt);
-    this.machineLoss = new MachineLossHandler(this.fleet, this.placements, clock, log);
+    this.contactHistory = new ContactHistory(deps.peers, startedAt);
+    this.machineLossHandler = new MachineLossHandler(this.fleet, this.placements, clock, log);
     this.autoscaler = this.createAutoscaler();
     const { ledger, fleet, placements, commands, gangs, scheduler } = this;
-    const { autoscaler, contacts, machineLoss } = this;
+    const { autoscaler, contactHistory, machineLossHandler } = this;
     this.jobRequests = new JobRequests({
       ledger,
       placements,
@@ -85,8 +85,8 @@
         gangs,
         scheduler,
         autoscaler,
-        contacts,
-        machineLoss,
+        contactHistory,
+        machineLossHandler,
       },
       startedAt,
     );
@@ -160,12 +160,12 @@
     const autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        answeringSince: () => this.contacts.respondingSince,
-        unreachableAt: this.contacts.unreachableAt,
+        answeringSince: () => this.contactHistory.respondingSince,
+        unreachableAt: this.contactHistory.unreachableAt,
         queue: () => this.scheduler.queue(),
         specOf: (id) => this.ledger.jobs.get(id)?.spec,
         anticipatedWork: () => this.scheduler.anticipatedSubmissions(),
-        noteRemoved: (machine, reason) => this.machineLoss.remove(machine, reason),
+        noteRemoved: (machine, reason) => this.machineLossHandler.remove(machine, reason),
       },
       { cloud, catalog, epoch: this.epoch, settings, operator, clock, random, log },
     );
