--- a/src/leader/attempt-clearance.ts
+++ b/src/leader/attempt-clearance.ts
@@ -7,7 +7,7 @@
 import { ExitReason, JobStatus, type TaskStatus } from '../wire/index.js';
 import type { TermDependencies } from './term-dependencies.js';
 
-/** How late a duplicate of a message can be delivered, as a number of worker leases. */
+/** The longest delay of a duplicate message, in worker leases. */
 const MAX_DUPLICATE_DELAY_LEASES = 3;
 
 /**
--- a/src/leader/job-recovery.ts
+++ b/src/leader/job-recovery.ts
@@ -51,7 +51,7 @@
             this.onJobRead(decodeJob(id, item.data, item.revision, now));
           } catch (error) {
             const message =
-              'recovery: unreadable job record; the job waits until the record is repaired';
+              'recovery: unreadable record; the job waits until the record is repaired';
             this.deps.log.error({ job: id, err: error }, message);
           }
         }
