--- a/src/api/app.ts
+++ b/src/api/app.ts
@@ -1,8 +1,8 @@
 /** The HTTP side of users, workers and health checks. */
 import Koa from 'koa';
 import type { Logger } from 'pino';
-import { readBody } from '../net/body.js';
-import { CONTENT_TYPE, MAX_BODY, encode } from '../wire/index.js';
+import { readBody } from '../net/read-body.js';
+import { CONTENT_TYPE, MAX_BODY_BYTES, encode } from '../wire/index.js';
 import { BODY_TOO_LONG, METHOD_NOT_ALLOWED, TRY_AGAIN, type Reply } from './reply.js';
 import type { UserRequests } from './user-requests.js';
 import type { WorkerHeartbeats } from './worker-heartbeats.js';
@@ -37,7 +37,7 @@
     if (ctx.path === HEALTH_PATH) {
       return ctx.method === 'GET' ? handlers.health() : METHOD_NOT_ALLOWED;
     }
-    const body = await readBody(ctx.req, MAX_BODY);
+    const body = await readBody(ctx.req, MAX_BODY_BYTES);
     if (!body) return BODY_TOO_LONG;
     if (ctx.path === HEARTBEAT_PATH) {
       return ctx.method === 'POST'
--- a/src/api/job-queries.ts
+++ b/src/api/job-queries.ts
@@ -2,8 +2,8 @@
 import type { JobRecords } from '../ledger/job-records.js';
 import type { JobLookupResult } from '../leader/job-requests.js';
 import type { Term } from '../leader/term.js';
-import { JobId, later, ms, durationBetween, sleep, type Clock } from '../units/index.js';
-import { JOB_ID } from '../wire/index.js';
+import { JobId, addDuration, ms, durationBetween, sleep, type Clock } from '../units/index.js';
+import { JOB_ID_PATTERN } from '../wire/index.js';
 import { STORE_ANSWER_TTL, jobAnswerReply, storedJobReply } from './job-replies.js';
 import { askLeader } from './leader-call.js';
 import type { LeaderView, Relaying } from './leadership.js';
@@ -25,7 +25,7 @@
 
   /** The state of a job; `TRY_AGAIN` if that is not certain. */
   async read(id: string, relaying: Relaying): Promise<Reply> {
-    if (!JOB_ID.test(id)) return NO_SUCH_JOB;
+    if (!JOB_ID_PATTERN.test(id)) return NO_SUCH_JOB;
     const responder = this.leadership.routeFor(relaying);
     if (responder.kind === 'term') {
       const { term } = responder;
@@ -48,7 +48,7 @@
 
   /** Cancels a job and answers with its state once that is committed; `TRY_AGAIN` if that is not known. */
   async cancel(id: string, relaying: Relaying): Promise<Reply> {
-    if (!JOB_ID.test(id)) return NO_SUCH_JOB;
+    if (!JOB_ID_PATTERN.test(id)) return NO_SUCH_JOB;
     const responder = this.leadership.routeFor(relaying);
     if (responder.kind === 'term') {
       const { term } = responder;
@@ -73,7 +73,7 @@
   }
 
   private async awaitCancellation(id: string): Promise<Reply> {
-    const until = later(this.clock.steady(), CANCEL_WATCH_TIME);
+    const until = addDuration(this.clock.steady(), CANCEL_WATCH_TIME);
     while (this.clock.steady() < until) {
       await sleep(this.clock, CANCEL_POLL_INTERVAL);
       const stored = await this.jobRecords.lookup(JobId(id));
--- a/src/api/leadership.ts
+++ b/src/api/leadership.ts
@@ -2,7 +2,7 @@
 import type { Election } from '../leader/election.js';
 import type { Term } from '../leader/term.js';
 import type { Peer } from '../peer/channel.js';
-import type { NodeId } from '../units/index.js';
+import type { ControllerId } from '../units/index.js';
 
 /** Whether a request may be passed on to the leader: one that another node passed on to us may not. */
 export type Relaying = 'relay' | 'answerHere';
@@ -23,7 +23,7 @@
 
   constructor(
     private readonly election: Pick<Election, 'authority' | 'leader'>,
-    private readonly peers: ReadonlyMap<NodeId, Peer>,
+    private readonly peers: ReadonlyMap<ControllerId, Peer>,
   ) {}
 
   /** The term under whose authority this node may answer at this moment. */
@@ -43,7 +43,7 @@
   }
 
   /** Who holds the leader key, as far as this node knows. */
-  leaderNode(): NodeId | undefined {
+  leaderNode(): ControllerId | undefined {
     return this.election.leader();
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** The other nodes that answer. */
-  responsivePeers(): NodeId[] {
+  responsivePeers(): ControllerId[] {
     return [...this.peers].filter(([, peer]) => peer.responsive).map(([node]) => node);
   }
 }
--- a/src/api/submissions.ts
+++ b/src/api/submissions.ts
@@ -7,9 +7,14 @@
 import type { JobRecords } from '../ledger/job-records.js';
 import type { SubmitOutcome } from '../leader/job-requests.js';
 import type { Term } from '../leader/term.js';
-import { detach } from '../units/detach.js';
+import { runInBackground } from '../units/run-in-background.js';
 import { JobId, ms, durationBetween, type Clock, type DurationMs } from '../units/index.js';
-import { parseSubmission, submissionId, type JobSpec, type Parsed } from '../wire/index.js';
+import {
+  parseSubmission,
+  decodeSubmissionId,
+  type JobSpec,
+  type ParseResult,
+} from '../wire/index.js';
 import type { JobQueries } from './job-queries.js';
 import { STORE_ANSWER_TTL, busyReply, createdReply } from './job-replies.js';
 import { askLeader } from './leader-call.js';
@@ -70,7 +75,7 @@
     return this.answer(admission.spec.id, outcome, relaying);
   }
 
-  private admit(parsed: Parsed<JobSpec>): Admission {
+  private admit(parsed: ParseResult<JobSpec>): Admission {
     if (!parsed.ok) {
       return { kind: 'refused', refusal: { status: 400, body: { error: parsed.reason } } };
     }
@@ -87,7 +92,7 @@
 
   /** A repeat of a job that was accepted is answered with its state, whatever it says now. */
   private async refuse(body: Buffer, refusal: Reply, relaying: Relaying): Promise<Reply> {
-    const id = submissionId(body);
+    const id = decodeSubmissionId(body);
     if (id === undefined) return refusal;
     const known = await this.deps.queries.read(id, relaying);
     return known.status === 404 ? refusal : known;
@@ -138,11 +143,12 @@
     const { leadership, log } = this.deps;
     const term = leadership.authorisedTerm();
     if (term) {
-      if (term.isReady) detach(term.findJob(id), log, 'reading a job that this node wrote');
+      if (term.isReady)
+        runInBackground(term.findJob(id), log, 'reading a job that this node wrote');
       return;
     }
     const notice = leadership.leaderPeer()?.request({ type: 'jobNotice', job: id }, NOTICE_TIMEOUT);
-    if (notice) detach(notice, log, 'notice of a job to the leader');
+    if (notice) runInBackground(notice, log, 'notice of a job to the leader');
   }
 
   private async answer(id: string, outcome: CommitOutcome, relaying: Relaying): Promise<Reply> {
--- a/src/api/worker-heartbeats.ts
+++ b/src/api/worker-heartbeats.ts
@@ -7,20 +7,20 @@
 import type { HeartbeatRelay } from '../relay/heartbeat-relay.js';
 import {
   MachineId,
-  later,
+  addDuration,
   ms,
   seconds,
   durationBetween,
   sleep,
   type Clock,
-  type NodeId,
+  type ControllerId,
   type SteadyMs,
 } from '../units/index.js';
 import { ExpiringMap } from '../units/expiring-map.js';
 import {
   decode,
   decodeHeartbeat,
-  encodeHeartbeatReply,
+  encodeWorkerHeartbeatResponse,
   encodeRedirect,
   type Heartbeat,
 } from '../wire/index.js';
@@ -63,7 +63,7 @@
 /** What heartbeats need of the rest of the node. */
 export interface WorkerHeartbeatDependencies {
   /** This node. */
-  readonly node: NodeId;
+  readonly node: ControllerId;
   readonly leadership: LeaderView;
   readonly relay: HeartbeatRelay;
   readonly clock: Clock;
@@ -97,14 +97,14 @@
     if (leader !== undefined && !this.isRedirectFailed(heartbeat.machine))
       return redirectTo(leader);
     const reply = await this.deps.relay.send(heartbeat, body.length);
-    if (reply) return { status: 200, body: encodeHeartbeatReply(reply) };
+    if (reply) return { status: 200, body: encodeWorkerHeartbeatResponse(reply) };
     // This node may have come to lead while it waited for the leader.
     const own = this.leadership.authorisedTerm();
     return own ? this.answerHere(heartbeat, own) : NOT_AUTHORISED;
   }
 
   /** The leader, if it is another node that we have not reached for longer than a failover takes. */
-  private unreachableLeader(): NodeId | undefined {
+  private unreachableLeader(): ControllerId | undefined {
     const leader = this.leadership.leaderNode();
     if (leader === undefined || leader === this.deps.node || this.leadership.leaderPeer()) {
       this.leaderUnreachableSince = undefined;
@@ -126,7 +126,7 @@
     if (!(await this.isRebuilt(term))) return NOT_AUTHORISED;
     const reply = term.handleHeartbeat(heartbeat);
     return this.leadership.authorisedTerm() === term
-      ? { status: 200, body: encodeHeartbeatReply(reply) }
+      ? { status: 200, body: encodeWorkerHeartbeatResponse(reply) }
       : NOT_AUTHORISED;
   }
 
@@ -141,7 +141,7 @@
 
   /** Heartbeats that another node passed on: one response for each, in their order. */
   async handleRelayed(
-    sender: NodeId,
+    sender: ControllerId,
     epoch: number,
     heartbeats: readonly RelayedHeartbeat[],
   ): Promise<PeerResponse> {
@@ -166,7 +166,7 @@
 
   private answerRelayed(
     term: Term,
-    sender: NodeId,
+    sender: ControllerId,
     epoch: number,
     relayed: RelayedHeartbeat,
   ): HeartbeatResponse {
@@ -183,7 +183,7 @@
   }
 
   /** The node through which a worker is to report; none if no other answers. */
-  private followerFor(machine: string): NodeId | undefined {
+  private followerFor(machine: string): ControllerId | undefined {
     const nodes = this.leadership.responsivePeers();
     let hash = 0;
     for (let i = 0; i < machine.length; i++) hash = (hash * 31 + machine.charCodeAt(i)) >>> 0;
@@ -199,7 +199,7 @@
     const now = this.clock.steady();
     const redirect = this.redirects.get(id);
     if (redirect && isServedHere(redirect, now)) {
-      redirect.servedUntil ??= later(now, REDIRECT_SUPPRESSION_TIME);
+      redirect.servedUntil ??= addDuration(now, REDIRECT_SUPPRESSION_TIME);
       return true;
     }
     this.redirects.set(id, { at: now, servedUntil: undefined }, now);
@@ -210,7 +210,7 @@
 const isServedHere = ({ at, servedUntil }: Redirect, now: SteadyMs): boolean =>
   servedUntil === undefined ? durationBetween(at, now) < BOUNCE_WINDOW : now < servedUntil;
 
-const redirectTo = (node: NodeId): Reply => ({ status: 421, body: encodeRedirect(node) });
+const redirectTo = (node: ControllerId): Reply => ({ status: 421, body: encodeRedirect(node) });
 
 const allRefused = (count: number): PeerResponse => ({
   type: 'heartbeatResponses',
--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -10,13 +10,13 @@
   type CloudClient,
 } from '../cloud/client.js';
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
-import type { OperatorSettings } from '../config/operator.js';
+import type { OperatorSettings } from '../config/operator-settings.js';
 import type { Settings } from '../config/settings.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
 import type { QueueEntry } from '../ledger/queue-order.js';
 import { Backoff } from '../store/backoff.js';
-import { detach } from '../units/detach.js';
+import { runInBackground } from '../units/run-in-background.js';
 import {
   ms,
   seconds,
@@ -26,7 +26,7 @@
   type Epoch,
   type JobId,
   type MachineId,
-  type NodeId,
+  type ControllerId,
   type Random,
   type SteadyMs,
   type Timer,
@@ -48,7 +48,7 @@
   /** Since when heartbeats have been answered without a break. */
   answeringSince(): SteadyMs;
   /** When each other node was last known not to answer this one. */
-  readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
+  readonly unreachableAt: ReadonlyMap<ControllerId, SteadyMs>;
   /** The jobs with waiting tasks, in the order in which they are to be served. */
   queue(): readonly QueueEntry[];
   /** The spec of an unfinished job. */
@@ -127,7 +127,7 @@
     const call = this.nextCall(this.deps.clock.steady());
     if (!call) return;
     this.callInFlight = true;
-    detach(this.perform(call), this.deps.log, 'cloud call');
+    runInBackground(this.perform(call), this.deps.log, 'cloud call');
   }
 
   private async perform(call: CloudCall): Promise<void> {
@@ -139,9 +139,9 @@
     }
     this.callInFlight = false;
     if (isAnswered) {
-      this.backoff.noteSuccess();
+      this.backoff.recordSuccess();
       if (!this.closed) this.nextTick = this.deps.clock.after(NEXT_CALL_DELAY, () => this.tick());
-    } else this.backoff.noteFailure();
+    } else this.backoff.recordFailure();
   }
 
   /** The most useful call that is due. */
@@ -286,7 +286,7 @@
     const idle = idleMachines({
       fleet: this.view.fleet,
       catalog: this.deps.catalog,
-      idleBootTimes: this.deps.operator.idleBootTimes,
+      idleBootTimes: this.deps.operator.idleTimeoutBootTimes,
       anticipatedWork: this.view.anticipatedWork(),
       now,
     });
--- a/src/capacity/lost-machines.ts
+++ b/src/capacity/lost-machines.ts
@@ -3,7 +3,13 @@
  * that the cloud no longer lists, that are silent, or that receive nothing for too long.
  */
 import type { Machine } from '../fleet/machine.js';
-import { SteadyMs, ms, durationBetween, type DurationMs, type NodeId } from '../units/index.js';
+import {
+  SteadyMs,
+  ms,
+  durationBetween,
+  type DurationMs,
+  type ControllerId,
+} from '../units/index.js';
 
 /** A boot has failed after this many times its usual duration. */
 const FAILED_BOOT_FACTOR = 4;
@@ -32,7 +38,7 @@
   /** How long a machine of that type usually takes to boot. */
   readonly bootTime: (machineType: string) => DurationMs;
   /** When another node was last known not to answer this one. */
-  readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
+  readonly unreachableAt: ReadonlyMap<ControllerId, SteadyMs>;
 }
 
 type Presence =
--- a/src/capacity/machine-list.ts
+++ b/src/capacity/machine-list.ts
@@ -3,7 +3,7 @@
 import type { Machine } from '../fleet/machine.js';
 import {
   MachineId,
-  later,
+  addDuration,
   ms,
   durationBetween,
   type DurationMs,
@@ -47,7 +47,7 @@
 function recordListed(id: MachineId, listed: ListedMachine, fleet: Fleet, now: SteadyMs): void {
   const { machineType, zone, spot, address, status } = listed;
   const machine = fleet.observe(id, { machineType, zone, spot }, address);
-  const requestedAt = later(now, ms(-listed.ageSeconds * 1000));
+  const requestedAt = addDuration(now, ms(-listed.ageSeconds * 1000));
   machine.listedAt ??= now;
   machine.rentedAt ??= requestedAt;
   if (status === 'failed') {
--- a/src/capacity/refusals.ts
+++ b/src/capacity/refusals.ts
@@ -1,5 +1,5 @@
 /** Back-off from offers that the cloud refused: others are tried in the meantime. */
-import { later, ms, seconds, type Random, type SteadyMs } from '../units/index.js';
+import { addDuration, ms, seconds, type Random, type SteadyMs } from '../units/index.js';
 import { offerKey, type Offer } from './types.js';
 
 const MIN_PAUSE = seconds(8);
@@ -25,7 +25,7 @@
     const count = (this.refusals.get(key)?.count ?? 0) + 1;
     const pause = Math.min(MAX_PAUSE, MIN_PAUSE * 2 ** (count - 1));
     const jitter = 1 - JITTER + 2 * JITTER * this.random();
-    this.refusals.set(key, { count, pausedUntil: later(now, ms(pause * jitter)) });
+    this.refusals.set(key, { count, pausedUntil: addDuration(now, ms(pause * jitter)) });
   }
 
   /** An offer was granted in full: its next refusal counts as the first. */
--- a/src/cli/cli.ts
+++ b/src/cli/command-line.ts
@@ -1,8 +1,8 @@
 /** The command line: what the process is to do, by its arguments and the files that they name. */
 import { Command, CommanderError } from 'commander';
-import { defaultsFor, type OperatorSettings } from '../config/operator.js';
-import { SettingsError } from '../config/input.js';
-import { readSettings, type Settings } from '../config/settings.js';
+import { defaultOperatorSettingsFor, type OperatorSettings } from '../config/operator-settings.js';
+import { SettingsError } from '../config/settings-error.js';
+import { readSettingsFile, type Settings } from '../config/settings.js';
 
 /** That of package.json. */
 const VERSION = '0.1.0';
@@ -62,8 +62,8 @@
   const { config, operator, check } = command.opts<Options>();
   if (config === undefined) return misused('--config is missing');
   try {
-    const settings = readSettings(config);
-    const operatorSettings = await readOperatorSettings(settings, operator);
+    const settings = readSettingsFile(config);
+    const operatorSettings = await loadOperatorSettings(settings, operator);
     if (check) return printed('settings are valid\n');
     return { kind: 'run', settings, operator: operatorSettings };
   } catch (error) {
@@ -84,14 +84,15 @@
     .allowExcessArguments(false)
     .exitOverride();
 
-async function readOperatorSettings(
+async function loadOperatorSettings(
   settings: Settings,
   file: string | undefined,
 ): Promise<OperatorSettings> {
-  if (file === undefined) return defaultsFor(settings.workers);
+  if (file === undefined) return defaultOperatorSettingsFor(settings.workers);
   // Loaded only where it is used: start-up counts on small machines.
-  const { checkLeaderLease, readOperator } = await import('../config/operator-file.js');
-  const operator = readOperator(file);
+  const { checkLeaderLease, readOperatorSettingsFile } =
+    await import('../config/operator-settings-file.js');
+  const operator = readOperatorSettingsFile(file);
   checkLeaderLease(settings, operator);
   return operator;
 }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -2,7 +2,7 @@
  * The client of the cloud API, which rents machines and takes them back. A call reports by the type of
  * its result whether the cloud carried it out; it throws for no answer of the cloud.
  */
-import type { HttpClient, Outcome, Request } from '../net/http.js';
+import type { HttpClient, HttpOutcome, HttpRequest } from '../net/http.js';
 import { TokenBucket } from '../store/token-bucket.js';
 import { MachineId, ms, type Clock, type DurationMs, type Endpoint } from '../units/index.js';
 import {
@@ -64,7 +64,7 @@
   /** The machine types that can be rented; undefined if the cloud did not answer with them. */
   async machineTypes(): Promise<readonly MachineType[] | undefined> {
     const outcome = await this.send({ method: 'GET', path: '/flavors' });
-    if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
+    if (outcome.kind !== 'response' || outcome.status !== 200) return undefined;
     return decodeMachineTypes(outcome.body);
   }
 
@@ -75,7 +75,7 @@
       path: '/machines',
       body: encodeScaleOutRequest(request),
     });
-    if (outcome.kind !== 'answer') return { kind: 'retry', reason: outcome.reason };
+    if (outcome.kind !== 'response') return { kind: 'retry', reason: outcome.reason };
     const { status, body } = outcome;
     if (status === 200) {
       const machines = decodeScaleOutResponse(body);
@@ -97,7 +97,7 @@
       path: '/machines/delete',
       body: encodeDeleteRequest(machines),
     });
-    return outcome.kind === 'answer' && outcome.status === 200;
+    return outcome.kind === 'response' && outcome.status === 200;
   }
 
   /** All pages of the cloud's list, which lags behind; undefined unless every page was read. */
@@ -108,7 +108,7 @@
       const query = from === undefined ? '' : `from=${from}&`;
       const path = `/machines?${query}limit=${PAGE_SIZE}`;
       const outcome = await this.send({ method: 'GET', path });
-      if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
+      if (outcome.kind !== 'response' || outcome.status !== 200) return undefined;
       const page = decodeMachinePage(outcome.body);
       if (!page) return undefined;
       machines.push(...page.machines);
@@ -118,16 +118,18 @@
     }
   }
 
-  private async send(request: Omit<Request, 'endpoint' | 'timeout' | 'lane'>): Promise<Outcome> {
+  private async send(
+    request: Omit<HttpRequest, 'endpoint' | 'timeout' | 'pool'>,
+  ): Promise<HttpOutcome> {
     this.bucket.forceTake(1);
     const outcome = await this.http.send({
       ...request,
-      lane: 'cloud',
+      pool: 'cloud',
       endpoint: this.endpoint,
       timeout: CALL_TIMEOUT,
     });
     // Too many requests: the cloud has counted more calls than we have.
-    if (outcome.kind === 'answer' && outcome.status === 429) this.bucket.drain();
+    if (outcome.kind === 'response' && outcome.status === 429) this.bucket.drain();
     return outcome;
   }
 }
--- a/src/config/operator-file.ts
+++ b/src/config/operator-settings-file.ts
@@ -1,10 +1,10 @@
 /** The operators' settings file (XML). */
 import { XMLParser, XMLValidator } from 'fast-xml-parser';
 import * as z from 'zod';
-import { messageOf } from '../units/errors.js';
+import { errorMessage } from '../units/errors.js';
 import { seconds } from '../units/index.js';
-import { SettingsError, readText, settingsErrorOf } from './input.js';
-import { DEFAULTS, maxLeaderLease, type OperatorSettings } from './operator.js';
+import { SettingsError, readSettingsText, toSettingsError } from './settings-error.js';
+import { OPERATOR_DEFAULTS, maxLeaderLease, type OperatorSettings } from './operator-settings.js';
 import type { Settings } from './settings.js';
 
 /** How these settings are named in errors. */
@@ -48,30 +48,31 @@
       ignoreDeclaration: true,
     }).parse(text);
   } catch (error) {
-    throw new SettingsError(`${KIND}: not XML: ${messageOf(error)}`, { cause: error });
+    throw new SettingsError(`${KIND}: not XML: ${errorMessage(error)}`, { cause: error });
   }
 }
 
 /** Checks the text of an operators' file. Throws a `SettingsError`. */
-export function parseOperator(text: string): OperatorSettings {
+export function parseOperatorSettings(text: string): OperatorSettings {
   const parsed = OperatorFile.safeParse(parseXml(text));
-  if (!parsed.success) throw settingsErrorOf(parsed.error, KIND);
+  if (!parsed.success) throw toSettingsError(parsed.error, KIND);
   const { leadership = {}, capacity = {} } = parsed.data.topazpin;
-  const lease = leadership['lease-s'] ?? DEFAULTS.leaseSeconds;
-  const renewInterval = leadership['renew-s'] ?? Math.min(DEFAULTS.renewSeconds, lease / 3);
+  const lease = leadership['lease-s'] ?? OPERATOR_DEFAULTS.leaseSeconds;
+  const renewInterval =
+    leadership['renew-s'] ?? Math.min(OPERATOR_DEFAULTS.renewSeconds, lease / 3);
   if (renewInterval > lease / 2) {
     throw new SettingsError(`${KIND}: leadership.renew-s: must be at most half of lease-s`);
   }
   return {
     lease: seconds(lease),
     renewInterval: seconds(renewInterval),
-    idleBootTimes: capacity['idle-boots'] ?? DEFAULTS.idleBootTimes,
+    idleTimeoutBootTimes: capacity['idle-boots'] ?? OPERATOR_DEFAULTS.idleTimeoutBootTimes,
   };
 }
 
 /** Reads an operators' file. Throws a `SettingsError`. */
-export function readOperator(path: string): OperatorSettings {
-  return parseOperator(readText(path, KIND));
+export function readOperatorSettingsFile(path: string): OperatorSettings {
+  return parseOperatorSettings(readSettingsText(path, KIND));
 }
 
 /**
--- a/src/config/operator.ts
+++ b/src/config/operator-settings.ts
@@ -8,17 +8,17 @@
   /** How often the leader renews it. */
   readonly renewInterval: DurationMs;
   /** How long a cheap machine without work is kept, in its type's boot times. */
-  readonly idleBootTimes: number;
+  readonly idleTimeoutBootTimes: number;
 }
 
 /** The defaults, in the units of the file. */
-export const DEFAULTS = { leaseSeconds: 4, renewSeconds: 1.2, idleBootTimes: 1.5 };
+export const OPERATOR_DEFAULTS = { leaseSeconds: 4, renewSeconds: 1.2, idleTimeoutBootTimes: 1.5 };
 
 /** The defaults, whatever the platform's times are; `defaultsFor` respects those. */
-export const defaultOperator: OperatorSettings = {
-  lease: seconds(DEFAULTS.leaseSeconds),
-  renewInterval: seconds(DEFAULTS.renewSeconds),
-  idleBootTimes: DEFAULTS.idleBootTimes,
+export const defaultOperatorSettings: OperatorSettings = {
+  lease: seconds(OPERATOR_DEFAULTS.leaseSeconds),
+  renewInterval: seconds(OPERATOR_DEFAULTS.renewSeconds),
+  idleTimeoutBootTimes: OPERATOR_DEFAULTS.idleTimeoutBootTimes,
 };
 
 /** Time for what belongs to neither lease: heartbeats in flight, timers that fire late. */
@@ -44,11 +44,13 @@
 }
 
 /** The defaults as far as the platform's times allow. */
-export function defaultsFor(times: PlatformTimes): OperatorSettings {
-  const lease = ms(Math.max(MIN_LEASE, Math.min(defaultOperator.lease, maxLeaderLease(times))));
+export function defaultOperatorSettingsFor(times: PlatformTimes): OperatorSettings {
+  const lease = ms(
+    Math.max(MIN_LEASE, Math.min(defaultOperatorSettings.lease, maxLeaderLease(times))),
+  );
   return {
-    ...defaultOperator,
+    ...defaultOperatorSettings,
     lease,
-    renewInterval: ms(Math.min(defaultOperator.renewInterval, lease / 3)),
+    renewInterval: ms(Math.min(defaultOperatorSettings.renewInterval, lease / 3)),
   };
 }
--- a/src/config/input.ts
+++ b/src/config/settings-error.ts
@@ -1,7 +1,7 @@
 /** What the files of settings have in common: how they are read, and how an error in one is stated. */
 import { readFileSync } from 'node:fs';
 import type * as z from 'zod';
-import { messageOf } from '../units/errors.js';
+import { errorMessage } from '../units/errors.js';
 
 /** What is wrong with settings, in one line that names the file's kind and the field. */
 export class SettingsError extends Error {
@@ -9,16 +9,18 @@
 }
 
 /** The text of a file; `kind` names the kind of settings in the `SettingsError` if it cannot be read. */
-export function readText(path: string, kind: string): string {
+export function readSettingsText(path: string, kind: string): string {
   try {
     return readFileSync(path, 'utf8');
   } catch (error) {
-    throw new SettingsError(`${kind}: cannot read ${path}: ${messageOf(error)}`, { cause: error });
+    throw new SettingsError(`${kind}: cannot read ${path}: ${errorMessage(error)}`, {
+      cause: error,
+    });
   }
 }
 
 /** The first issue that a schema found, as a `SettingsError` that names the field. */
-export function settingsErrorOf(error: z.ZodError, kind: string): SettingsError {
+export function toSettingsError(error: z.ZodError, kind: string): SettingsError {
   const issue = error.issues[0];
   const field = issue?.path.join('.') || 'file';
   return new SettingsError(`${kind}: ${field}: ${issue?.message ?? 'invalid'}`, { cause: error });
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,7 +1,7 @@
 /** The settings of a controller, as the platform hands them over. */
-import { messageOf } from '../units/errors.js';
-import { Endpoint, NodeId, seconds, type DurationMs } from '../units/index.js';
-import { SettingsError, readText, settingsErrorOf } from './input.js';
+import { errorMessage } from '../units/errors.js';
+import { Endpoint, ControllerId, seconds, type DurationMs } from '../units/index.js';
+import { SettingsError, readSettingsText, toSettingsError } from './settings-error.js';
 import { SettingsFile, findContradiction } from './settings-file.js';
 
 /** How settings are named in errors. */
@@ -24,7 +24,7 @@
   readonly jobClass: string | undefined;
   readonly within: DurationMs | undefined;
   /** For deadlines: by how many times the stated one. */
-  readonly times: number;
+  readonly deadlineFactor: number;
 }
 
 /** The limits of the state service. Rates are per second. */
@@ -37,8 +37,8 @@
 }
 
 /** Another controller. */
-export interface OtherNode {
-  readonly node: NodeId;
+export interface OtherController {
+  readonly controllerId: ControllerId;
   readonly endpoint: Endpoint;
 }
 
@@ -52,21 +52,21 @@
 
 /** Everything that the platform sets. */
 export interface Settings {
-  readonly node: NodeId;
+  readonly controllerId: ControllerId;
   readonly zone: string;
   /** Where users and workers reach this node. */
   readonly apiEndpoint: Endpoint;
   /** Where the other controllers reach this node. */
   readonly clusterEndpoint: Endpoint;
-  readonly others: readonly OtherNode[];
+  readonly otherControllers: readonly OtherController[];
   readonly cloudEndpoint: Endpoint;
   readonly storeEndpoint: Endpoint;
   /** How many controllers there are. */
-  readonly nodes: number;
+  readonly controllerCount: number;
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly Objective[];
   readonly workers: WorkerTimes;
-  readonly state: StoreLimits & {
+  readonly storeLimits: StoreLimits & {
     /** The limits from an unannounced moment on; undefined if they stay. */
     readonly next: StoreLimits | undefined;
   };
@@ -86,13 +86,13 @@
 /** Checks settings that were read from a file. Throws a `SettingsError`. */
 export function parseSettings(json: unknown): Settings {
   const parsed = SettingsFile.safeParse(json);
-  if (!parsed.success) throw settingsErrorOf(parsed.error, KIND);
+  if (!parsed.success) throw toSettingsError(parsed.error, KIND);
   const file = parsed.data;
   const contradiction = findContradiction(file);
   if (contradiction !== undefined) throw new SettingsError(`${KIND}: ${contradiction}`);
   const { params } = file;
   return {
-    ...toNodes(file),
+    ...toControllerSettings(file),
     teams: new Map(params.teams.map((team) => [team.name, toTeam(team)])),
     objectives: params.objectives.map(toObjective),
     workers: {
@@ -100,7 +100,7 @@
       lease: seconds(params.workers.lease_s),
       cancellationTime: seconds(params.workers.cancel_s),
     },
-    state: toStoreLimits(params.state),
+    storeLimits: toStoreLimits(params.state),
     cloud: { requestRate: params.cloud.rps, listLag: seconds(params.cloud.list_lag_s) },
     limits: { cpu: params.limits.cpu, maxConnections: params.limits.max_connections },
   };
@@ -108,30 +108,30 @@
 
 type Params = SettingsFile['params'];
 
-type Nodes = Pick<
+type ControllerSettings = Pick<
   Settings,
-  | 'node'
+  | 'controllerId'
   | 'zone'
   | 'apiEndpoint'
   | 'clusterEndpoint'
-  | 'others'
+  | 'otherControllers'
   | 'cloudEndpoint'
   | 'storeEndpoint'
-  | 'nodes'
+  | 'controllerCount'
 >;
 
-const toNodes = (file: SettingsFile): Nodes => ({
-  node: NodeId(file.node),
+const toControllerSettings = (file: SettingsFile): ControllerSettings => ({
+  controllerId: ControllerId(file.node),
   zone: file.area,
   apiEndpoint: Endpoint(file.api_addr),
   clusterEndpoint: Endpoint(file.cluster_listen),
-  others: file.others.map(({ node, endpoint }) => ({
-    node: NodeId(node),
+  otherControllers: file.others.map(({ node, endpoint }) => ({
+    controllerId: ControllerId(node),
     endpoint: Endpoint(endpoint),
   })),
   cloudEndpoint: Endpoint(file.endpoints.cloud),
   storeEndpoint: Endpoint(file.endpoints.state),
-  nodes: file.params.nodes,
+  controllerCount: file.params.nodes,
 });
 
 const toTeam = (team: Params['teams'][number]): Team => ({
@@ -145,11 +145,11 @@
 const toObjective = (objective: Params['objectives'][number]): Objective => ({
   kind: objective.kind,
   jobClass: objective.class,
-  times: objective.times ?? 1,
+  deadlineFactor: objective.times ?? 1,
   within: objective.within_s === undefined ? undefined : seconds(objective.within_s),
 });
 
-function toStoreLimits(file: Params['state']): Settings['state'] {
+function toStoreLimits(file: Params['state']): Settings['storeLimits'] {
   const now: StoreLimits = {
     requestRate: file.rps,
     writeRate: file.write_rps,
@@ -173,13 +173,15 @@
 const toBytes = (kilobytes: number): number => Math.floor(kilobytes * 1024);
 
 /** Reads the settings file. Throws a `SettingsError`. */
-export function readSettings(path: string): Settings {
-  const text = readText(path, KIND);
+export function readSettingsFile(path: string): Settings {
+  const text = readSettingsText(path, KIND);
   let json: unknown;
   try {
     json = JSON.parse(text);
   } catch (error) {
-    throw new SettingsError(`${KIND}: ${path} is not JSON: ${messageOf(error)}`, { cause: error });
+    throw new SettingsError(`${KIND}: ${path} is not JSON: ${errorMessage(error)}`, {
+      cause: error,
+    });
   }
   return parseSettings(json);
 }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -7,7 +7,7 @@
 import { WorkerHeartbeats } from './api/worker-heartbeats.js';
 import { CloudClient } from './cloud/client.js';
 import { MachineCatalog } from './cloud/machine-catalog.js';
-import type { OperatorSettings } from './config/operator.js';
+import type { OperatorSettings } from './config/operator-settings.js';
 import type { Settings } from './config/settings.js';
 import { AdmissionControl } from './ledger/admission.js';
 import { JobRecords } from './ledger/job-records.js';
@@ -22,8 +22,8 @@
 import type { MachineImages, PeerStatus } from './peer/messages.js';
 import { HeartbeatRelay } from './relay/heartbeat-relay.js';
 import { StoreClient } from './store/client.js';
-import { detach } from './units/detach.js';
-import { NodeId, ms, type Clock, type Epoch, type Random } from './units/index.js';
+import { runInBackground } from './units/run-in-background.js';
+import { ControllerId, ms, type Clock, type Epoch, type Random } from './units/index.js';
 
 const IMAGE_HINTS_TIMEOUT = ms(1000);
 
@@ -33,7 +33,7 @@
   readonly random: Random;
   readonly http: HttpClient;
   readonly log: Logger;
-  readonly peers: ReadonlyMap<NodeId, Peer>;
+  readonly peers: ReadonlyMap<ControllerId, Peer>;
   /** Names this process among those that have run on this node. */
   readonly processId: string;
 }
@@ -66,10 +66,10 @@
       endpoint: settings.storeEndpoint,
       clock,
       random,
-      limits: settings.state,
-      nodeCount: settings.nodes,
+      limits: settings.storeLimits,
+      controllerCount: settings.controllerCount,
     });
-    this.recordLimits = new RecordLimits(settings.state, () => {
+    this.recordLimits = new RecordLimits(settings.storeLimits, () => {
       log.info('the state service has lowered its limits');
       this.store.lowerRates();
     });
@@ -86,7 +86,7 @@
     this.peerLiveness = new PeerLiveness(peers, clock, log, {
       ownStatus: () => this.ownStatus(),
       onPeerStatus: ({ leader, epoch }) => {
-        if (leader !== '') this.election.recordLeader(NodeId(leader), epoch);
+        if (leader !== '') this.election.recordLeader(ControllerId(leader), epoch);
       },
     });
     this.userRequests = this.createUserRequests();
@@ -98,7 +98,7 @@
     const { clock, random, log, processId } = this.environment;
     return new Election({
       store: this.store,
-      controllerId: this.settings.node,
+      controllerId: this.settings.controllerId,
       processId,
       timing: { duration: this.operator.lease, renewInterval: this.operator.renewInterval },
       clock,
@@ -126,12 +126,17 @@
 
   private createWorkerHeartbeats(): WorkerHeartbeats {
     const { leadership } = this;
-    const { node } = this.settings;
+    const { controllerId } = this.settings;
     const { clock, log } = this.environment;
     return new WorkerHeartbeats({
-      node,
+      node: controllerId,
       leadership,
-      relay: new HeartbeatRelay({ node, clock, log, leaderPeer: () => leadership.leaderPeer() }),
+      relay: new HeartbeatRelay({
+        node: controllerId,
+        clock,
+        log,
+        leaderPeer: () => leadership.leaderPeer(),
+      }),
       clock,
       isIsolated: () => this.isIsolated(),
     });
@@ -169,13 +174,14 @@
       log: log.child({ epoch }),
       authority: () => this.election.authority(),
       onDeposed: (deposed) => this.election.onDeposed(deposed),
-      onMachineTypesChanged: () => detach(this.catalogSync.save(), log, 'saving machine types'),
+      onMachineTypesChanged: () =>
+        runInBackground(this.catalogSync.save(), log, 'saving machine types'),
       imageHints,
       broadcastImageHints: (machines) => this.broadcastImageHints(machines),
       peers,
     });
     this.leadership.term = term;
-    detach(term.start(), log, 'rebuild');
+    runInBackground(term.start(), log, 'rebuild');
   }
 
   private endTerm(): void {
@@ -201,7 +207,7 @@
     for (const peer of peers.values()) {
       if (!peer.responsive) continue;
       const sent = peer.request({ type: 'imageHints', machines }, IMAGE_HINTS_TIMEOUT);
-      detach(sent, log, 'sending image hints');
+      runInBackground(sent, log, 'sending image hints');
     }
   }
 
@@ -215,13 +221,13 @@
     this.hasSeenLeader ||= this.election.leader() !== undefined;
     if (!this.hasSeenLeader) return TRY_AGAIN;
     if (this.isIsolated()) return ISOLATED;
-    return { status: 200, body: { node: this.settings.node } };
+    return { status: 200, body: { node: this.settings.controllerId } };
   }
 
   /** Begins to take part in the election. Requests are answered before, as far as that goes. */
   start(): void {
     this.election.start();
-    detach(this.catalogSync.run(), this.environment.log, 'reading machine types');
+    runInBackground(this.catalogSync.run(), this.environment.log, 'reading machine types');
     this.peerLiveness.start();
   }
 
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -1,10 +1,10 @@
 /** One machine as the leader knows it. */
 import {
-  later,
+  addDuration,
   type Endpoint,
   type Epoch,
   type MachineId,
-  type NodeId,
+  type ControllerId,
   type SteadyMs,
   type TaskKey,
 } from '../units/index.js';
@@ -28,7 +28,7 @@
 export class Machine {
   address: Endpoint | undefined;
   /** The node that relays its heartbeats; undefined if they come directly to the leader. */
-  relayNode: NodeId | undefined;
+  relayNode: ControllerId | undefined;
   /** The newest status; undefined before the first one and after the worker lease has expired. */
   status: WorkerStatus | undefined;
   /** Earlier sessions are certainly over, and their messages are stale. */
@@ -139,7 +139,7 @@
       this.reclaimAt = undefined;
       return;
     }
-    const reclaimAt = later(now, reclaimNotice);
+    const reclaimAt = addDuration(now, reclaimNotice);
     if (this.reclaimAt === undefined || reclaimAt < this.reclaimAt) this.reclaimAt = reclaimAt;
   }
 
--- a/src/fleet/worker-lease.ts
+++ b/src/fleet/worker-lease.ts
@@ -1,5 +1,11 @@
 /** When a worker's lease has certainly expired, as computed on the leader's clock. */
-import { later, ms, upperBoundUnderDrift, type DurationMs, type SteadyMs } from '../units/index.js';
+import {
+  addDuration,
+  ms,
+  upperBoundUnderDrift,
+  type DurationMs,
+  type SteadyMs,
+} from '../units/index.js';
 
 /** Added to the lease beyond clock drift, for imprecise timers of the worker. */
 const LEASE_MARGIN = ms(500);
@@ -11,4 +17,4 @@
  * @param lease the length of the lease
  */
 export const workerLeaseEnd = (from: SteadyMs, lease: DurationMs): SteadyMs =>
-  later(from, ms(upperBoundUnderDrift(lease) + LEASE_MARGIN));
+  addDuration(from, ms(upperBoundUnderDrift(lease) + LEASE_MARGIN));
--- a/src/leader/command-sender.ts
+++ b/src/leader/command-sender.ts
@@ -3,7 +3,7 @@
 import { attemptKey, type StatusSource, type WorkerStatus } from '../fleet/worker-status.js';
 import type { Job } from '../ledger/job.js';
 import {
-  later,
+  addDuration,
   ms,
   seconds,
   type DurationMs,
@@ -120,7 +120,7 @@
       return;
     }
     this.deps.log.info({ machine: machine.id, reason }, 'command not answered');
-    machine.commandsPausedUntil = later(this.deps.clock.steady(), PUSH_PAUSE);
+    machine.commandsPausedUntil = addDuration(this.deps.clock.steady(), PUSH_PAUSE);
     if (outcome !== 'undelivered') return;
     for (const attempt of started) machine.pushedStarts.noteUndelivered(attempt);
     if (wasUnconfirmed && machine.isUnconfirmed(this.epoch)) this.requeueUnsent(machine, started);
--- a/src/leader/contact-history.ts
+++ b/src/leader/contact-history.ts
@@ -3,17 +3,17 @@
  * heartbeats without interruption, and when each follower that relays heartbeats was last unreachable.
  */
 import type { Peer } from '../peer/channel.js';
-import type { NodeId, SteadyMs } from '../units/index.js';
+import type { ControllerId, SteadyMs } from '../units/index.js';
 
 /** Updated by the periodic work of a term and read by the autoscaler. */
 export class ContactHistory {
   /** When each peer was last known not to respond to this controller. */
-  readonly unreachableAt = new Map<NodeId, SteadyMs>();
+  readonly unreachableAt = new Map<ControllerId, SteadyMs>();
   private hadAuthority = true;
   private uninterruptedSince: SteadyMs;
 
   constructor(
-    private readonly peers: ReadonlyMap<NodeId, Pick<Peer, 'responsive'>>,
+    private readonly peers: ReadonlyMap<ControllerId, Pick<Peer, 'responsive'>>,
     startedAt: SteadyMs,
   ) {
     this.uninterruptedSince = startedAt;
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -6,18 +6,18 @@
 import type { Logger } from 'pino';
 import { LEADER_KEY } from '../ledger/store-keys.js';
 import type { StoreClient } from '../store/client.js';
-import { detach } from '../units/detach.js';
+import { runInBackground } from '../units/run-in-background.js';
 import {
   Epoch,
   Revision,
-  later,
+  addDuration,
   ms,
   lowerBoundUnderDrift,
   durationBetween,
   sleep,
   type Clock,
   type DurationMs,
-  type NodeId,
+  type ControllerId,
   type Random,
   type SteadyMs,
 } from '../units/index.js';
@@ -47,7 +47,7 @@
 /** The dependencies of an election on the rest of the controller. */
 export interface ElectionDependencies {
   readonly store: StoreClient;
-  readonly controllerId: NodeId;
+  readonly controllerId: ControllerId;
   /** Distinguishes this process from earlier processes of the same controller. */
   readonly processId: string;
   readonly timing: LeaseTiming;
@@ -71,7 +71,7 @@
 export class Election {
   private readonly leaderKey: LeaderKey;
   private heldLease: HeldLease | undefined;
-  private knownLeader: NodeId | undefined;
+  private knownLeader: ControllerId | undefined;
   /** The epoch of the leader key that named `knownLeader`, as read by this controller or by a peer. */
   private knownLeaderEpoch = 0;
   private isStopped = false;
@@ -91,7 +91,7 @@
   }
 
   /** The controller that holds the leader key, as far as this controller knows. */
-  leader(): NodeId | undefined {
+  leader(): ControllerId | undefined {
     return this.heldLease ? this.deps.controllerId : this.knownLeader;
   }
 
@@ -106,7 +106,7 @@
    * Workers that still report to this controller are then redirected at once; otherwise they would try one
    * controller after another until their leases expire.
    */
-  recordLeader(leader: NodeId, epoch: number): void {
+  recordLeader(leader: ControllerId, epoch: number): void {
     if (epoch <= this.leaderEpoch() || leader === this.deps.controllerId) return;
     this.endTerm('a peer knows a later leader');
     this.knownLeader = leader;
@@ -121,8 +121,8 @@
 
   /** Starts the election and the store probes, which run until `stop`. */
   start(): void {
-    detach(this.run(), this.deps.log, 'election');
-    detach(this.runStoreProbes(), this.deps.log, 'probing the store');
+    runInBackground(this.run(), this.deps.log, 'election');
+    runInBackground(this.runStoreProbes(), this.deps.log, 'probing the store');
   }
 
   /** Stops reading the key and renewing the lease. Authority remains until it expires. */
@@ -273,7 +273,7 @@
 
   /** When the authority ends that a lease request sent at `sentAt` grants. */
   private authorityEndsAt(sentAt: SteadyMs): SteadyMs {
-    return later(
+    return addDuration(
       sentAt,
       ms(lowerBoundUnderDrift(this.deps.timing.duration) - AUTHORITY_SAFETY_MARGIN),
     );
--- a/src/leader/failure-backoff.ts
+++ b/src/leader/failure-backoff.ts
@@ -2,7 +2,7 @@
 import type { Logger } from 'pino';
 import type { Machine } from '../fleet/machine.js';
 import type { Job } from '../ledger/job.js';
-import { later, ms, seconds, type SteadyMs } from '../units/index.js';
+import { addDuration, ms, seconds, type SteadyMs } from '../units/index.js';
 import { ExitReason, type TaskStatus } from '../wire/index.js';
 
 /** A job that has failed on this many machines probably causes the failures itself. */
@@ -32,10 +32,10 @@
         break;
       case ExitReason.insufficientResources:
       case ExitReason.attemptConflict:
-        machine.quarantinedUntil = later(now, REFUSAL_BACKOFF);
+        machine.quarantinedUntil = addDuration(now, REFUSAL_BACKOFF);
         break;
       case ExitReason.unknownTask:
-        job.backoffUntil = later(now, REFUSAL_BACKOFF);
+        job.backoffUntil = addDuration(now, REFUSAL_BACKOFF);
         break;
       default:
     }
@@ -44,9 +44,9 @@
   /** Treats the machine as the likely cause: it is quarantined, and the job avoids it for longer. */
   private recordFailure(machine: Machine, job: Job, now: SteadyMs): void {
     machine.failureCount++;
-    job.avoidedMachines.set(machine.id, later(now, MAX_FAILURE_BACKOFF));
+    job.avoidedMachines.set(machine.id, addDuration(now, MAX_FAILURE_BACKOFF));
     const factor = Math.min(MAX_QUARANTINE_FACTOR, machine.failureCount);
-    machine.quarantinedUntil = later(now, ms(BASE_FAILURE_BACKOFF * factor));
+    machine.quarantinedUntil = addDuration(now, ms(BASE_FAILURE_BACKOFF * factor));
     if (job.avoidedMachines.size >= MAX_FAILED_MACHINES_PER_JOB) this.backOffJob(job, now);
   }
 
@@ -55,7 +55,7 @@
     job.backoffCount++;
     job.avoidedMachines.clear();
     const backoff = Math.min(MAX_FAILURE_BACKOFF, BASE_FAILURE_BACKOFF * 2 ** job.backoffCount);
-    job.backoffUntil = later(now, ms(backoff));
+    job.backoffUntil = addDuration(now, ms(backoff));
     this.log.warn(
       { job: job.id, team: job.spec.team },
       'job failed on several machines; its tasks wait for a backoff',
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -3,8 +3,14 @@
 import { workerLeaseEnd } from '../fleet/worker-lease.js';
 import { toWorkerStatus, type WorkerStatus } from '../fleet/worker-status.js';
 import type { UnchangedHeartbeat } from '../peer/messages.js';
-import { MachineId, type Clock, type DurationMs, type Epoch, type NodeId } from '../units/index.js';
-import type { Command, Heartbeat, HeartbeatReply } from '../wire/index.js';
+import {
+  MachineId,
+  type Clock,
+  type DurationMs,
+  type Epoch,
+  type ControllerId,
+} from '../units/index.js';
+import type { Command, Heartbeat, WorkerHeartbeatResponse } from '../wire/index.js';
 import type { StatusObserver } from './command-sender.js';
 import type { PlacementIndex } from './placement-index.js';
 import { ResponseDeliveryCheck } from './response-delivery-check.js';
@@ -31,7 +37,7 @@
 /** Handles heartbeats under one epoch. */
 export class HeartbeatHandler {
   private nextBaseline = 1;
-  private readonly emptyResponse: HeartbeatReply;
+  private readonly emptyResponse: WorkerHeartbeatResponse;
   private readonly deliveryCheck: ResponseDeliveryCheck;
 
   constructor(private readonly options: HeartbeatHandlerOptions) {
@@ -41,15 +47,15 @@
   }
 
   /** Handles a heartbeat that came directly from its worker. */
-  handleDirect(heartbeat: Heartbeat): HeartbeatReply {
+  handleDirect(heartbeat: Heartbeat): WorkerHeartbeatResponse {
     return this.acceptFull(heartbeat, toWorkerStatus(heartbeat), undefined);
   }
 
   /** Handles a heartbeat that a follower relayed. The follower refers to its status by the returned baseline. */
   handleRelayed(
     heartbeat: Heartbeat,
-    relayId: NodeId,
-  ): { response: HeartbeatReply; baseline: number } {
+    relayId: ControllerId,
+  ): { response: WorkerHeartbeatResponse; baseline: number } {
     const baseline = this.nextBaseline++;
     const status = { ...toWorkerStatus(heartbeat), baseline };
     return { response: this.acceptFull(heartbeat, status, relayId), baseline };
@@ -59,7 +65,10 @@
    * Handles a heartbeat that shows the same tasks as its baseline. Returns undefined if the baseline is not the
    * newest status of the machine; the heartbeat must then be sent in full.
    */
-  handleUnchanged(heartbeat: UnchangedHeartbeat, relayId: NodeId): HeartbeatReply | undefined {
+  handleUnchanged(
+    heartbeat: UnchangedHeartbeat,
+    relayId: ControllerId,
+  ): WorkerHeartbeatResponse | undefined {
     const machine = this.options.placements.fleet.machines.get(MachineId(heartbeat.machine));
     const last = machine?.status;
     if (!machine || last?.baseline !== heartbeat.unchangedSince) return undefined;
@@ -71,8 +80,8 @@
   private acceptFull(
     heartbeat: Heartbeat,
     status: WorkerStatus,
-    relayId: NodeId | undefined,
-  ): HeartbeatReply {
+    relayId: ControllerId | undefined,
+  ): WorkerHeartbeatResponse {
     const id = MachineId(heartbeat.machine);
     const { fleet } = this.options.placements;
     if (fleet.isGone(id)) return this.emptyResponse;
@@ -84,8 +93,8 @@
   private accept(
     machine: Machine,
     status: WorkerStatus,
-    relayId: NodeId | undefined,
-  ): HeartbeatReply {
+    relayId: ControllerId | undefined,
+  ): WorkerHeartbeatResponse {
     const { clock, epoch, lease, observer, onMachineUp, responseCommands } = this.options;
     const now = clock.steady();
     const wasUp = machine.isUp;
--- a/src/leader/leader-key.ts
+++ b/src/leader/leader-key.ts
@@ -2,12 +2,12 @@
 import * as z from 'zod';
 import { LEADER_KEY } from '../ledger/store-keys.js';
 import type { StoreClient } from '../store/client.js';
-import { detach, type ErrorLog } from '../units/detach.js';
-import { NodeId, ms, type DurationMs, type Revision } from '../units/index.js';
+import { runInBackground, type ErrorLog } from '../units/run-in-background.js';
+import { ControllerId, ms, type DurationMs, type Revision } from '../units/index.js';
 
 /** A process that can become leader. */
 export interface LeaderCandidate {
-  readonly controllerId: NodeId;
+  readonly controllerId: ControllerId;
   /** Distinguishes the process from earlier processes of the same controller. */
   readonly processId: string;
 }
@@ -26,7 +26,7 @@
   /** Another controller holds the key; `leaderId` is undefined if the record can't be parsed. */
   | {
       readonly kind: 'other';
-      readonly leaderId: NodeId | undefined;
+      readonly leaderId: ControllerId | undefined;
       readonly revision: Revision;
       /** The revision of the store at which the key was read; a watch of the key can start there. */
       readonly readRevision: Revision;
@@ -66,7 +66,7 @@
         revision,
       };
     }
-    const leaderId = leader.success ? NodeId(leader.data.node) : undefined;
+    const leaderId = leader.success ? ControllerId(leader.data.node) : undefined;
     return { kind: 'other', leaderId, revision, readRevision: listed.revision };
   }
 
@@ -90,7 +90,7 @@
     if (result.kind === 'committed') return { kind: 'written', revision: result.revision, leaseId };
     // After an unknown outcome the lease must not be revoked: the key may be bound to it.
     if (result.kind !== 'unknown') {
-      detach(
+      runInBackground(
         this.store.revokeLease(leaseId, LEADER_KEY_REQUEST_TIMEOUT),
         this.log,
         'revoking the unused lease of a leader key',
--- a/src/leader/task-commands.ts
+++ b/src/leader/task-commands.ts
@@ -1,15 +1,15 @@
 /** Commands to workers for one attempt of a task. */
-import type { KillCommand, PlainCommand } from '../wire/index.js';
+import type { KillCommand, StartOrClearCommand } from '../wire/index.js';
 
 /** Starts the task. Repeats have no effect until the worker has forgotten the attempt. */
-export const launch = (task: string, attempt: number): PlainCommand => ({
+export const launch = (task: string, attempt: number): StartOrClearCommand => ({
   type: 'launch',
   task,
   attempt,
 });
 
 /** Makes the worker forget an attempt that has exited. */
-export const clear = (task: string, attempt: number): PlainCommand => ({
+export const clear = (task: string, attempt: number): StartOrClearCommand => ({
   type: 'clear',
   task,
   attempt,
--- a/src/leader/term-dependencies.ts
+++ b/src/leader/term-dependencies.ts
@@ -1,6 +1,6 @@
 /** The dependencies of a term and its components on the rest of the controller. */
 import type { Logger } from 'pino';
-import type { OperatorSettings } from '../config/operator.js';
+import type { OperatorSettings } from '../config/operator-settings.js';
 import type { Settings } from '../config/settings.js';
 import type { CloudClient } from '../cloud/client.js';
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
@@ -10,7 +10,7 @@
 import type { RecordLimits } from '../ledger/record-limits.js';
 import type { Peer } from '../peer/channel.js';
 import type { MachineImages } from '../peer/messages.js';
-import type { Clock, Epoch, NodeId, Random } from '../units/index.js';
+import type { Clock, Epoch, ControllerId, Random } from '../units/index.js';
 import type { ImageHints } from './image-hints.js';
 
 /** Shared by the components of a term. All of these objects outlive the term. */
@@ -37,5 +37,5 @@
   /** Sends hints to the other controllers about which images machines hold. */
   readonly broadcastImageHints: (machines: readonly MachineImages[]) => void;
   /** The connections to the other controllers, which relay heartbeats of workers and commands to them. */
-  readonly peers: ReadonlyMap<NodeId, Peer>;
+  readonly peers: ReadonlyMap<ControllerId, Peer>;
 }
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -10,9 +10,9 @@
 import type { LedgerEvents } from '../ledger/ledger-events.js';
 import { Ledger } from '../ledger/ledger.js';
 import type { UnchangedHeartbeat } from '../peer/messages.js';
-import { detach } from '../units/detach.js';
-import type { Epoch, JobId, NodeId, SteadyMs } from '../units/index.js';
-import type { Heartbeat, HeartbeatReply, JobSpec } from '../wire/index.js';
+import { runInBackground } from '../units/run-in-background.js';
+import type { Epoch, JobId, ControllerId, SteadyMs } from '../units/index.js';
+import type { Heartbeat, WorkerHeartbeatResponse, JobSpec } from '../wire/index.js';
 import { CommandSender } from './command-sender.js';
 import { ContactHistory } from './contact-history.js';
 import type { TermDependencies } from './term-dependencies.js';
@@ -202,7 +202,7 @@
       { jobs: this.ledger.jobs.size, machines: this.fleet.machines.size },
       'job records recovered from the store; scheduling starts',
     );
-    detach(this.inboxWatcher.run(), this.deps.log, 'watching the inbox');
+    runInBackground(this.inboxWatcher.run(), this.deps.log, 'watching the inbox');
     this.periodicWork.start();
   }
 
@@ -254,23 +254,23 @@
   // --- machines ---------------------------------------------------------------------------------
 
   /** Returns the response to a heartbeat that came directly from its worker. */
-  handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
+  handleHeartbeat(heartbeat: Heartbeat): WorkerHeartbeatResponse {
     return this.heartbeatHandler.handleDirect(heartbeat);
   }
 
   /** Returns the response to a heartbeat that a follower relayed, and the baseline for later heartbeats. */
   handleRelayedHeartbeat(
     heartbeat: Heartbeat,
-    relayId: NodeId,
-  ): { response: HeartbeatReply; baseline: number } {
+    relayId: ControllerId,
+  ): { response: WorkerHeartbeatResponse; baseline: number } {
     return this.heartbeatHandler.handleRelayed(heartbeat, relayId);
   }
 
   /** Returns the response to a heartbeat with the same tasks as its baseline; undefined if it must be sent in full. */
   handleUnchangedHeartbeat(
     heartbeat: UnchangedHeartbeat,
-    relayId: NodeId,
-  ): HeartbeatReply | undefined {
+    relayId: ControllerId,
+  ): WorkerHeartbeatResponse | undefined {
     return this.heartbeatHandler.handleUnchanged(heartbeat, relayId);
   }
 }
--- a/src/leader/worker-calls.ts
+++ b/src/leader/worker-calls.ts
@@ -5,7 +5,7 @@
 import { toWorkerStatus, type WorkerStatus } from '../fleet/worker-status.js';
 import type { CommandOutcome } from '../peer/messages.js';
 import { callWorker, callWorkerThrough } from '../relay/worker-call.js';
-import { detach } from '../units/detach.js';
+import { runInBackground } from '../units/run-in-background.js';
 import { ms, type DurationMs, type Epoch } from '../units/index.js';
 import type { Command } from '../wire/index.js';
 import type { TermDependencies } from './term-dependencies.js';
@@ -70,7 +70,7 @@
   start(machine: Machine, call: () => Promise<void>): void {
     this.inFlight++;
     machine.commandInFlight = true;
-    detach(this.run(machine, call), this.deps.log, 'follow-up of a command');
+    runInBackground(this.run(machine, call), this.deps.log, 'follow-up of a command');
   }
 
   private async run(machine: Machine, call: () => Promise<void>): Promise<void> {
--- a/src/ledger/batch-assembler.ts
+++ b/src/ledger/batch-assembler.ts
@@ -27,7 +27,7 @@
 
 /** What an assembler works with. */
 export interface BatchAssemblerOptions {
-  readonly store: Pick<StoreClient, 'availableWrites' | 'writeWait'>;
+  readonly store: Pick<StoreClient, 'availableWriteTokens' | 'writeWait'>;
   readonly epoch: Epoch;
   readonly limits: RecordLimits;
   readonly queue: CommitQueue;
@@ -42,7 +42,7 @@
   assemble(): Assembly {
     const { store, epoch, limits, queue, clock } = this.options;
     const due = queue.due(clock.steady());
-    const budget = store.availableWrites();
+    const budget = store.availableWriteTokens();
     const maxChanges = Math.min(limits.transactionOps, budget.count);
     const builder = new BatchBuilder(epoch, limits, maxChanges);
     const added = this.addRecords(builder, due.jobs, budget.share);
--- a/src/ledger/batch.ts
+++ b/src/ledger/batch.ts
@@ -1,6 +1,6 @@
 /** One transaction of the commit loop: records of several jobs, each with the revision that it replaces. */
 import type { Epoch } from '../units/index.js';
-import type { Condition, Write } from '../wire/index.js';
+import type { StoreCondition, StoreWrite } from '../wire/index.js';
 import { encodeFinal } from './final-record.js';
 import { WritePriority, type CommittedProgress, type FinalState, type Job } from './job.js';
 import type { RecordLimits } from './record-limits.js';
@@ -26,8 +26,8 @@
 /** A transaction to be sent. */
 export interface Batch {
   readonly records: readonly PendingRecord[];
-  readonly conditions: readonly Condition[];
-  readonly writes: readonly Write[];
+  readonly conditions: readonly StoreCondition[];
+  readonly writes: readonly StoreWrite[];
   /** Keys of notices that it deletes. */
   readonly noticeKeys: readonly string[];
 }
@@ -42,8 +42,8 @@
 /** Puts a transaction together. It holds at most `maxChanges` changes. */
 export class BatchBuilder {
   private readonly records: PendingRecord[] = [];
-  private readonly conditions: Condition[];
-  private readonly writes: Write[] = [];
+  private readonly conditions: StoreCondition[];
+  private readonly writes: StoreWrite[] = [];
   private readonly noticeKeys: string[] = [];
   private bytes = 0;
 
--- a/src/ledger/commit-loop.ts
+++ b/src/ledger/commit-loop.ts
@@ -2,7 +2,7 @@
 import type { Mutex } from 'async-mutex';
 import type { Logger } from 'pino';
 import type { Backoff } from '../store/backoff.js';
-import { detach } from '../units/detach.js';
+import { runInBackground } from '../units/run-in-background.js';
 import { ms, type Clock, type DurationMs, type Timer } from '../units/index.js';
 import type { BatchAssembler } from './batch-assembler.js';
 import type { Batch } from './batch.js';
@@ -111,6 +111,6 @@
       this.inFlight--;
       this.schedule();
     });
-    detach(sent, log, 'commit');
+    runInBackground(sent, log, 'commit');
   }
 }
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -5,7 +5,7 @@
 import type { StoreClient } from '../store/client.js';
 import type { CommitResult } from '../store/results.js';
 import { Epoch, JobId, Revision, ms, type Clock, type DurationMs } from '../units/index.js';
-import type { Condition, JobSpec, Write } from '../wire/index.js';
+import type { StoreCondition, JobSpec, StoreWrite } from '../wire/index.js';
 import { decodeJob } from './codec.js';
 import { FinalStateCache } from './final-state-cache.js';
 import { decodeFinal, encodeFinal } from './final-record.js';
@@ -146,8 +146,8 @@
   }
 
   private transact(
-    conditions: readonly Condition[],
-    writes: readonly Write[],
+    conditions: readonly StoreCondition[],
+    writes: readonly StoreWrite[],
   ): Promise<CommitResult> {
     return this.store.transact(conditions, writes, STORE_TIMEOUT, USER_CALL);
   }
--- a/src/ledger/queue-order.ts
+++ b/src/ledger/queue-order.ts
@@ -45,7 +45,7 @@
 /** The deadline, in milliseconds since 1970, that an objective sets for a job of its class; undefined if it sets none. */
 function deadlineUnder(objective: Objective, job: Job): number | undefined {
   const { deadlineSeconds, expectedRuntimeSeconds } = job.spec;
-  const { kind, within, times } = objective;
+  const { kind, within, deadlineFactor: times } = objective;
   if (kind === 'deadline') {
     return deadlineSeconds !== null && times > 1
       ? job.submittedAt + deadlineSeconds * 1000 * times
--- a/src/ledger/transaction-writer.ts
+++ b/src/ledger/transaction-writer.ts
@@ -4,7 +4,7 @@
 import type { Backoff } from '../store/backoff.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitResult } from '../store/results.js';
-import { later, ms, type Clock, type Revision } from '../units/index.js';
+import { addDuration, ms, type Clock, type Revision } from '../units/index.js';
 import type { Batch, PendingRecord } from './batch.js';
 import type { CommitQueue } from './commit-queue.js';
 import type { CommitWaiters } from './commit-waiters.js';
@@ -59,7 +59,7 @@
     if (result.kind !== 'committed') this.putBackNotices(batch);
     switch (result.kind) {
       case 'committed': {
-        backoff.noteSuccess();
+        backoff.recordSuccess();
         const { revision } = result;
         await lock.runExclusive(() => this.noteCommitted(batch, revision));
         return;
@@ -106,7 +106,7 @@
   private resolveUnknown(batch: Batch, reason: string): Promise<unknown> {
     const { waiters, resolver, backoff, log } = this.options;
     log.warn({ reason, jobs: batch.records.length }, 'commit outcome unknown');
-    backoff.noteFailure();
+    backoff.recordFailure();
     for (const { job, version } of batch.records) {
       if (job.revision === 0) job.isCreationOutcomeUnknown = true;
       // It may still be carried out, and others read the job's end in the store, until a later write is.
@@ -130,7 +130,7 @@
     for (const record of records) {
       const { job, version } = record;
       if (!isNews) {
-        queue.retryInOwnTransaction(job, isSingle ? later(now, OVERSIZE_HOLD) : now);
+        queue.retryInOwnTransaction(job, isSingle ? addDuration(now, OVERSIZE_HOLD) : now);
         if (isSingle) waiters.settle(job.id, version, false);
       }
       outcomes.notCommitted(record);
@@ -140,7 +140,7 @@
   private noteRefused(batch: Batch, reason: string): void {
     const { waiters, outcomes, backoff, log } = this.options;
     log.info({ reason }, 'commit refused');
-    backoff.noteFailure();
+    backoff.recordFailure();
     for (const record of batch.records) {
       waiters.settle(record.job.id, record.version, false);
       outcomes.notCommitted(record);
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,17 +3,17 @@
 import { randomInt, randomUUID } from 'node:crypto';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { parseCommandLine } from './cli/cli.js';
-import { maxLeaderLease, type OperatorSettings } from './config/operator.js';
+import { parseCommandLine } from './cli/command-line.js';
+import { maxLeaderLease, type OperatorSettings } from './config/operator-settings.js';
 import type { Settings } from './config/settings.js';
 import { Controller } from './controller.js';
-import { NodeHttpClient } from './net/client.js';
+import { PooledHttpClient } from './net/pooled-http-client.js';
 import { PeerLink } from './peer/link.js';
 import { createLog, logUncaughtErrors } from './process-log.js';
 import { startServers } from './servers.js';
 import { socketBudget } from './socket-budget.js';
-import { systemClock } from './units/system.js';
-import type { NodeId, Random } from './units/index.js';
+import { systemClock } from './units/system-clock.js';
+import type { ControllerId, Random } from './units/index.js';
 
 const MAX_SEED = 0x7fffffff;
 /** Connections to each worker: at most, and kept while idle. */
@@ -26,16 +26,19 @@
 }
 
 function run(settings: Settings, operator: OperatorSettings): void {
-  const log = createLog(settings.node, process.env.LOG_LEVEL);
+  const log = createLog(settings.controllerId, process.env.LOG_LEVEL);
   logUncaughtErrors(log);
   const sockets = socketBudget(settings);
-  const peers = new Map<NodeId, PeerLink>(
-    settings.others.map(({ node, endpoint }) => [node, new PeerLink(endpoint, systemClock, log)]),
+  const peers = new Map<ControllerId, PeerLink>(
+    settings.otherControllers.map(({ controllerId, endpoint }) => [
+      controllerId,
+      new PeerLink(endpoint, systemClock, log),
+    ]),
   );
   const controller = new Controller(settings, operator, {
     clock: systemClock,
     random: createRandom(),
-    http: new NodeHttpClient(sockets.commands, SOCKETS_PER_WORKER, IDLE_SOCKETS_PER_WORKER),
+    http: new PooledHttpClient(sockets.commands, SOCKETS_PER_WORKER, IDLE_SOCKETS_PER_WORKER),
     log,
     peers,
     processId: randomUUID(),
--- a/src/net/exchange.ts
+++ b/src/net/exchange.ts
@@ -1,9 +1,9 @@
 /** One HTTP request and its answer. */
 import http from 'node:http';
-import { messageOf } from '../units/errors.js';
+import { errorMessage } from '../units/errors.js';
 import { CONTENT_TYPE, decode, encode } from '../wire/index.js';
-import { readBody } from './body.js';
-import type { Outcome, Request } from './http.js';
+import { readBody } from './read-body.js';
+import type { HttpOutcome, HttpRequest } from './http.js';
 
 /** The answer to a watch holds all changes and has no size limit; this bounds the memory that one may take. */
 const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
@@ -18,9 +18,9 @@
 
   /** Throws if the request cannot be encoded; `onSettled` is not called then. */
   constructor(
-    request: Request,
+    request: HttpRequest,
     agent: http.Agent,
-    private readonly onSettled: (outcome: Outcome) => void,
+    private readonly onSettled: (outcome: HttpOutcome) => void,
   ) {
     const { endpoint, method, path } = request;
     const colon = endpoint.lastIndexOf(':');
@@ -50,7 +50,7 @@
     this.clientRequest.on('response', (response) => {
       readBody(response, MAX_RESPONSE_BYTES).then(
         (body) => this.finish(response.statusCode ?? 0, body),
-        (error: unknown) => this.fail(messageOf(error)),
+        (error: unknown) => this.fail(errorMessage(error)),
       );
     });
   }
@@ -72,7 +72,7 @@
     try {
       if (!body) throw new RangeError('answer too large');
       this.settle({
-        kind: 'answer',
+        kind: 'response',
         status,
         body: body.length > 0 ? decode(body) : undefined,
       });
@@ -85,7 +85,7 @@
     this.settle({ kind: this.isConnected ? 'unknown' : 'undelivered', reason });
   }
 
-  private settle(outcome: Outcome): void {
+  private settle(outcome: HttpOutcome): void {
     if (this.isSettled) return;
     this.isSettled = true;
     clearTimeout(this.timer);
--- a/src/net/http.ts
+++ b/src/net/http.ts
@@ -2,13 +2,13 @@
 import type { DurationMs, Endpoint } from '../units/index.js';
 
 /** Whom a call goes to. Each lane has sockets of its own, so that no call waits behind another's. */
-export type Lane = 'lease' | 'store' | 'cloud' | 'worker';
+export type ConnectionPool = 'lease' | 'store' | 'cloud' | 'worker';
 
 /** A call whose body, and whose answer's body, is CBOR. */
-export interface Request {
+export interface HttpRequest {
   readonly endpoint: Endpoint;
   /** Without one, the call goes to a host among many, as workers are. */
-  readonly lane?: Lane;
+  readonly pool?: ConnectionPool;
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
   /** Without one, the call has no body. */
@@ -18,9 +18,9 @@
 }
 
 /** What is known of a call once it is over. */
-export type Outcome =
+export type HttpOutcome =
   | {
-      readonly kind: 'answer';
+      readonly kind: 'response';
       readonly status: number;
       /** Decoded; undefined if the answer has none. */
       readonly body: unknown;
@@ -32,5 +32,5 @@
 
 /** Sends calls. The promise is fulfilled with an outcome, also when the call fails. */
 export interface HttpClient {
-  send(request: Request): Promise<Outcome>;
+  send(request: HttpRequest): Promise<HttpOutcome>;
 }
--- a/src/net/client.ts
+++ b/src/net/pooled-http-client.ts
@@ -3,10 +3,10 @@
 import type { Socket } from 'node:net';
 import type { Endpoint } from '../units/index.js';
 import { Exchange } from './exchange.js';
-import type { HttpClient, Lane, Outcome, Request } from './http.js';
+import type { HttpClient, ConnectionPool, HttpOutcome, HttpRequest } from './http.js';
 
 /** The lanes that lead to a single host. */
-type SingleHostLane = Exclude<Lane, 'worker'>;
+type SingleHostLane = Exclude<ConnectionPool, 'worker'>;
 
 interface SocketLimits {
   /** Sockets to one host, in use and idle. */
@@ -22,7 +22,10 @@
 };
 
 /** The most sockets that the lanes to single hosts take together. */
-export const LANE_SOCKETS = Object.values(LANE_LIMITS).reduce((sum, { max }) => sum + max, 0);
+export const MAX_STORE_AND_CLOUD_SOCKETS = Object.values(LANE_LIMITS).reduce(
+  (sum, { max }) => sum + max,
+  0,
+);
 
 const newAgent = ({ max, idle }: SocketLimits): http.Agent =>
   new http.Agent({
@@ -33,7 +36,7 @@
   });
 
 /** HTTP with CBOR bodies over kept connections. */
-export class NodeHttpClient implements HttpClient {
+export class PooledHttpClient implements HttpClient {
   private readonly lanes: Readonly<Record<SingleHostLane, http.Agent>> = {
     lease: newAgent(LANE_LIMITS.lease),
     store: newAgent(LANE_LIMITS.store),
@@ -54,8 +57,8 @@
     this.workers = newAgent({ max: maxPerWorker, idle: idlePerWorker });
   }
 
-  send(request: Request): Promise<Outcome> {
-    const lane = request.lane ?? 'worker';
+  send(request: HttpRequest): Promise<HttpOutcome> {
+    const lane = request.pool ?? 'worker';
     if (lane !== 'worker') {
       return new Promise((resolve) => {
         new Exchange(request, this.lanes[lane], resolve);
--- a/src/peer/link.ts
+++ b/src/peer/link.ts
@@ -4,14 +4,14 @@
 import type { Logger } from 'pino';
 import {
   SteadyMs,
-  later,
+  addDuration,
   ms,
   durationBetween,
   type Clock,
   type DurationMs,
   type Endpoint,
 } from '../units/index.js';
-import { messageOf } from '../units/errors.js';
+import { errorMessage } from '../units/errors.js';
 import type { Peer } from './channel.js';
 import { decodeResponse, encodeRequest } from './codec.js';
 import { Deframer, Framer } from './framing.js';
@@ -106,10 +106,10 @@
       timer.cancel();
       if (this.socket === socket) this.drop(reason);
     };
-    pipeline(framer, socket).catch((error: unknown) => onEnded(messageOf(error)));
+    pipeline(framer, socket).catch((error: unknown) => onEnded(errorMessage(error)));
     this.receive(socket).then(
       () => onEnded('closed by the other side'),
-      (error: unknown) => onEnded(messageOf(error)),
+      (error: unknown) => onEnded(errorMessage(error)),
     );
   }
 
@@ -132,7 +132,7 @@
     this.framer = undefined;
     this.isConnected = false;
     this.silentSince = undefined;
-    this.reconnectAt = later(this.clock.steady(), RECONNECT_PAUSE);
+    this.reconnectAt = addDuration(this.clock.steady(), RECONNECT_PAUSE);
     socket?.destroy();
     for (const settle of [...this.pending.values()]) settle(undefined);
   }
--- a/src/peer/liveness.ts
+++ b/src/peer/liveness.ts
@@ -1,12 +1,12 @@
 /** Heartbeats between controllers: who leads, who answers, and whether this node is cut off. */
 import type { Logger } from 'pino';
-import { detach } from '../units/detach.js';
+import { runInBackground } from '../units/run-in-background.js';
 import {
   ms,
   durationBetween,
   seconds,
   type Clock,
-  type NodeId,
+  type ControllerId,
   type SteadyMs,
 } from '../units/index.js';
 import type { Peer } from './channel.js';
@@ -62,11 +62,11 @@
  * depends on it, and so that a node that the state service does not serve still learns who leads.
  */
 export class PeerLiveness {
-  private readonly latest = new Map<NodeId, ReceivedStatus>();
+  private readonly latest = new Map<ControllerId, ReceivedStatus>();
   private isStopped = false;
 
   constructor(
-    private readonly peers: ReadonlyMap<NodeId, Peer>,
+    private readonly peers: ReadonlyMap<ControllerId, Peer>,
     private readonly clock: Clock,
     private readonly log: Logger,
     private readonly exchange: StatusExchange,
@@ -80,7 +80,7 @@
     this.isStopped = true;
   }
 
-  private sendHeartbeat(node: NodeId, peer: Peer): void {
+  private sendHeartbeat(node: ControllerId, peer: Peer): void {
     if (this.isStopped) return;
     const status = this.exchange.ownStatus();
     const exchanged = peer
@@ -91,7 +91,7 @@
         this.exchange.onPeerStatus(response.status);
       })
       .finally(() => this.clock.after(HEARTBEAT_INTERVAL, () => this.sendHeartbeat(node, peer)));
-    detach(exchanged, this.log, 'heartbeat to a peer');
+    runInBackground(exchanged, this.log, 'heartbeat to a peer');
   }
 
   /** Takes another node's heartbeat and returns the status to respond with. */
--- a/src/peer/messages.ts
+++ b/src/peer/messages.ts
@@ -1,5 +1,5 @@
 /** The messages between controllers: requests and responses, each a discriminated union. */
-import type { NodeId } from '../units/index.js';
+import type { ControllerId } from '../units/index.js';
 import type { Command, Heartbeat } from '../wire/index.js';
 
 /** A controller's status, in each heartbeat between controllers and in the response to one. */
@@ -56,7 +56,7 @@
 export interface WorkerHeartbeatsRequest {
   readonly type: 'workerHeartbeats';
   /** The node that the workers report to. */
-  readonly node: NodeId;
+  readonly node: ControllerId;
   /** The epoch under which the baselines were assigned. */
   readonly epoch: number;
   readonly heartbeats: readonly RelayedHeartbeat[];
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -2,8 +2,8 @@
 import net from 'node:net';
 import { pipeline } from 'node:stream/promises';
 import type { Logger } from 'pino';
-import { detach } from '../units/detach.js';
-import { messageOf } from '../units/errors.js';
+import { runInBackground } from '../units/run-in-background.js';
+import { errorMessage } from '../units/errors.js';
 import type { PeerHandler } from './channel.js';
 import { decodeRequest, encodeResponse, type Envelope } from './codec.js';
 import { Deframer, Framer } from './framing.js';
@@ -40,10 +40,10 @@
     pipeline(socket, new Deframer(), async (frames: AsyncIterable<Buffer>) => {
       for await (const frame of frames) {
         // Answered as they arrive, not in turn: a slow request must not delay the others.
-        detach(respond(decode(frame, from)), log, 'peer request');
+        runInBackground(respond(decode(frame, from)), log, 'peer request');
       }
     }).catch((error: unknown) => {
-      log.debug({ from, reason: messageOf(error) }, 'connection of a peer ended');
+      log.debug({ from, reason: errorMessage(error) }, 'connection of a peer ended');
       socket.destroy();
     });
   });
--- a/src/relay/batch.ts
+++ b/src/relay/batch.ts
@@ -1,7 +1,7 @@
 /** Batches of heartbeats: which go in one, and how many. */
 import type { SteadyMs, DurationMs } from '../units/index.js';
 import { ms } from '../units/index.js';
-import type { Heartbeat, HeartbeatReply } from '../wire/index.js';
+import type { Heartbeat, WorkerHeartbeatResponse } from '../wire/index.js';
 
 /** Heartbeats and the commands in their responses must fit a frame of the channel between controllers. */
 const MAX_BATCH_BYTES = 40 * 1024;
@@ -27,7 +27,7 @@
   /** It must be sent in full, since the leader does not know its baseline. */
   readonly sendFull: boolean;
   /** Called once, with undefined if there is no reply. */
-  readonly resolve: (reply: HeartbeatReply | undefined) => void;
+  readonly resolve: (reply: WorkerHeartbeatResponse | undefined) => void;
 }
 
 /**
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -5,16 +5,16 @@
 import type { Logger } from 'pino';
 import type { Peer } from '../peer/channel.js';
 import type { HeartbeatResponse } from '../peer/messages.js';
-import { detach } from '../units/detach.js';
+import { runInBackground } from '../units/run-in-background.js';
 import {
-  later,
+  addDuration,
   ms,
   durationBetween,
   type Clock,
-  type NodeId,
+  type ControllerId,
   type SteadyMs,
 } from '../units/index.js';
-import type { Heartbeat, HeartbeatReply } from '../wire/index.js';
+import type { Heartbeat, WorkerHeartbeatResponse } from '../wire/index.js';
 import { Baselines } from './baselines.js';
 import { INITIAL_BATCH_SIZE, nextBatchSize, takeBatch, type PendingHeartbeat } from './batch.js';
 
@@ -34,7 +34,7 @@
 /** What a `HeartbeatRelay` works with. */
 export interface HeartbeatRelayOptions {
   /** The node that the workers report to. */
-  readonly node: NodeId;
+  readonly node: ControllerId;
   readonly clock: Clock;
   readonly log: Logger;
   /** The way to the leader; undefined if none is known or it does not respond. */
@@ -56,14 +56,14 @@
    * The leader's reply to a heartbeat; undefined if there was none in time. `bytes`: the size of the message that
    * the heartbeat came in.
    */
-  send(heartbeat: Heartbeat, bytes: number): Promise<HeartbeatReply | undefined> {
+  send(heartbeat: Heartbeat, bytes: number): Promise<WorkerHeartbeatResponse | undefined> {
     const now = this.options.clock.steady();
     return new Promise((resolve) => {
       this.pending.push({
         heartbeat,
         bytes,
-        waitsUntil: later(now, MAX_LEADER_WAIT),
-        abandonedAt: later(now, ABANDONED_AFTER),
+        waitsUntil: addDuration(now, MAX_LEADER_WAIT),
+        abandonedAt: addDuration(now, ABANDONED_AFTER),
         sendFull: false,
         resolve,
       });
@@ -99,7 +99,7 @@
       this.isBatchInFlight = false;
       this.scheduleFlush();
     });
-    detach(sent, log, 'batch of heartbeats');
+    runInBackground(sent, log, 'batch of heartbeats');
   }
 
   private waitForLeader(): void {
--- a/src/relay/worker-call.ts
+++ b/src/relay/worker-call.ts
@@ -2,7 +2,7 @@
  * Commands to workers: sent by the leader itself, or by the follower that a worker reports through.
  * Either way the leader alone decides, and the worker checks token and session.
  */
-import type { HttpClient, Outcome } from '../net/http.js';
+import type { HttpClient, HttpOutcome } from '../net/http.js';
 import type { Peer } from '../peer/channel.js';
 import type { CommandOutcome, CommandResult, SendCommandsRequest } from '../peer/messages.js';
 import { Endpoint, ms } from '../units/index.js';
@@ -11,8 +11,8 @@
 /** How much longer than the call itself its result may take to return through another node. */
 const RELAY_MARGIN = ms(500);
 
-const OUTCOMES: Record<Outcome['kind'], CommandOutcome> = {
-  answer: 'answered',
+const OUTCOMES: Record<HttpOutcome['kind'], CommandOutcome> = {
+  response: 'answered',
   undelivered: 'undelivered',
   unknown: 'unknown',
 };
@@ -23,7 +23,7 @@
   { address, fencingToken, session, timeoutMs, commands }: SendCommandsRequest,
 ): Promise<CommandResult> {
   const outcome = await http.send({
-    lane: 'worker',
+    pool: 'worker',
     endpoint: Endpoint(address),
     method: 'POST',
     path: '/commands',
@@ -33,8 +33,8 @@
   return {
     type: 'commandResult',
     outcome: OUTCOMES[outcome.kind],
-    reason: outcome.kind === 'answer' ? '' : outcome.reason,
-    heartbeat: outcome.kind === 'answer' ? (decodeHeartbeat(outcome.body) ?? null) : null,
+    reason: outcome.kind === 'response' ? '' : outcome.reason,
+    heartbeat: outcome.kind === 'response' ? (decodeHeartbeat(outcome.body) ?? null) : null,
   };
 }
 
--- a/src/socket-budget.ts
+++ b/src/socket-budget.ts
@@ -1,6 +1,6 @@
 /** How the sockets that a node may open are divided. */
 import type { Settings } from './config/settings.js';
-import { LANE_SOCKETS } from './net/client.js';
+import { MAX_STORE_AND_CLOUD_SOCKETS } from './net/pooled-http-client.js';
 
 /** The share of a node's sockets that its own calls to workers may take, those that are kept included. */
 const COMMAND_SHARE = 0.12;
@@ -20,9 +20,13 @@
 }
 
 /** Divides the connections that the platform allows a node. */
-export function socketBudget({ limits, others }: Settings): SocketBudget {
+export function socketBudget({ limits, otherControllers }: Settings): SocketBudget {
   const { maxConnections } = limits;
   const commands = Math.max(MIN_COMMAND_SOCKETS, Math.floor(maxConnections * COMMAND_SHARE));
-  const own = commands + LANE_SOCKETS + SOCKETS_PER_PEER * others.length + SPARE_SOCKETS;
+  const own =
+    commands +
+    MAX_STORE_AND_CLOUD_SOCKETS +
+    SOCKETS_PER_PEER * otherControllers.length +
+    SPARE_SOCKETS;
   return { commands, api: Math.max(MIN_API_SOCKETS, maxConnections - own) };
 }
--- a/src/store/backoff.ts
+++ b/src/store/backoff.ts
@@ -1,5 +1,12 @@
 /** Growing pauses between attempts that keep failing. */
-import { SteadyMs, later, ms, type Clock, type DurationMs, type Random } from '../units/index.js';
+import {
+  SteadyMs,
+  addDuration,
+  ms,
+  type Clock,
+  type DurationMs,
+  type Random,
+} from '../units/index.js';
 
 /** Pauses that double with each failure, spread by a quarter either way so that nodes do not fall in step. */
 export class Backoff {
@@ -16,8 +23,8 @@
   }
 
   /** Begins a pause and doubles the next one, up to the maximum. */
-  noteFailure(): void {
-    this.pausedUntil = later(
+  recordFailure(): void {
+    this.pausedUntil = addDuration(
       this.clock.steady(),
       ms(this.nextPause * (0.75 + 0.5 * this.random())),
     );
@@ -25,7 +32,7 @@
   }
 
   /** Ends the pause; the next one is as short as the first. */
-  noteSuccess(): void {
+  recordSuccess(): void {
     this.nextPause = this.minPause;
     this.pausedUntil = SteadyMs(0);
   }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,5 +1,5 @@
 /** The client of the state service: reads, compare-and-swap, leases and watches. */
-import type { HttpClient, Outcome, Request } from '../net/http.js';
+import type { HttpClient, HttpOutcome, HttpRequest } from '../net/http.js';
 import {
   Revision,
   ms,
@@ -10,18 +10,18 @@
   type SteadyMs,
 } from '../units/index.js';
 import {
-  decodeCommitted,
-  decodeConflict,
-  decodeLease,
+  decodeCommitRevision,
+  decodeConflictingKeys,
+  decodeLeaseId,
   decodeStoredValue,
   decodeValuePage,
-  decodeWatch,
+  decodeWatchedChanges,
   encodeLeaseRequest,
   encodeTransaction,
-  type Condition,
-  type Write,
+  type StoreCondition,
+  type StoreWrite,
 } from '../wire/index.js';
-import { CallQueue } from './call-queue.js';
+import { RequestQueue } from './request-queue.js';
 import { RateBudget, type Role, type StoreRateLimits } from './rate-budget.js';
 import type {
   CommitResult,
@@ -37,7 +37,7 @@
 const WATCH_MARGIN_MS = 3000;
 
 /** How a call leaves. */
-export interface CallOptions {
+export interface RequestOptions {
   /** Leaves at once, whatever the budget holds, on connections of its own: for leases and the rebuild. */
   readonly urgent?: boolean;
   /** How long the call may wait for its turn; without it, as long as it takes. */
@@ -52,7 +52,7 @@
   readonly random: Random;
   readonly limits: StoreRateLimits;
   /** How many controllers share the rates. */
-  readonly nodeCount: number;
+  readonly controllerCount: number;
 }
 
 /** The state service, called within this node's share of its rates. */
@@ -61,15 +61,15 @@
   private readonly endpoint: Endpoint;
   private readonly clock: Clock;
   private readonly budget: RateBudget;
-  private readonly queue: CallQueue;
+  private readonly queue: RequestQueue;
   private lastServedAt: SteadyMs;
 
-  constructor({ http, endpoint, clock, random, limits, nodeCount }: StoreClientOptions) {
+  constructor({ http, endpoint, clock, random, limits, controllerCount }: StoreClientOptions) {
     this.http = http;
     this.endpoint = endpoint;
     this.clock = clock;
-    this.budget = new RateBudget(clock, limits, nodeCount);
-    this.queue = new CallQueue(this.budget, clock, random);
+    this.budget = new RateBudget(clock, limits, controllerCount);
+    this.queue = new RequestQueue(this.budget, clock, random);
     this.lastServedAt = clock.steady();
   }
 
@@ -99,15 +99,15 @@
   }
 
   /** How many writes may leave now, and which share of a full burst they are. */
-  availableWrites(): { readonly count: number; readonly share: number } {
-    return this.budget.availableWrites();
+  availableWriteTokens(): { readonly count: number; readonly share: number } {
+    return this.budget.availableWriteTokens();
   }
 
   private async send(
-    request: Omit<Request, 'endpoint' | 'lane'>,
-    options: CallOptions = {},
+    request: Omit<HttpRequest, 'endpoint' | 'pool'>,
+    options: RequestOptions = {},
     writes = 0,
-  ): Promise<Outcome> {
+  ): Promise<HttpOutcome> {
     const { urgent = false, queueTimeout: patience = ms(Infinity) } = options;
     if (urgent) this.budget.forceTake(writes);
     else if (!(await this.queue.waitForTurn(writes, patience))) {
@@ -115,19 +115,19 @@
     }
     const outcome = await this.http.send({
       ...request,
-      lane: urgent ? 'lease' : 'store',
+      pool: urgent ? 'lease' : 'store',
       endpoint: this.endpoint,
     });
-    if (outcome.kind !== 'answer') return outcome;
+    if (outcome.kind !== 'response') return outcome;
     if (outcome.status !== 503) this.lastServedAt = this.clock.steady();
-    if (outcome.status === 429) this.budget.noteThrottled(writes);
+    if (outcome.status === 429) this.budget.onThrottled(writes);
     return outcome;
   }
 
   /** Reads one key. */
-  async get(key: string, timeout: DurationMs, options: CallOptions = {}): Promise<ReadResult> {
+  async get(key: string, timeout: DurationMs, options: RequestOptions = {}): Promise<ReadResult> {
     const outcome = await this.send({ method: 'GET', path: `/store/${key}`, timeout }, options);
-    if (outcome.kind !== 'answer') return { kind: 'failed', reason: outcome.reason };
+    if (outcome.kind !== 'response') return { kind: 'failed', reason: outcome.reason };
     if (outcome.status === 404) return { kind: 'absent' };
     const value = outcome.status === 200 ? decodeStoredValue(outcome.body) : undefined;
     if (!value) return { kind: 'failed', reason: `status ${outcome.status}` };
@@ -139,7 +139,7 @@
   async list(
     prefix: string,
     timeout: DurationMs,
-    options: CallOptions = {},
+    options: RequestOptions = {},
   ): Promise<ListResult | undefined> {
     const items: ListResult['items'][number][] = [];
     let from: string | undefined;
@@ -148,7 +148,7 @@
       const after = from === undefined ? '' : `&from=${from}`;
       const path = `/store?starts=${prefix}${after}&limit=${PAGE_SIZE}`;
       const outcome = await this.send({ method: 'GET', path, timeout }, options);
-      if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
+      if (outcome.kind !== 'response' || outcome.status !== 200) return undefined;
       const page = decodeValuePage(outcome.body);
       if (!page) return undefined;
       for (const { key, data, revision } of page.values) {
@@ -162,10 +162,10 @@
 
   /** Applies all writes if all conditions hold, otherwise none. */
   async transact(
-    conditions: readonly Condition[],
-    writes: readonly Write[],
+    conditions: readonly StoreCondition[],
+    writes: readonly StoreWrite[],
     timeout: DurationMs,
-    options: CallOptions = {},
+    options: RequestOptions = {},
   ): Promise<CommitResult> {
     const body = encodeTransaction(conditions, writes);
     const outcome = await this.send(
@@ -182,8 +182,8 @@
       { method: 'POST', path: '/leases', body: encodeLeaseRequest(Math.round(ttl)), timeout },
       { urgent: true },
     );
-    if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
-    return decodeLease(outcome.body);
+    if (outcome.kind !== 'response' || outcome.status !== 200) return undefined;
+    return decodeLeaseId(outcome.body);
   }
 
   /** Starts the time of a lease anew. */
@@ -192,7 +192,7 @@
       { method: 'POST', path: `/leases/${lease}/touch`, body: {}, timeout },
       { urgent: true },
     );
-    if (outcome.kind !== 'answer') return 'failed';
+    if (outcome.kind !== 'response') return 'failed';
     if (outcome.status === 200) return 'renewed';
     return outcome.status === 404 ? 'gone' : 'failed';
   }
@@ -209,25 +209,25 @@
       path: `/follow?starts=${prefix}&from=${from}&wait_ms=${Math.round(wait)}`,
       timeout: ms(wait + WATCH_MARGIN_MS),
     });
-    if (outcome.kind !== 'answer') return 'failed';
+    if (outcome.kind !== 'response') return 'failed';
     if (outcome.status === 410) return 'stale';
-    return outcome.status === 200 && decodeWatch(outcome.body) ? 'changed' : 'failed';
+    return outcome.status === 200 && decodeWatchedChanges(outcome.body) ? 'changed' : 'failed';
   }
 }
 
 /** What is known of a transaction after its call. */
-function toCommitResult(outcome: Outcome): CommitResult {
+function toCommitResult(outcome: HttpOutcome): CommitResult {
   if (outcome.kind === 'unknown') return { kind: 'unknown', reason: outcome.reason };
   if (outcome.kind === 'undelivered') return { kind: 'refused', reason: outcome.reason };
   const { status, body } = outcome;
   switch (status) {
     case 200: {
-      const revision = decodeCommitted(body);
+      const revision = decodeCommitRevision(body);
       if (revision !== undefined) return { kind: 'committed', revision: Revision(revision) };
       return { kind: 'unknown', reason: 'unreadable answer' };
     }
     case 409:
-      return { kind: 'conflict', failed: decodeConflict(body) ?? [] };
+      return { kind: 'conflict', failed: decodeConflictingKeys(body) ?? [] };
     case 400:
       return { kind: errorOf(body) === 'no such lease' ? 'leaseExpired' : 'tooLarge' };
     case 429:
--- a/src/store/rate-budget.ts
+++ b/src/store/rate-budget.ts
@@ -44,7 +44,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly limits: StoreRateLimits,
-    private readonly nodeCount: number,
+    private readonly controllerCount: number,
   ) {
     this.rates = limits;
     this.requests = this.newBucket(limits.requestRate, 'requests');
@@ -52,9 +52,13 @@
   }
 
   private newBucket(rate: number, kind: 'requests' | 'writes'): TokenBucket {
-    const nodesInRole = { leading: 1, following: this.nodeCount - 1, leaderless: this.nodeCount };
+    const nodesInRole = {
+      leading: 1,
+      following: this.controllerCount - 1,
+      leaderless: this.controllerCount,
+    };
     const share =
-      this.nodeCount === 1
+      this.controllerCount === 1
         ? SINGLE_NODE_SHARE
         : RATE_SHARES[this.role][kind] / Math.max(1, nodesInRole[this.role]);
     return new TokenBucket(this.clock, rate * share, Math.max(MIN_BURST, rate * share));
@@ -101,7 +105,7 @@
   }
 
   /** The state service has refused a call of so many writes as too early. */
-  noteThrottled(writes: number): void {
+  onThrottled(writes: number): void {
     this.lowerRates();
     this.requests.drain();
     if (writes > 0) this.writes.drain();
@@ -123,7 +127,7 @@
   }
 
   /** How many writes may leave now, and which share of a full burst they are. */
-  availableWrites(): { readonly count: number; readonly share: number } {
+  availableWriteTokens(): { readonly count: number; readonly share: number } {
     const { tokens, burst } = this.writes.level();
     return { count: Math.floor(tokens), share: tokens / burst };
   }
--- a/src/store/call-queue.ts
+++ b/src/store/request-queue.ts
@@ -1,6 +1,6 @@
 /** The order in which calls to the state service leave. */
 import {
-  later,
+  addDuration,
   ms,
   type Clock,
   type DurationMs,
@@ -20,7 +20,7 @@
 }
 
 /** Calls that wait until the budget has what they need, in the order in which they were made. */
-export class CallQueue {
+export class RequestQueue {
   private queue: QueuedCall[] = [];
   private isRetryScheduled = false;
 
@@ -33,7 +33,7 @@
   /** True once a call of so many writes may leave; false, at once, if it would have to wait for longer than `patience`. */
   waitForTurn(writes: number, patience: DurationMs): Promise<boolean> {
     if (this.queue.length === 0 && this.budget.tryTake(writes)) return Promise.resolve(true);
-    const deadline = later(this.clock.steady(), patience);
+    const deadline = addDuration(this.clock.steady(), patience);
     if (this.expectedWait() > patience) return Promise.resolve(false);
     return new Promise((resolve) => {
       this.queue.push({ writes, deadline, resolve });
--- a/src/units/index.ts
+++ b/src/units/index.ts
@@ -11,7 +11,7 @@
 /** The id of a machine, chosen by the cloud. */
 export type MachineId = Brand<string, 'MachineId'>;
 /** The name of a controller. */
-export type NodeId = Brand<string, 'NodeId'>;
+export type ControllerId = Brand<string, 'ControllerId'>;
 /** An IPv4 address with a port, as `10.0.0.1:8080`. */
 export type Endpoint = Brand<string, 'Endpoint'>;
 /** `<job>/<index>`, the name of one task. */
@@ -31,7 +31,7 @@
 
 export const JobId = (id: string): JobId => id as JobId;
 export const MachineId = (id: string): MachineId => id as MachineId;
-export const NodeId = (name: string): NodeId => name as NodeId;
+export const ControllerId = (name: string): ControllerId => name as ControllerId;
 export const Endpoint = (address: string): Endpoint => address as Endpoint;
 export const Revision = (value: number): Revision => value as Revision;
 export const Epoch = (value: number): Epoch => value as Epoch;
@@ -45,7 +45,7 @@
 export const seconds = (value: number): DurationMs => (value * 1000) as DurationMs;
 
 /** The time a duration after another. */
-export const later = (time: SteadyMs, duration: DurationMs): SteadyMs =>
+export const addDuration = (time: SteadyMs, duration: DurationMs): SteadyMs =>
   (time + duration) as SteadyMs;
 /** The duration from one time to a later one; negative if it is an earlier one. */
 export const durationBetween = (from: SteadyMs, to: SteadyMs): DurationMs =>
@@ -70,14 +70,14 @@
 }
 
 /** Steady clocks of two machines drift apart by at most this share. */
-export const MAX_DRIFT = 0.0005;
+export const MAX_CLOCK_DRIFT_RATIO = 0.0005;
 
 /** A duration, lengthened: once it has passed on this clock, the original one has passed on every clock. */
 export const upperBoundUnderDrift = (duration: DurationMs): DurationMs =>
-  ms(duration * (1 + 2 * MAX_DRIFT));
+  ms(duration * (1 + 2 * MAX_CLOCK_DRIFT_RATIO));
 /** A duration, shortened: until it has passed on this clock, the original one has passed on no clock. */
 export const lowerBoundUnderDrift = (duration: DurationMs): DurationMs =>
-  ms(duration * (1 - 2 * MAX_DRIFT));
+  ms(duration * (1 - 2 * MAX_CLOCK_DRIFT_RATIO));
 
 /** A call that is due later. */
 export interface Timer {
--- a/src/units/detach.ts
+++ b/src/units/run-in-background.ts
@@ -6,7 +6,7 @@
 }
 
 /** Detaches work from its caller on purpose: it is not awaited, and a failure is logged as `<what> failed`. */
-export function detach(work: Promise<unknown>, log: ErrorLog, what: string): void {
+export function runInBackground(work: Promise<unknown>, log: ErrorLog, what: string): void {
   work.catch((error: unknown) => {
     log.error({ err: error }, `${what} failed`);
   });
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -2,7 +2,7 @@
 import { Encoder, type Options } from 'cbor-x';
 
 /** The largest body of a message, in bytes. */
-export const MAX_BODY = 64 * 1024;
+export const MAX_BODY_BYTES = 64 * 1024;
 /** The media type of every body. */
 export const CONTENT_TYPE = 'application/cbor';
 
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -54,26 +54,26 @@
 }
 
 /** A condition of a compare-and-swap: the key has this revision; with 0, it does not exist. */
-export interface Condition {
+export interface StoreCondition {
   readonly key: string;
   readonly revision: number;
 }
 
 /** A change of a compare-and-swap. A put attaches its key to the lease, if it names one. */
-export type Write =
+export type StoreWrite =
   | { readonly put: string; readonly data: unknown; readonly leaseId?: number }
   | { readonly delete: string };
 
 /** A compare-and-swap: all writes are applied if all conditions hold, otherwise none. */
 export const encodeTransaction = (
-  conditions: readonly Condition[],
-  writes: readonly Write[],
+  conditions: readonly StoreCondition[],
+  writes: readonly StoreWrite[],
 ): object => ({
   if: conditions.map(({ key, revision }) => ({ key, stamp: revision })),
   writes: writes.map(encodeWrite),
 });
 
-function encodeWrite(write: Write): object {
+function encodeWrite(write: StoreWrite): object {
   if ('delete' in write || write.leaseId === undefined) return write;
   const { put, data, leaseId } = write;
   return { put, data, tenure: leaseId };
@@ -82,7 +82,7 @@
 const CommittedMessage = z.object({ ledger_rev: z.number() });
 
 /** The revision of a transaction that was carried out; undefined if the message does not state one. */
-export function decodeCommitted(value: unknown): number | undefined {
+export function decodeCommitRevision(value: unknown): number | undefined {
   const parsed = CommittedMessage.safeParse(value);
   return parsed.success ? parsed.data.ledger_rev : undefined;
 }
@@ -90,7 +90,7 @@
 const ConflictMessage = z.object({ failed: z.array(z.string()), ledger_rev: z.number() });
 
 /** The keys whose conditions did not hold; undefined if the message does not state them. */
-export function decodeConflict(value: unknown): string[] | undefined {
+export function decodeConflictingKeys(value: unknown): string[] | undefined {
   const parsed = ConflictMessage.safeParse(value);
   return parsed.success ? parsed.data.failed : undefined;
 }
@@ -101,7 +101,7 @@
 export const encodeLeaseRequest = (ttlMs: number): object => ({ ttl_ms: ttlMs });
 
 /** The id of a new lease; undefined if the message does not state one. */
-export function decodeLease(value: unknown): number | undefined {
+export function decodeLeaseId(value: unknown): number | undefined {
   const parsed = LeaseMessage.safeParse(value);
   return parsed.success ? parsed.data.tenure : undefined;
 }
@@ -127,7 +127,7 @@
 }
 
 /** The answer to a watch; undefined if the message is none. */
-export function decodeWatch(value: unknown): WatchedChanges | undefined {
+export function decodeWatchedChanges(value: unknown): WatchedChanges | undefined {
   const parsed = WatchMessage.safeParse(value);
   if (!parsed.success) return undefined;
   const keys = parsed.data.log.map((change) => change.put ?? change.delete ?? '');
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -1,11 +1,11 @@
 /** Messages between users and controllers: submissions, job states and cancellations. */
 import * as z from 'zod';
-import { decode, isMap, MAX_BODY } from './codec.js';
+import { decode, isMap, MAX_BODY_BYTES } from './codec.js';
 
 /** The form of job ids. */
-export const JOB_ID = /^run-\d{6,20}$/;
+export const JOB_ID_PATTERN = /^run-\d{6,20}$/;
 /** The most tasks that a job may have. */
-export const MAX_TASKS = 100_000;
+export const MAX_TASKS_PER_JOB = 100_000;
 
 /** The field that names a job's team, in every message of users and in final records. */
 export const TEAM_FIELD = 'desk';
@@ -35,12 +35,12 @@
 
 /** A submission as it is sent. Its fields must keep their order: compact records depend on it. */
 export const SubmissionMessage = z.object({
-  name_id: z.string().regex(JOB_ID),
+  name_id: z.string().regex(JOB_ID_PATTERN),
   docket: name,
   desk: name,
   shape: z.enum(JobKind),
   urgency: z.enum(PRIORITIES),
-  entries: z.number().int().min(1).max(MAX_TASKS),
+  entries: z.number().int().min(1).max(MAX_TASKS_PER_JOB),
   vcpus: amount.positive(),
   gpus: amount,
   ram_gb: amount,
@@ -199,28 +199,28 @@
 });
 
 /** The outcome of a check; `reason` is one line. */
-export type Parsed<T> =
+export type ParseResult<T> =
   { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
 /**
  * The job id of a submission; undefined if it has none. It is read alone, so that a repeated submission of a known
  * job is answered even when its body would be refused.
  */
-export function submissionId(body: Uint8Array): string | undefined {
-  if (body.length > MAX_BODY) return undefined;
+export function decodeSubmissionId(body: Uint8Array): string | undefined {
+  if (body.length > MAX_BODY_BYTES) return undefined;
   try {
     const value = decode(body);
     if (!isMap(value)) return undefined;
     const id = value.name_id;
-    return typeof id === 'string' && JOB_ID.test(id) ? id : undefined;
+    return typeof id === 'string' && JOB_ID_PATTERN.test(id) ? id : undefined;
   } catch {
     return undefined;
   }
 }
 
 /** Checks the body of a submission; `reason` names the invalid field. */
-export function parseSubmission(body: Uint8Array): Parsed<JobSpec> {
-  if (body.length > MAX_BODY) return { ok: false, reason: 'body over 64 KiB' };
+export function parseSubmission(body: Uint8Array): ParseResult<JobSpec> {
+  if (body.length > MAX_BODY_BYTES) return { ok: false, reason: 'body over 64 KiB' };
   let value: unknown;
   try {
     value = decode(body);
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -124,7 +124,7 @@
 }
 
 /** Start a task, or remove one that has exited. */
-export interface PlainCommand extends TaskCommand {
+export interface StartOrClearCommand extends TaskCommand {
   readonly type: 'launch' | 'clear';
 }
 
@@ -135,16 +135,16 @@
 }
 
 /** A command to a worker. */
-export type Command = PlainCommand | KillCommand;
+export type Command = StartOrClearCommand | KillCommand;
 
 /** The answer to a heartbeat, which renews the worker's lease. */
-export interface HeartbeatReply {
+export interface WorkerHeartbeatResponse {
   readonly fencingToken: number;
   readonly commands: readonly Command[];
 }
 
 /** Commands in a request to a worker. It refuses them unless fencing token and session match. */
-export interface CommandRequest extends HeartbeatReply {
+export interface CommandRequest extends WorkerHeartbeatResponse {
   readonly session: number;
 }
 
@@ -155,7 +155,7 @@
   taskFields.extend({ verb: z.literal('kill'), wind_down_s: z.number() }),
 ]);
 type CommandMessage = z.infer<typeof CommandMessage>;
-const HeartbeatReplyMessage = z.object({ baton: count, orders: z.array(CommandMessage) });
+const WorkerHeartbeatResponseMessage = z.object({ baton: count, orders: z.array(CommandMessage) });
 
 /** A command as it is sent. */
 export function encodeCommand(command: Command): CommandMessage {
@@ -175,14 +175,17 @@
 }
 
 /** The answer to a heartbeat as it is sent. */
-export const encodeHeartbeatReply = ({ fencingToken, commands }: HeartbeatReply): object => ({
+export const encodeWorkerHeartbeatResponse = ({
+  fencingToken,
+  commands,
+}: WorkerHeartbeatResponse): object => ({
   baton: fencingToken,
   orders: commands.map(encodeCommand),
 });
 
 /** For clients: the answer to a heartbeat. Throws a `ZodError` if the message is none. */
-export function decodeHeartbeatReply(value: unknown): HeartbeatReply {
-  const { baton, orders } = HeartbeatReplyMessage.parse(value);
+export function decodeWorkerHeartbeatResponse(value: unknown): WorkerHeartbeatResponse {
+  const { baton, orders } = WorkerHeartbeatResponseMessage.parse(value);
   return { fencingToken: baton, commands: orders.map(decodeCommand) };
 }
 
--- a/test/sim/fleet.test.ts
+++ b/test/sim/fleet.test.ts
@@ -219,7 +219,7 @@
     world.network.losesAnswer = undefined;
     world.network.hold(undefined);
     const outcome = await again;
-    assert.ok(outcome.kind === 'answer');
+    assert.ok(outcome.kind === 'response');
     const status = (outcome.body as { status?: string } | undefined)?.status;
     assert.ok(outcome.status === 503 || status === 'aborted', `${outcome.status} ${status ?? ''}`);
   }
--- a/test/standin/build.ts
+++ b/test/standin/build.ts
@@ -5,7 +5,7 @@
 import type { Logger } from 'pino';
 import type { Reply } from '../../src/api/reply.js';
 import type { HttpClient } from '../../src/net/http.js';
-import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
+import type { Clock, DurationMs, ControllerId, Random } from '../../src/units/index.js';
 
 /** The connection of one controller to another. */
 export interface PeerConnection {
@@ -28,7 +28,7 @@
   readonly random: Random;
   readonly http: HttpClient;
   readonly log: Logger;
-  readonly peers: ReadonlyMap<NodeId, PeerConnection>;
+  readonly peers: ReadonlyMap<ControllerId, PeerConnection>;
   /** Names this process among those that have run on its node. */
   readonly processId: string;
 }
--- a/test/standin/controllers.ts
+++ b/test/standin/controllers.ts
@@ -1,7 +1,7 @@
 /** The controllers of a world: their processes start, end, stand still and are upgraded. */
 import type { Logger } from 'pino';
 import type { HttpClient } from '../../src/net/http.js';
-import type { Endpoint, NodeId, Random } from '../../src/units/index.js';
+import type { Endpoint, ControllerId, Random } from '../../src/units/index.js';
 import { decode, encode } from '../../src/wire/index.js';
 import type { Build, PeerConnection, RunningController } from './build.js';
 import { ProcessClock, type VirtualTime } from './clock.js';
@@ -57,7 +57,7 @@
         body: frame,
         timeout,
       });
-      if (outcome.kind === 'answer') return read(outcome.body as Buffer);
+      if (outcome.kind === 'response') return read(outcome.body as Buffer);
       unresponsiveUntil = clock.steady() + UNRESPONSIVE_FOR;
       return undefined;
     },
@@ -87,15 +87,18 @@
       (random() - 0.5) * 2 * MAX_DRIFT,
       (random() - 0.5) * 2 * MAX_WALL_OFFSET,
     );
-    const http = network.client(settings.node, settings.zone, clock);
+    const http = network.client(settings.controllerId, settings.zone, clock);
     const build = this.builds.get(node) ?? presentBuild;
     const controller = build.createController(platform.fileOf(node), {
       clock,
       random,
       http,
-      log: log.child({ node: settings.node }),
-      peers: new Map<NodeId, PeerConnection>(
-        settings.others.map((other) => [other.node, connectPeer(http, clock, other.endpoint)]),
+      log: log.child({ node: settings.controllerId }),
+      peers: new Map<ControllerId, PeerConnection>(
+        settings.otherControllers.map((other) => [
+          other.controllerId,
+          connectPeer(http, clock, other.endpoint),
+        ]),
       ),
       processId: `run-${node}-${time.now}`,
     });
--- a/test/standin/faults.ts
+++ b/test/standin/faults.ts
@@ -30,13 +30,14 @@
         settings === own
           ? (address: string) => address === STATE_ADDRESS || clusterEndpoints.has(address)
           : (address: string) => address === own.clusterEndpoint;
-      network.isolate(settings.node, isCutFrom, isRefused);
+      network.isolate(settings.controllerId, isCutFrom, isRefused);
     }
   }
 
   /** Ends the isolation of any controller. */
   reconnect(): void {
-    for (const { node } of this.world.platform.all) this.world.network.reconnect(node);
+    for (const { controllerId } of this.world.platform.all)
+      this.world.network.reconnect(controllerId);
   }
 
   /** Connections between controllers are refused. */
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -8,9 +8,9 @@
 import { Command } from 'commander';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { NodeHttpClient } from '../../src/net/client.js';
+import { PooledHttpClient } from '../../src/net/pooled-http-client.js';
 import { Endpoint, ms, sleep } from '../../src/units/index.js';
-import { systemClock } from '../../src/units/system.js';
+import { systemClock } from '../../src/units/system-clock.js';
 import { encodeJobSpec, type MachineType, type JobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 import { Loopback } from './loopback.js';
@@ -109,7 +109,7 @@
   private readonly random = xoroshiro128plus(SEED);
   private readonly jobs = new Map<string, { readonly spec: JobSpec; readonly runMs: number }>();
   private readonly completed = new Set<string>();
-  private readonly client = new NodeHttpClient(64, 64, 64);
+  private readonly client = new PooledHttpClient(64, 64, 64);
   private readonly endpoint: Endpoint;
   private readonly settingsPath: string;
   private readonly loopback: Loopback;
@@ -249,7 +249,7 @@
     while (!this.isOver) {
       const submission = { endpoint, method: 'POST' as const, path, body, timeout: SUBMIT_TIMEOUT };
       const outcome = await client.send(submission);
-      if (outcome.kind === 'answer' && outcome.status < 300) break;
+      if (outcome.kind === 'response' && outcome.status < 300) break;
       await sleep(systemClock, SUBMIT_RETRY_INTERVAL);
     }
     while (!this.isOver) {
@@ -261,7 +261,7 @@
         timeout: POLL_TIMEOUT,
       };
       const outcome = await client.send(poll);
-      if (outcome.kind !== 'answer') continue;
+      if (outcome.kind !== 'response') continue;
       if ((outcome.body as { status?: string }).status === 'done') return;
     }
   }
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -1,10 +1,10 @@
 /** The stand-ins on loopback, in real time, for one controller that runs as a process of its own. */
 import http from 'node:http';
-import { readBody } from '../../src/net/body.js';
-import { NodeHttpClient } from '../../src/net/client.js';
-import { systemClock } from '../../src/units/system.js';
+import { readBody } from '../../src/net/read-body.js';
+import { PooledHttpClient } from '../../src/net/pooled-http-client.js';
+import { systemClock } from '../../src/units/system-clock.js';
 import { ms } from '../../src/units/index.js';
-import { MAX_BODY, decode, encode, type MachineType } from '../../src/wire/index.js';
+import { MAX_BODY_BYTES, decode, encode, type MachineType } from '../../src/wire/index.js';
 import { settingsFile } from '../support/settings.js';
 import type { TimeSource } from './clock.js';
 import { Cloud, type RentedMachine } from './cloud.js';
@@ -52,7 +52,7 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): Promise<void> {
-  const body = await readBody(request, MAX_BODY);
+  const body = await readBody(request, MAX_BODY_BYTES);
   const { status, body: answered } = await handler(
     request.method ?? 'GET',
     request.url ?? '/',
@@ -79,7 +79,7 @@
   readonly cloud: Cloud;
   /** The workers that are up, by the ids of their machines. */
   readonly workers = new Map<string, ServedWorker>();
-  private readonly client = new NodeHttpClient(4000, 4, 4);
+  private readonly client = new PooledHttpClient(4000, 4, 4);
 
   constructor(private readonly options: LoopbackOptions) {
     const { ports, machineTypes, capacity } = options;
--- a/test/standin/machines.ts
+++ b/test/standin/machines.ts
@@ -57,8 +57,8 @@
     const worker = new Worker({
       machine,
       cpus: this.cloud.machineType(machine.machineType)?.cpus ?? 0,
-      controllers: platform.all.map(({ node, apiEndpoint }) => ({
-        name: node,
+      controllers: platform.all.map(({ controllerId, apiEndpoint }) => ({
+        name: controllerId,
         address: apiEndpoint,
       })),
       http: network.client(machine.id, machine.zone, clock),
--- a/test/standin/network.ts
+++ b/test/standin/network.ts
@@ -2,7 +2,7 @@
  * The network between hosts: delays, cuts that hold messages back and deliver them late, lost requests and
  * answers. A message under way is delivered whatever becomes of its sender.
  */
-import type { HttpClient, Outcome, Request } from '../../src/net/http.js';
+import type { HttpClient, HttpOutcome, HttpRequest } from '../../src/net/http.js';
 import type { Random } from '../../src/units/index.js';
 import { decode, encode } from '../../src/wire/index.js';
 import type { ProcessClock, VirtualTime } from './clock.js';
@@ -36,11 +36,11 @@
   readonly from: string;
   readonly fromZone: string;
   readonly to: string;
-  readonly request: Request;
+  readonly request: HttpRequest;
   /** The body as it arrives. */
   readonly body: unknown;
   /** Ends it for its sender; only the first outcome counts. */
-  readonly settle: (outcome: Outcome) => void;
+  readonly settle: (outcome: HttpOutcome) => void;
 }
 
 /** Where the further copy of a request goes, and after how many milliseconds. */
@@ -64,7 +64,7 @@
   return Buffer.isBuffer(body) ? Buffer.from(body) : decode(encode(body));
 }
 
-const undelivered = (reason: string): Outcome => ({ kind: 'undelivered', reason });
+const undelivered = (reason: string): HttpOutcome => ({ kind: 'undelivered', reason });
 
 const setMember = (set: Set<string>, member: string, isIn: boolean): void => {
   if (isIn) set.add(member);
@@ -160,7 +160,12 @@
   }
 
   /** Sends a request. `resolve` is called once with its outcome, after the timeout at the latest. */
-  send(from: string, zone: string, request: Request, resolve: (outcome: Outcome) => void): void {
+  send(
+    from: string,
+    zone: string,
+    request: HttpRequest,
+    resolve: (outcome: HttpOutcome) => void,
+  ): void {
     const to = request.endpoint;
     if (this.isRefused(from, to)) {
       this.time.after(1, () => resolve(undelivered('refused')));
@@ -170,7 +175,7 @@
     const isConnectionOpen = this.random() < OPEN_CONNECTION_SHARE;
     let isSettled = false;
     let wasSent = false;
-    const settle = (outcome: Outcome): void => {
+    const settle = (outcome: HttpOutcome): void => {
       if (isSettled) return;
       isSettled = true;
       timer.cancel();
@@ -240,7 +245,7 @@
     this.time.after(delay, () => {
       // A cut blocks answers as well: the sender has given up long before it is over.
       if (this.isBlocked(call.from, call.fromZone, call.to)) return;
-      call.settle({ kind: 'answer', status, body: arrived });
+      call.settle({ kind: 'response', status, body: arrived });
     });
   }
 
--- a/test/standin/older-build.ts
+++ b/test/standin/older-build.ts
@@ -6,8 +6,8 @@
 import { pathToFileURL } from 'node:url';
 import type { Logger } from 'pino';
 import type { Reply } from '../../src/api/reply.js';
-import type { HttpClient, Outcome, Request } from '../../src/net/http.js';
-import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
+import type { HttpClient, HttpOutcome, HttpRequest } from '../../src/net/http.js';
+import type { Clock, DurationMs, ControllerId, Random } from '../../src/units/index.js';
 import type { Build, ControllerHost, PeerConnection, RunningController } from './build.js';
 
 /** Values that only the older version reads. */
@@ -19,6 +19,9 @@
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
   | { readonly kind: 'undelivered' | 'unknown'; readonly why: string };
 
+/** A request of the older version, which names the connection pool otherwise. */
+type OlderRequest = Omit<HttpRequest, 'pool'> & { readonly lane?: HttpRequest['pool'] };
+
 interface OlderPeer {
   readonly responsive: boolean;
   /** Resolves with undefined if there was no response in time. */
@@ -28,9 +31,9 @@
 interface OlderWorld {
   readonly clock: Clock;
   readonly random: Random;
-  readonly http: { send(request: Request): Promise<OlderOutcome> };
+  readonly http: { send(request: OlderRequest): Promise<OlderOutcome> };
   readonly log: Logger;
-  readonly peers: ReadonlyMap<NodeId, OlderPeer>;
+  readonly peers: ReadonlyMap<ControllerId, OlderPeer>;
   readonly run: string;
 }
 
@@ -64,11 +67,14 @@
 
 const REQUEST_ID = 1;
 
-const olderOutcome = (outcome: Outcome): OlderOutcome =>
-  outcome.kind === 'answer' ? outcome : { kind: outcome.kind, why: outcome.reason };
+const olderOutcome = (outcome: HttpOutcome): OlderOutcome =>
+  outcome.kind === 'response'
+    ? { kind: 'answer', status: outcome.status, body: outcome.body }
+    : { kind: outcome.kind, why: outcome.reason };
 
 const olderHttp = (http: HttpClient): OlderWorld['http'] => ({
-  send: async (request) => olderOutcome(await http.send(request)),
+  send: async ({ lane, ...request }) =>
+    olderOutcome(await http.send({ ...request, ...(lane && { pool: lane }) })),
 });
 
 const olderPeer = (connection: PeerConnection, messages: OlderModules['messages']): OlderPeer => ({
--- a/test/standin/present-build.ts
+++ b/test/standin/present-build.ts
@@ -1,5 +1,5 @@
 /** The version of the service that this repository holds, as a `Build`. */
-import { defaultOperator } from '../../src/config/operator.js';
+import { defaultOperatorSettings } from '../../src/config/operator-settings.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { Controller } from '../../src/controller.js';
 import type { Peer } from '../../src/peer/channel.js';
@@ -9,7 +9,7 @@
   encodeRequest,
   encodeResponse,
 } from '../../src/peer/codec.js';
-import type { NodeId } from '../../src/units/index.js';
+import type { ControllerId } from '../../src/units/index.js';
 import type { Build, ControllerHost, PeerConnection, RunningController } from './build.js';
 
 /** On these connections nothing needs to be paired: each request has an exchange of its own. */
@@ -29,9 +29,9 @@
 
 function createController(settingsFile: unknown, host: ControllerHost): RunningController {
   const { peers, ...environment } = host;
-  const controller = new Controller(parseSettings(settingsFile), defaultOperator, {
+  const controller = new Controller(parseSettings(settingsFile), defaultOperatorSettings, {
     ...environment,
-    peers: new Map<NodeId, Peer>([...peers].map(([node, peer]) => [node, peerOver(peer)])),
+    peers: new Map<ControllerId, Peer>([...peers].map(([node, peer]) => [node, peerOver(peer)])),
   });
   return {
     start: () => controller.start(),
--- a/test/standin/submit.ts
+++ b/test/standin/submit.ts
@@ -1,7 +1,7 @@
 /** The quick start's user: submits a job of so many tasks and follows it to its end. */
-import { NodeHttpClient } from '../../src/net/client.js';
+import { PooledHttpClient } from '../../src/net/pooled-http-client.js';
 import { Endpoint, ms, sleep } from '../../src/units/index.js';
-import { systemClock } from '../../src/units/system.js';
+import { systemClock } from '../../src/units/system-clock.js';
 import { encodeJobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 
@@ -10,7 +10,7 @@
 
 const taskCount = Number(process.argv[2] ?? 3);
 const endpoint = Endpoint('127.0.0.1:18080');
-const client = new NodeHttpClient(1, 1, 1);
+const client = new PooledHttpClient(1, 1, 1);
 const id = `run-${String(Date.now() % 1_000_000).padStart(6, '0')}`;
 const body = encodeJobSpec(spec({ id, taskCount, allowSpot: false }));
 
@@ -22,15 +22,15 @@
     body,
     timeout: TIMEOUT,
   });
-  console.log(`submitted: ${outcome.kind === 'answer' ? outcome.status : outcome.reason}`);
-  if (outcome.kind === 'answer' && outcome.status < 300) break;
-  if (outcome.kind === 'answer' && outcome.status < 500) process.exit(1);
+  console.log(`submitted: ${outcome.kind === 'response' ? outcome.status : outcome.reason}`);
+  if (outcome.kind === 'response' && outcome.status < 300) break;
+  if (outcome.kind === 'response' && outcome.status < 500) process.exit(1);
   await sleep(systemClock, RETRY_INTERVAL);
 }
 for (;;) {
   const path = `/v1/jobs/${id}`;
   const outcome = await client.send({ endpoint, method: 'GET', path, timeout: TIMEOUT });
-  if (outcome.kind === 'answer' && outcome.status === 200) {
+  if (outcome.kind === 'response' && outcome.status === 200) {
     console.log(JSON.stringify(outcome.body));
     if ((outcome.body as { status: string }).status === 'done') process.exit(0);
   }
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -2,7 +2,7 @@
  * Users, from the protocol: they submit, ask, cancel and repeat, and remember each answer, so that one which
  * contradicts an earlier one is noticed.
  */
-import type { Outcome } from '../../src/net/http.js';
+import type { HttpOutcome } from '../../src/net/http.js';
 import { Endpoint, ms, type Random } from '../../src/units/index.js';
 import {
   JobKind,
@@ -59,7 +59,7 @@
   onViolation(rule: string, detail: string): void;
 }
 
-type HttpAnswer = Outcome & { readonly kind: 'answer' };
+type HttpAnswer = HttpOutcome & { readonly kind: 'response' };
 
 const POST_TIMEOUT = 5000;
 const POLL_TIMEOUT = 2000;
@@ -168,7 +168,7 @@
     const endpoint = Endpoint(settingsFile(connection.node, this.world.zones).api_addr);
     const client = this.world.network.client('user', REGION, this.clock);
     const outcome = await client.send({ endpoint, method, path, body, timeout: ms(timeout) });
-    if (outcome.kind === 'answer') return outcome;
+    if (outcome.kind === 'response') return outcome;
     if (job) job.connection = undefined;
     return undefined;
   }
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -1,5 +1,5 @@
 /** A worker, from the protocol: heartbeats, sessions, fencing tokens, its lease, and who may command it. */
-import type { HttpClient, Outcome } from '../../src/net/http.js';
+import type { HttpClient, HttpOutcome } from '../../src/net/http.js';
 import { Endpoint, ms, type Clock, type Random } from '../../src/units/index.js';
 import type { RentedMachine } from './cloud.js';
 import type { Answer } from './network.js';
@@ -191,7 +191,7 @@
     if (this.isDead) return;
     // A machine that hangs takes no answer: it would be too old when it goes on.
     if (this.isHung) this.wantsHeartbeat = true;
-    else if (outcome.kind === 'answer' && outcome.status === 200) {
+    else if (outcome.kind === 'response' && outcome.status === 200) {
       this.takeReply(outcome.body, session, sentAt);
     } else this.changeController(outcome);
   }
@@ -207,10 +207,10 @@
   }
 
   /** Turns to the controller that a 421 names, or else to the next one after a pause. */
-  private changeController(outcome: Outcome): void {
+  private changeController(outcome: HttpOutcome): void {
     const { clock, controllers, times } = this.options;
     this.wantsHeartbeat = true;
-    if (outcome.kind === 'answer' && outcome.status === 421) {
+    if (outcome.kind === 'response' && outcome.status === 421) {
       const { clerk } = outcome.body as { clerk?: string };
       const named = controllers.findIndex(({ name }) => name === clerk);
       if (named >= 0 && named !== this.controller % controllers.length) {
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -79,7 +79,7 @@
     this.jobs = jobs;
     this.platform = platform;
     this.network = network;
-    this.state = new StateService(time, settings.state);
+    this.state = new StateService(time, settings.storeLimits);
     this.tasks = new Tasks(jobs, {
       onStarted: (machine, task, others) => this.judge.checkStart(machine, task, others),
       onJobCompleted: (job) => this.cancelByChance(job),
@@ -131,7 +131,7 @@
         path: '/up',
         timeout: PROBE_TIMEOUT,
       });
-      return outcome.kind === 'answer' && outcome.status === 200;
+      return outcome.kind === 'response' && outcome.status === 200;
     });
   }
 
@@ -275,7 +275,7 @@
 
   /** The state service takes from now on only what the settings announced. */
   lowerStateLimits(): void {
-    const { next } = this.platform.settingsOf(0).state;
+    const { next } = this.platform.settingsOf(0).storeLimits;
     if (next) this.state.lower(next);
   }
 
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -12,7 +12,7 @@
 import type { Term } from '../../src/leader/term.js';
 import type { Peer } from '../../src/peer/channel.js';
 import { HeartbeatRelay } from '../../src/relay/heartbeat-relay.js';
-import { Epoch, JobId, NodeId } from '../../src/units/index.js';
+import { Epoch, JobId, ControllerId } from '../../src/units/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { machineTypes } from '../standin/machine-types.js';
 import { settingsFile } from './settings.js';
@@ -49,17 +49,21 @@
       baseline: 1,
     }),
   };
-  const peers = new Map<NodeId, Peer>();
+  const peers = new Map<ControllerId, Peer>();
   const catalog = new MachineCatalog();
   catalog.update(machineTypes);
   const leadership = new LeaderView(
-    { authority: () => epoch, leader: () => NodeId('node-0') },
+    { authority: () => epoch, leader: () => ControllerId('node-0') },
     peers,
   );
   leadership.term = term as unknown as Term;
   const isIsolated = (): boolean => false;
   const userRequests = new UserRequests({
-    admission: new AdmissionControl(catalog, settings.teams, new RecordLimits(settings.state)),
+    admission: new AdmissionControl(
+      catalog,
+      settings.teams,
+      new RecordLimits(settings.storeLimits),
+    ),
     leadership,
     jobRecords,
     clock,
@@ -67,10 +71,10 @@
     isIsolated,
   });
   const workerHeartbeats = new WorkerHeartbeats({
-    node: settings.node,
+    node: settings.controllerId,
     leadership,
     relay: new HeartbeatRelay({
-      node: settings.node,
+      node: settings.controllerId,
       clock,
       log: pino({ level: 'silent' }),
       leaderPeer: () => leadership.leaderPeer(),
--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/anticipated-work.test.ts
@@ -7,7 +7,7 @@
 import { spec } from '../support/jobs.js';
 
 const at = (time: number): SteadyMs => SteadyMs(seconds(time));
-const objectives = [{ kind: 'wait', jobClass: 'merge', within: seconds(5), times: 1 }];
+const objectives = [{ kind: 'wait', jobClass: 'merge', within: seconds(5), deadlineFactor: 1 }];
 
 void test('capacity is kept for urgent jobs and awaited gangs, as long as they are recent', () => {
   const cases: [name: string, change: Partial<JobSpec>, askedAt: number, isExpected: boolean][] = [
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -5,11 +5,11 @@
 import { Autoscaler } from '../../src/capacity/autoscaler.js';
 import { CloudClient } from '../../src/cloud/client.js';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
-import { defaultOperator } from '../../src/config/operator.js';
+import { defaultOperatorSettings } from '../../src/config/operator-settings.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { Job } from '../../src/ledger/job.js';
 import type { QueueEntry } from '../../src/ledger/queue-order.js';
-import type { Outcome, Request } from '../../src/net/http.js';
+import type { HttpOutcome, HttpRequest } from '../../src/net/http.js';
 import { Endpoint, Epoch, JobId, Revision, SteadyMs, ms } from '../../src/units/index.js';
 import { encodeMachineTypes, type JobSpec } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
@@ -26,9 +26,9 @@
   readonly how_many: number;
 }
 
-const ok = (body: unknown): Outcome => ({ kind: 'answer', status: 200, body });
-const NO_CAPACITY: Outcome = { kind: 'answer', status: 503, body: { error: 'no capacity' } };
-const NO_ANSWER: Outcome = { kind: 'unknown', reason: 'no answer in time' };
+const ok = (body: unknown): HttpOutcome => ({ kind: 'response', status: 200, body });
+const NO_CAPACITY: HttpOutcome = { kind: 'response', status: 503, body: { error: 'no capacity' } };
+const NO_ANSWER: HttpOutcome = { kind: 'unknown', reason: 'no answer in time' };
 
 /**
  * An autoscaler with a queue of one job of 8 CPUs, for which one machine is enough, ticked every 500 ms.
@@ -39,7 +39,7 @@
   answerAfter = 5,
   change = {},
 }: {
-  answers?: Outcome[];
+  answers?: HttpOutcome[];
   answerAfter?: number;
   change?: Partial<JobSpec>;
 }) {
@@ -48,7 +48,7 @@
   const clock = new ProcessClock(time, 0, 0);
   const calls: string[] = [];
   const requests: { at: number; body: Hire }[] = [];
-  const respond = (request: Request): Outcome => {
+  const respond = (request: HttpRequest): HttpOutcome => {
     if (request.path === '/flavors') return ok(encodeMachineTypes(machineTypes));
     if (request.path !== '/machines') return ok({ boxes: [], has_next: false });
     const body = request.body as Hire;
@@ -56,7 +56,7 @@
     return answers.shift() ?? ok({ boxes: [`m-${requests.length}`] });
   };
   const http = {
-    send: (request: Request): Promise<Outcome> => {
+    send: (request: HttpRequest): Promise<HttpOutcome> => {
       calls.push(`${request.method} ${request.path}`);
       const outcome = respond(request);
       return new Promise((resolve) => time.after(answerAfter, () => resolve(outcome)));
@@ -87,7 +87,7 @@
       catalog: new MachineCatalog(),
       epoch: Epoch(7),
       settings,
-      operator: defaultOperator,
+      operator: defaultOperatorSettings,
       clock,
       random: () => 0.5,
       log: pino({ level: 'silent' }),
@@ -120,7 +120,7 @@
 
 void test('a request for machines is repeated under the same id until it is answered', async () => {
   const unreadable = ok({});
-  const failed: Outcome = { kind: 'answer', status: 500, body: undefined };
+  const failed: HttpOutcome = { kind: 'response', status: 500, body: undefined };
   const { time, requests } = autoscalerWith({ answers: [NO_ANSWER, failed, unreadable] });
   await time.run(20_000);
   const ids = requests.map(({ body }) => body.hire);
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -68,7 +68,7 @@
       http: {
         send: () =>
           Promise.resolve({
-            kind: 'answer',
+            kind: 'response',
             status: replyStatus,
             body: encodeHeartbeat({ ...heartbeat, session, sequence: 12 }),
           }),
--- a/test/unit/config.test.ts
+++ b/test/unit/config.test.ts
@@ -6,10 +6,13 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { parseCommandLine } from '../../src/cli/cli.js';
-import { defaultsFor, maxLeaderLease } from '../../src/config/operator.js';
-import { checkLeaderLease, parseOperator } from '../../src/config/operator-file.js';
-import { SettingsError } from '../../src/config/input.js';
+import { parseCommandLine } from '../../src/cli/command-line.js';
+import { defaultOperatorSettingsFor, maxLeaderLease } from '../../src/config/operator-settings.js';
+import {
+  checkLeaderLease,
+  parseOperatorSettings,
+} from '../../src/config/operator-settings-file.js';
+import { SettingsError } from '../../src/config/settings-error.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { seconds, lowerBoundUnderDrift, upperBoundUnderDrift } from '../../src/units/index.js';
 import { settingsFile } from '../support/settings.js';
@@ -69,7 +72,7 @@
   fc.assert(
     fc.property(durations, ({ lease, spare }) => {
       const times = { lease: seconds(lease), cancellationTime: seconds(lease + spare) };
-      const { lease: leaderLease, renewInterval } = defaultsFor(times);
+      const { lease: leaderLease, renewInterval } = defaultOperatorSettingsFor(times);
       // From the last renewal on: the leader's authority, then the lease of a worker answered at its very end.
       const authority = lowerBoundUnderDrift(leaderLease);
       assert.ok(authority + upperBoundUnderDrift(times.lease) < times.cancellationTime);
@@ -79,7 +82,7 @@
   );
   // Less time than any lease leaves: the controller starts all the same, and logs a warning.
   const tight = { lease: seconds(24), cancellationTime: seconds(25) };
-  assert.ok(defaultsFor(tight).lease > maxLeaderLease(tight));
+  assert.ok(defaultOperatorSettingsFor(tight).lease > maxLeaderLease(tight));
 });
 
 void test("operators' settings: an error names its element or attribute", () => {
@@ -93,10 +96,10 @@
     ['not XML', '<topazpin>', /XML/],
   ];
   for (const [name, text, error] of cases) {
-    if (!error) assert.doesNotThrow(() => parseOperator(text), name);
-    else assert.throws(() => parseOperator(text), error, name);
+    if (!error) assert.doesNotThrow(() => parseOperatorSettings(text), name);
+    else assert.throws(() => parseOperatorSettings(text), error, name);
   }
-  const long = parseOperator('<topazpin><leadership lease-s="30"/></topazpin>');
+  const long = parseOperatorSettings('<topazpin><leadership lease-s="30"/></topazpin>');
   assert.throws(() => checkLeaderLease(parseSettings(settingsFile()), long), /cancel_s/);
 });
 
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -4,8 +4,8 @@
 import { pino } from 'pino';
 import { Election } from '../../src/leader/election.js';
 import type { StoreClient } from '../../src/store/client.js';
-import { detach } from '../../src/units/detach.js';
-import { NodeId, ms, type Epoch } from '../../src/units/index.js';
+import { runInBackground } from '../../src/units/run-in-background.js';
+import { ControllerId, ms, type Epoch } from '../../src/units/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 void test('leadership that lapsed ends as soon as another node knows a later leader, and no earlier', async () => {
@@ -28,7 +28,7 @@
     const log = pino({ level: 'silent' });
     const election = new Election({
       store: store as unknown as StoreClient,
-      controllerId: NodeId('node-0'),
+      controllerId: ControllerId('node-0'),
       processId: 'run',
       timing: { duration: ms(4000), renewInterval: ms(1200) },
       clock: new ProcessClock(time, 0, 0),
@@ -36,12 +36,12 @@
       log,
       events: { onTermStarted: () => undefined, onTermEnded: (lostEpoch) => lost.push(lostEpoch) },
     });
-    detach(election.run(), log, 'election');
+    runInBackground(election.run(), log, 'election');
     await new Promise((resolve) => setImmediate(resolve));
     assert.equal(election.authority(), 7);
     await time.run(5000);
     assert.deepEqual([election.authority(), election.leader()], [undefined, 'node-0']);
-    election.recordLeader(NodeId(node), epoch);
+    election.recordLeader(ControllerId(node), epoch);
     assert.equal(election.leader(), stays ? 'node-0' : node, name);
     assert.deepEqual(lost, stays ? [] : [7], name);
     election.stop();
@@ -109,7 +109,7 @@
     const log = pino({ level: 'silent' });
     const election = new Election({
       store: store as unknown as StoreClient,
-      controllerId: NodeId('node-0'),
+      controllerId: ControllerId('node-0'),
       processId: 'run',
       timing: { duration: ms(4000), renewInterval: ms(1200) },
       clock: new ProcessClock(time, 0, 0),
@@ -117,7 +117,7 @@
       log,
       events: { onTermStarted: () => undefined, onTermEnded: () => undefined },
     });
-    detach(election.run(), log, 'election');
+    runInBackground(election.run(), log, 'election');
     await new Promise((resolve) => setImmediate(resolve));
     assert.equal(election.authority(), epoch, name);
     assert.equal(election.leader(), leader, name);
--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -25,8 +25,8 @@
 import { isUnchanged } from '../../src/relay/baselines.js';
 import { nextBatchSize } from '../../src/relay/batch.js';
 import { HeartbeatRelay } from '../../src/relay/heartbeat-relay.js';
-import { Epoch, MachineId, NodeId, ms } from '../../src/units/index.js';
-import type { Heartbeat, HeartbeatReply, TaskStatus } from '../../src/wire/index.js';
+import { Epoch, MachineId, ControllerId, ms } from '../../src/units/index.js';
+import type { Heartbeat, WorkerHeartbeatResponse, TaskStatus } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { emptyFleet } from '../support/fleet.js';
 import { settingsFile } from '../support/settings.js';
@@ -163,7 +163,7 @@
   }
 
   private handle(epoch: number, relayed: RelayedHeartbeat): HeartbeatResponse {
-    const node = NodeId('node-1');
+    const node = ControllerId('node-1');
     if (relayed.kind === 'full') {
       const { response, baseline } = this.relayed.handler.handleRelayed(relayed.heartbeat, node);
       return { outcome: 'accepted', baseline, commands: response.commands };
@@ -232,7 +232,7 @@
     this.relays = [0, 1].map(
       (n) =>
         new HeartbeatRelay({
-          node: NodeId(`node-${n}`),
+          node: ControllerId(`node-${n}`),
           clock: this.clock,
           log,
           leaderPeer: () => peer,
@@ -358,8 +358,8 @@
     const clock = new ProcessClock(time, 0, 0);
     const peer: Peer = { responsive: true, request: () => Promise.resolve(answers.shift()) };
     const leaderPeer = (): Peer | undefined => (time.now >= leaderAfter ? peer : undefined);
-    const relay = new HeartbeatRelay({ node: NodeId('node-1'), clock, log, leaderPeer });
-    let reply: HeartbeatReply | 'none' | undefined;
+    const relay = new HeartbeatRelay({ node: ControllerId('node-1'), clock, log, leaderPeer });
+    let reply: WorkerHeartbeatResponse | 'none' | undefined;
     void relay.send(heartbeatOf('vm-1'), 200).then((received) => (reply = received ?? 'none'));
     await time.run(ms(3500));
     assert.equal(reply !== 'none', expected, name);
--- a/test/unit/lost-machines.test.ts
+++ b/test/unit/lost-machines.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'node:test';
 import { lostMachines, type LivenessView } from '../../src/capacity/lost-machines.js';
 import { Machine } from '../../src/fleet/machine.js';
-import { MachineId, NodeId, SteadyMs, seconds } from '../../src/units/index.js';
+import { MachineId, ControllerId, SteadyMs, seconds } from '../../src/units/index.js';
 
-const FOLLOWER = NodeId('node-1');
+const FOLLOWER = ControllerId('node-1');
 const at = (second: number): SteadyMs => SteadyMs(second * 1000);
 
 /** A machine whose last heartbeat came at that second; undefined: none has reached this leader. */
--- a/test/unit/net.test.ts
+++ b/test/unit/net.test.ts
@@ -3,7 +3,7 @@
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { NodeHttpClient } from '../../src/net/client.js';
+import { PooledHttpClient } from '../../src/net/pooled-http-client.js';
 import { Endpoint, ms } from '../../src/units/index.js';
 import { encode } from '../../src/wire/index.js';
 
@@ -32,11 +32,11 @@
   );
   const store = http.createServer((_request, response) => response.end(encode({})));
   const storeAt = await listening(store);
-  const client = new NodeHttpClient(maxSockets, 2, 1);
+  const client = new PooledHttpClient(maxSockets, 2, 1);
   const call = (endpoint: Endpoint, timeout: number, lane: 'worker' | 'lease' = 'worker') =>
-    client.send({ endpoint, lane, method: 'GET', path: '/', timeout: ms(timeout) });
+    client.send({ endpoint, pool: lane, method: 'GET', path: '/', timeout: ms(timeout) });
   try {
-    for (const { at } of servers) assert.equal((await call(at, 5000)).kind, 'answer');
+    for (const { at } of servers) assert.equal((await call(at, 5000)).kind, 'response');
     // A socket that was closed for another is closed on this side at once, and on the other a moment later.
     while (openSockets.size > maxSockets) await new Promise((resolve) => setImmediate(resolve));
     // Workers that stopped answering hold all sockets: a further call is refused at once.
@@ -44,7 +44,7 @@
     const hung = servers.slice(0, maxSockets).map(({ at }) => call(at, 60_000));
     const refused = await call(servers[maxSockets]?.at ?? storeAt, 60_000);
     assert.deepEqual(refused, { kind: 'undelivered', reason: 'no socket is free' });
-    assert.equal((await call(storeAt, 5000, 'lease')).kind, 'answer');
+    assert.equal((await call(storeAt, 5000, 'lease')).kind, 'response');
     for (const { server } of servers) server.closeAllConnections();
     for (const { kind } of await Promise.all(hung)) assert.equal(kind, 'unknown');
   } finally {
--- a/test/unit/peer.test.ts
+++ b/test/unit/peer.test.ts
@@ -12,8 +12,8 @@
 import { PeerLink } from '../../src/peer/link.js';
 import type { PeerRequest, PeerResponse } from '../../src/peer/messages.js';
 import { servePeers } from '../../src/peer/server.js';
-import { Endpoint, NodeId, ms, seconds } from '../../src/units/index.js';
-import { systemClock } from '../../src/units/system.js';
+import { Endpoint, ControllerId, ms, seconds } from '../../src/units/index.js';
+import { systemClock } from '../../src/units/system-clock.js';
 import type { Heartbeat, Command } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
@@ -62,7 +62,7 @@
   { type: 'cancelJob', job: 'run-000001' },
   {
     type: 'workerHeartbeats',
-    node: NodeId('node-2'),
+    node: ControllerId('node-2'),
     epoch: 5,
     heartbeats: [{ kind: 'full', heartbeat }, unchanged],
   },
--- a/test/unit/queue-order.test.ts
+++ b/test/unit/queue-order.test.ts
@@ -25,12 +25,12 @@
   kind: 'deadline',
   jobClass: 'train',
   within: undefined,
-  times: 1,
+  deadlineFactor: 1,
   ...change,
 });
 
 void test('the next deadline is the first that can be met, else the last of all', () => {
-  const relaxed = objective({ times: 3 });
+  const relaxed = objective({ deadlineFactor: 3 });
   const finished = objective({ kind: 'finished', within: seconds(100) });
   const wait = objective({ kind: 'wait', within: seconds(20) });
   const gang = { kind: JobKind.gang, deadlineSeconds: null, expectedRuntimeSeconds: 10 };
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -167,14 +167,14 @@
   network.attach(endpoint, 'r', (method, path, body, from) =>
     state.handle(method, path, body, from),
   );
-  const { node } = parseSettings(settingsFile());
+  const { controllerId: node } = parseSettings(settingsFile());
   const store = new StoreClient({
     http: network.client(node, 'r', clock),
     endpoint: Endpoint(endpoint),
     clock,
     random: () => 0.5,
     limits: lowering,
-    nodeCount: 1,
+    controllerCount: 1,
   });
   const limits = new RecordLimits(lowering, () => store.lowerRates());
   const committed: string[] = [];
--- a/test/unit/store.test.ts
+++ b/test/unit/store.test.ts
@@ -1,7 +1,7 @@
 /** The client of the state service under its rates. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { HttpClient, Request } from '../../src/net/http.js';
+import type { HttpClient, HttpRequest } from '../../src/net/http.js';
 import { StoreClient } from '../../src/store/client.js';
 import { Endpoint, ms } from '../../src/units/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
@@ -10,9 +10,9 @@
   const time = new VirtualTime();
   const sent: { at: number; path: string }[] = [];
   const http: HttpClient = {
-    send: (request: Request) => {
+    send: (request: HttpRequest) => {
       sent.push({ at: time.now, path: request.path });
-      return Promise.resolve({ kind: 'answer', status: 404, body: {} });
+      return Promise.resolve({ kind: 'response', status: 404, body: {} });
     },
   };
   const store = new StoreClient({
@@ -21,7 +21,7 @@
     clock: new ProcessClock(time, 0, 0),
     random: () => 0.5,
     limits: { requestRate: 40, writeRate: 10 },
-    nodeCount: 1,
+    controllerCount: 1,
   });
   const outcomes: { index: number; kind: string; at: number }[] = [];
   const readCount = 200;
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -7,7 +7,7 @@
 import type { StoredJob } from '../../src/ledger/job-records.js';
 import { Job, type FinalState } from '../../src/ledger/job.js';
 import type { JobLookupResult } from '../../src/leader/job-requests.js';
-import { NodeId, Revision, WallMs, ms, sleep } from '../../src/units/index.js';
+import { ControllerId, Revision, WallMs, ms, sleep } from '../../src/units/index.js';
 import { encode, encodeJobSpec, parseSubmission, type JobSpec } from '../../src/wire/index.js';
 import { machineTypes } from '../standin/machine-types.js';
 import { JOB, leadingNode } from '../support/api.js';
@@ -196,7 +196,7 @@
     const node = leadingNode({ kind: 'absent' });
     node.loseAuthority();
     const body = encode({});
-    node.peers.set(NodeId('node-0'), {
+    node.peers.set(ControllerId('node-0'), {
       responsive: true,
       request: () =>
         Promise.resolve(
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -2,25 +2,25 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  MAX_BODY,
+  MAX_BODY_BYTES,
   decode,
   decodeCommand,
   decodeHeartbeat,
-  decodeHeartbeatReply,
+  decodeWorkerHeartbeatResponse,
   decodeJobSpecValues,
   decodeMachinePage,
   decodeMachineTypes,
   encode,
   encodeCommandRequest,
   encodeHeartbeat,
-  encodeHeartbeatReply,
+  encodeWorkerHeartbeatResponse,
   encodeJobSpec,
   encodeJobSpecValues,
   encodeMachineTypes,
   encodeScaleOutRequest,
   encodeTransaction,
   parseSubmission,
-  submissionId,
+  decodeSubmissionId,
 } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 
@@ -84,11 +84,11 @@
     ['null', encode(null)],
     ['more than one item', Buffer.concat([encode(valid), encode(1)])],
     ['cut short', encode(valid).subarray(0, 40)],
-    ['too long', encode({ ...valid, padding: 'x'.repeat(MAX_BODY) })],
+    ['too long', encode({ ...valid, padding: 'x'.repeat(MAX_BODY_BYTES) })],
   ];
   for (const [name, body] of cases) assert.equal(parseSubmission(body).ok, false, name);
-  assert.equal(submissionId(encode({ ...valid, shape: 'spiral' })), 'run-000001');
-  assert.equal(submissionId(encode({ ...valid, name_id: 'x' })), undefined);
+  assert.equal(decodeSubmissionId(encode({ ...valid, shape: 'spiral' })), 'run-000001');
+  assert.equal(decodeSubmissionId(encode({ ...valid, name_id: 'x' })), undefined);
 });
 
 void test('integers beyond 32 bits travel as integers', () => {
@@ -209,8 +209,8 @@
     gracePeriodSeconds: 10,
   });
   const reply = { fencingToken: 41, commands };
-  assert.deepEqual(encodeHeartbeatReply(reply), { baton: 41, orders });
-  assert.deepEqual(decodeHeartbeatReply({ baton: 41, orders }), reply);
+  assert.deepEqual(encodeWorkerHeartbeatResponse(reply), { baton: 41, orders });
+  assert.deepEqual(decodeWorkerHeartbeatResponse({ baton: 41, orders }), reply);
   const request = encodeCommandRequest({ ...reply, session: 3 });
   assert.deepEqual(request, { baton: 41, shift: 3, orders });
 });
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -4,7 +4,7 @@
 import { shouldRedirectWorkers } from '../../src/leader/worker-redirects.js';
 import { MAX_FRAME_BYTES } from '../../src/peer/framing.js';
 import { encodeResponse } from '../../src/peer/codec.js';
-import { NodeId, seconds } from '../../src/units/index.js';
+import { ControllerId, seconds } from '../../src/units/index.js';
 import { encode, encodeHeartbeat, type Heartbeat, type Command } from '../../src/wire/index.js';
 import { EPOCH, leadingNode } from '../support/api.js';
 
@@ -33,7 +33,7 @@
       const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-1') };
       const accepted = relayed
         ? workerHeartbeats
-            .handleRelayed(NodeId('node-1'), EPOCH, [full])
+            .handleRelayed(ControllerId('node-1'), EPOCH, [full])
             .then(
               (response) =>
                 response.type === 'heartbeatResponses' &&
@@ -66,7 +66,7 @@
       },
     });
     const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-1', token) };
-    const response = await workerHeartbeats.handleRelayed(NodeId('node-1'), EPOCH, [full]);
+    const response = await workerHeartbeats.handleRelayed(ControllerId('node-1'), EPOCH, [full]);
     assert.ok(response.type === 'heartbeatResponses');
     assert.equal(response.responses[0]?.outcome, outcome, name);
   }
@@ -92,14 +92,17 @@
   const status = async (machine: string) =>
     (await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf(machine))))).status;
   assert.equal(await status('vm-0'), 200, 'no other node answers');
-  peers.set(NodeId('node-1'), { responsive: true, request: () => Promise.resolve(undefined) });
+  peers.set(ControllerId('node-1'), {
+    responsive: true,
+    request: () => Promise.resolve(undefined),
+  });
   assert.deepEqual(await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf('vm-1')))), {
     status: 421,
     body: { clerk: 'node-1' },
   });
   assert.equal(await status('vm-1'), 200, 'back at once: it can not reach that node');
   const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-2') };
-  const relayed = await workerHeartbeats.handleRelayed(NodeId('node-1'), EPOCH, [full]);
+  const relayed = await workerHeartbeats.handleRelayed(ControllerId('node-1'), EPOCH, [full]);
   assert.ok(relayed.type === 'heartbeatResponses');
   assert.equal(relayed.responses[0]?.outcome, 'accepted', 'relayed by another node');
 });
@@ -120,7 +123,7 @@
   const batch = Array.from({ length: 60 }, (_, i) => {
     return { kind: 'full' as const, heartbeat: heartbeatOf(`vm-${i}`) };
   });
-  const pending = workerHeartbeats.handleRelayed(NodeId('node-1'), EPOCH, batch);
+  const pending = workerHeartbeats.handleRelayed(ControllerId('node-1'), EPOCH, batch);
   await new Promise((resolve) => setImmediate(resolve));
   await time.run(1000);
   const response = await pending;
