--- a/src/net/exchange.ts
+++ b/src/net/exchange.ts
@@ -1,22 +1,22 @@
-/** One HTTP request and its answer. */
+/** One HTTP request and its response. */
 import http from 'node:http';
 import { errorMessage } from '../units/errors.js';
 import { CONTENT_TYPE, decode, encode } from '../wire/index.js';
 import { readBody } from './read-body.js';
 import type { HttpOutcome, HttpRequest } from './http.js';
 
-/** The answer to a watch holds all changes and has no size limit; this bounds the memory that one may take. */
+/** The response to a watch holds all changes and has no size limit of its own; this limits the memory it can use. */
 const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** Sends a request when it is made, and reports its outcome exactly once. */
+/** Sends a request on construction, and reports its outcome exactly once. */
 export class Exchange {
   private readonly clientRequest: http.ClientRequest;
   private readonly timer: NodeJS.Timeout;
-  /** While there has been no connection, nothing can have left. */
+  /** Until a connection exists, nothing can have been sent. */
   private isConnected = false;
   private isSettled = false;
 
-  /** Throws if the request cannot be encoded; `onSettled` is not called then. */
+  /** Throws if the request cannot be encoded; `onSettled` is then not called. */
   constructor(
     request: HttpRequest,
     agent: http.Agent,
@@ -42,7 +42,7 @@
 
   private listen(): void {
     this.clientRequest.on('socket', (socket) => {
-      // A kept connection is connected already.
+      // A reused socket is already connected.
       if (socket.connecting) socket.once('connect', () => (this.isConnected = true));
       else this.isConnected = true;
     });
@@ -56,13 +56,13 @@
   }
 
   /**
-   * A process that is behind reads what has arrived only after its timers have run: an answer that is there
-   * already counts, so it gets one more round of the event loop.
+   * An overloaded process runs its timers before it reads data that has already arrived. Such a response still counts,
+   * so it gets one more iteration of the event loop.
    */
   private expire(): void {
     setImmediate(() => {
       if (this.isSettled) return;
-      this.fail('no answer in time');
+      this.fail('no response before the timeout');
       this.clientRequest.destroy();
     });
   }
@@ -70,14 +70,14 @@
   /** `body`: undefined if it exceeded the limit. */
   private finish(status: number, body: Buffer | undefined): void {
     try {
-      if (!body) throw new RangeError('answer too large');
+      if (!body) throw new RangeError('response too large');
       this.settle({
         kind: 'response',
         status,
         body: body.length > 0 ? decode(body) : undefined,
       });
     } catch {
-      this.fail('unreadable answer');
+      this.fail('unreadable response');
     }
   }
 
--- a/src/net/http.ts
+++ b/src/net/http.ts
@@ -1,36 +1,36 @@
-/** Calls to other hosts by HTTP: the contract between the packages that call and the client. */
+/** HTTP requests to other hosts: the interface between the HTTP client and the packages that use it. */
 import type { DurationMs, Endpoint } from '../units/index.js';
 
-/** Whom a call goes to. Each lane has sockets of its own, so that no call waits behind another's. */
+/** The kind of server that a request goes to. Each pool has sockets of its own, so that no kind waits for another. */
 export type ConnectionPool = 'lease' | 'store' | 'cloud' | 'worker';
 
-/** A call whose body, and whose answer's body, is CBOR. */
+/** A request whose body is CBOR, as is the body of its response. */
 export interface HttpRequest {
   readonly endpoint: Endpoint;
-  /** Without one, the call goes to a host among many, as workers are. */
+  /** Without one, the request goes to one of many hosts, such as a worker. */
   readonly pool?: ConnectionPool;
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
-  /** Without one, the call has no body. */
+  /** Without one, the request has no body. */
   readonly body?: unknown;
-  /** From the call to the end of its answer. */
+  /** The time from sending the request to the end of its response. */
   readonly timeout: DurationMs;
 }
 
-/** What is known of a call once it is over. */
+/** What is known of a request once it has ended. */
 export type HttpOutcome =
   | {
       readonly kind: 'response';
       readonly status: number;
-      /** Decoded; undefined if the answer has none. */
+      /** The decoded body; undefined if the response has none. */
       readonly body: unknown;
     }
-  /** The connection was never made, so the request cannot have been carried out. */
+  /** No connection was made, so the request cannot have been executed. */
   | { readonly kind: 'undelivered'; readonly reason: string }
-  /** It was sent, or may have been; it may still be carried out at any later time. */
+  /** The request was sent, or may have been; it may still be executed at any later time. */
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** Sends calls. The promise is fulfilled with an outcome, also when the call fails. */
+/** Sends requests. The promise is fulfilled with an outcome even if the request fails. */
 export interface HttpClient {
   send(request: HttpRequest): Promise<HttpOutcome>;
 }
--- a/src/net/pooled-http-client.ts
+++ b/src/net/pooled-http-client.ts
@@ -1,28 +1,28 @@
-/** The HTTP client: kept connections, bounded for each lane. */
+/** An HTTP client that keeps connections alive in pools of limited size. */
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import type { Endpoint } from '../units/index.js';
 import { Exchange } from './exchange.js';
 import type { HttpClient, ConnectionPool, HttpOutcome, HttpRequest } from './http.js';
 
-/** The lanes that lead to a single host. */
-type SingleHostLane = Exclude<ConnectionPool, 'worker'>;
+/** The connection pools that connect to a single host. */
+type SingleHostPool = Exclude<ConnectionPool, 'worker'>;
 
 interface SocketLimits {
-  /** Sockets to one host, in use and idle. */
+  /** The most sockets to one host, both in use and idle. */
   readonly max: number;
-  /** Sockets to one host that are kept while they are idle. */
+  /** The most idle sockets to one host that are kept open. */
   readonly idle: number;
 }
 
-const LANE_LIMITS: Record<SingleHostLane, SocketLimits> = {
+const POOL_LIMITS: Record<SingleHostPool, SocketLimits> = {
   lease: { max: 3, idle: 1 },
   store: { max: 16, idle: 6 },
   cloud: { max: 3, idle: 1 },
 };
 
-/** The most sockets that the lanes to single hosts take together. */
-export const MAX_STORE_AND_CLOUD_SOCKETS = Object.values(LANE_LIMITS).reduce(
+/** The most sockets that the pools for the store and the cloud use together. */
+export const MAX_STORE_AND_CLOUD_SOCKETS = Object.values(POOL_LIMITS).reduce(
   (sum, { max }) => sum + max,
   0,
 );
@@ -35,60 +35,60 @@
     scheduling: 'lifo',
   });
 
-/** HTTP with CBOR bodies over kept connections. */
+/** Sends HTTP requests with CBOR bodies over persistent connections. */
 export class PooledHttpClient implements HttpClient {
-  private readonly lanes: Readonly<Record<SingleHostLane, http.Agent>> = {
-    lease: newAgent(LANE_LIMITS.lease),
-    store: newAgent(LANE_LIMITS.store),
-    cloud: newAgent(LANE_LIMITS.cloud),
+  private readonly singleHostAgents: Readonly<Record<SingleHostPool, http.Agent>> = {
+    lease: newAgent(POOL_LIMITS.lease),
+    store: newAgent(POOL_LIMITS.store),
+    cloud: newAgent(POOL_LIMITS.cloud),
   };
-  private readonly workers: http.Agent;
-  private workerCallsInFlight = 0;
+  private readonly workerAgent: http.Agent;
+  private workerRequestsInFlight = 0;
 
   /**
-   * `maxWorkerSockets`: the most sockets to all workers together, idle ones included. `maxPerWorker` and
-   * `idlePerWorker` bound those to one worker.
+   * `maxWorkerSockets` limits the sockets to all workers together, including idle ones. `maxPerWorker` and
+   * `idlePerWorker` limit the sockets to one worker.
    */
   constructor(
     private readonly maxWorkerSockets: number,
     maxPerWorker: number,
     idlePerWorker: number,
   ) {
-    this.workers = newAgent({ max: maxPerWorker, idle: idlePerWorker });
+    this.workerAgent = newAgent({ max: maxPerWorker, idle: idlePerWorker });
   }
 
   send(request: HttpRequest): Promise<HttpOutcome> {
-    const lane = request.pool ?? 'worker';
-    if (lane !== 'worker') {
+    const pool = request.pool ?? 'worker';
+    if (pool !== 'worker') {
       return new Promise((resolve) => {
-        new Exchange(request, this.lanes[lane], resolve);
+        new Exchange(request, this.singleHostAgents[pool], resolve);
       });
     }
     if (!this.hasSocketFor(request.endpoint)) {
       return Promise.resolve({ kind: 'undelivered', reason: 'no socket is free' });
     }
-    this.workerCallsInFlight++;
+    this.workerRequestsInFlight++;
     return new Promise((resolve) => {
-      new Exchange(request, this.workers, (outcome) => {
-        this.workerCallsInFlight--;
+      new Exchange(request, this.workerAgent, (outcome) => {
+        this.workerRequestsInFlight--;
         resolve(outcome);
       });
     });
   }
 
   /**
-   * Whether one more call to a worker may leave. The agent keeps a socket for each worker that was ever called,
-   * and those of a thousand workers would take all that a node may open: the socket that has been idle for
-   * longest is closed for the new one.
+   * Whether one more request can be sent to a worker. The agent keeps a socket open for each worker that ever received
+   * a request, and those of a thousand workers would use up all sockets that a controller may open. At the limit, the
+   * socket that has been idle for longest is closed to make room.
    */
   private hasSocketFor(endpoint: Endpoint): boolean {
     const idle: { name: string; socket: Socket }[] = [];
-    for (const [name, sockets] of Object.entries(this.workers.freeSockets)) {
+    for (const [name, sockets] of Object.entries(this.workerAgent.freeSockets)) {
       for (const socket of sockets ?? []) if (!socket.destroyed) idle.push({ name, socket });
     }
-    if (this.workerCallsInFlight + idle.length < this.maxWorkerSockets) return true;
+    if (this.workerRequestsInFlight + idle.length < this.maxWorkerSockets) return true;
     if (idle.some(({ name }) => name.startsWith(`${endpoint}:`))) return true;
-    // Hosts come in the order in which they fell idle.
+    // Hosts are listed in the order in which they became idle.
     idle[0]?.socket.destroy();
     return idle.length > 0;
   }
--- a/src/store/backoff.ts
+++ b/src/store/backoff.ts
@@ -1,4 +1,4 @@
-/** Growing pauses between attempts that keep failing. */
+/** Exponential backoff between failed attempts. */
 import {
   SteadyMs,
   addDuration,
@@ -8,37 +8,37 @@
   type Random,
 } from '../units/index.js';
 
-/** Pauses that double with each failure, spread by a quarter either way so that nodes do not fall in step. */
+/** A delay that doubles with each failure. It varies at random by a quarter either way, so that controllers do not retry in step. */
 export class Backoff {
-  private nextPause: DurationMs;
-  private pausedUntil: SteadyMs = SteadyMs(0);
+  private nextDelay: DurationMs;
+  private delayedUntil: SteadyMs = SteadyMs(0);
 
   constructor(
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly minPause: DurationMs,
-    private readonly maxPause: DurationMs,
+    private readonly minDelay: DurationMs,
+    private readonly maxDelay: DurationMs,
   ) {
-    this.nextPause = minPause;
+    this.nextDelay = minDelay;
   }
 
-  /** Begins a pause and doubles the next one, up to the maximum. */
+  /** Starts a delay and doubles the next one, up to the maximum. */
   recordFailure(): void {
-    this.pausedUntil = addDuration(
+    this.delayedUntil = addDuration(
       this.clock.steady(),
-      ms(this.nextPause * (0.75 + 0.5 * this.random())),
+      ms(this.nextDelay * (0.75 + 0.5 * this.random())),
     );
-    this.nextPause = ms(Math.min(this.maxPause, this.nextPause * 2));
+    this.nextDelay = ms(Math.min(this.maxDelay, this.nextDelay * 2));
   }
 
-  /** Ends the pause; the next one is as short as the first. */
+  /** Ends the delay and resets the next one to the minimum. */
   recordSuccess(): void {
-    this.nextPause = this.minPause;
-    this.pausedUntil = SteadyMs(0);
+    this.nextDelay = this.minDelay;
+    this.delayedUntil = SteadyMs(0);
   }
 
-  /** What is left of the pause; 0 if there is none. */
+  /** The time until the next attempt is allowed; 0 if it is allowed now. */
   remaining(): DurationMs {
-    return ms(Math.max(0, this.pausedUntil - this.clock.steady()));
+    return ms(Math.max(0, this.delayedUntil - this.clock.steady()));
   }
 }
--- a/src/store/request-queue.ts
+++ b/src/store/request-queue.ts
@@ -1,4 +1,4 @@
-/** The order in which calls to the state service leave. */
+/** The order in which requests to the state store are sent. */
 import {
   addDuration,
   ms,
@@ -9,20 +9,20 @@
 } from '../units/index.js';
 import type { RateBudget } from './rate-budget.js';
 
-/** The most that a retry of the queue is delayed at random, so that nodes do not call in step. */
-const MAX_RETRY_JITTER_MS = 5;
+/** The largest random delay before the queue is checked again, so that controllers do not send requests in step. */
+const MAX_DRAIN_JITTER_MS = 5;
 
-interface QueuedCall {
+interface QueuedRequest {
   readonly writes: number;
   readonly deadline: SteadyMs;
-  /** True: the call may leave. False: its patience has ended. */
-  readonly resolve: (mayLeave: boolean) => void;
+  /** Called with true if the request may be sent, and with false if its queue timeout has passed. */
+  readonly resolve: (maySend: boolean) => void;
 }
 
-/** Calls that wait until the budget has what they need, in the order in which they were made. */
+/** Requests that wait, in the order of their arrival, until the rate budget has enough tokens for them. */
 export class RequestQueue {
-  private queue: QueuedCall[] = [];
-  private isRetryScheduled = false;
+  private queue: QueuedRequest[] = [];
+  private isDrainScheduled = false;
 
   constructor(
     private readonly budget: RateBudget,
@@ -30,11 +30,11 @@
     private readonly random: Random,
   ) {}
 
-  /** True once a call of so many writes may leave; false, at once, if it would have to wait for longer than `patience`. */
-  waitForTurn(writes: number, patience: DurationMs): Promise<boolean> {
+  /** True once a request with `writes` writes may be sent; false, at once, if it would wait longer than `queueTimeout`. */
+  waitForTurn(writes: number, queueTimeout: DurationMs): Promise<boolean> {
     if (this.queue.length === 0 && this.budget.tryTake(writes)) return Promise.resolve(true);
-    const deadline = addDuration(this.clock.steady(), patience);
-    if (this.expectedWait() > patience) return Promise.resolve(false);
+    const deadline = addDuration(this.clock.steady(), queueTimeout);
+    if (this.expectedWait() > queueTimeout) return Promise.resolve(false);
     return new Promise((resolve) => {
       this.queue.push({ writes, deadline, resolve });
       this.drain();
@@ -45,26 +45,26 @@
     return this.budget.requestBacklog(this.queue.length + 1);
   }
 
-  /** First come, first served, except that a call that waits for writes does not delay those that only read. */
+  /** First come, first served, except that a request that waits for write tokens does not delay reads. */
   private drain(): void {
-    if (this.isRetryScheduled) return;
+    if (this.isDrainScheduled) return;
     const now = this.clock.steady();
-    let pause = Infinity;
-    const waiting: QueuedCall[] = [];
-    for (const call of this.queue) {
-      // Its caller has given up by now, and would not use the answer.
-      if (now > call.deadline) call.resolve(false);
-      else if (this.budget.tryTake(call.writes)) call.resolve(true);
+    let delay = Infinity;
+    const waiting: QueuedRequest[] = [];
+    for (const request of this.queue) {
+      // The caller has given up by now and would not use the response.
+      if (now > request.deadline) request.resolve(false);
+      else if (this.budget.tryTake(request.writes)) request.resolve(true);
       else {
-        waiting.push(call);
-        pause = Math.min(pause, this.budget.waitFor(call.writes));
+        waiting.push(request);
+        delay = Math.min(delay, this.budget.waitFor(request.writes));
       }
     }
     this.queue = waiting;
     if (waiting.length === 0) return;
-    this.isRetryScheduled = true;
-    this.clock.after(ms(Math.max(1, pause) + this.random() * MAX_RETRY_JITTER_MS), () => {
-      this.isRetryScheduled = false;
+    this.isDrainScheduled = true;
+    this.clock.after(ms(Math.max(1, delay) + this.random() * MAX_DRAIN_JITTER_MS), () => {
+      this.isDrainScheduled = false;
       this.drain();
     });
   }
--- a/src/units/errors.ts
+++ b/src/units/errors.ts
@@ -1,5 +1,5 @@
-/** What is known of a thrown value, which may be anything. */
+/** Describes thrown values, which need not be `Error` objects. */
 
-/** The message of an error; of anything else its text. */
+/** Returns the message of an `Error`, and the string form of any other value. */
 export const errorMessage = (error: unknown): string =>
   error instanceof Error ? error.message : String(error);
--- a/src/units/expiring-map.ts
+++ b/src/units/expiring-map.ts
@@ -7,12 +7,12 @@
 }
 
 /**
- * A map whose entries are kept for at least `ttl` after they were last set. `set` removes the expired ones, at most
- * once in `ttl`, so that each entry is examined once in that time whatever their number. Until then `get` finds them.
+ * A map that keeps each entry for at least `ttl` after it was last set. `set` removes expired entries, at most once
+ * per `ttl`: each entry is examined once in that time, however many there are. Until then `get` still returns them.
  */
 export class ExpiringMap<K, V> {
   private readonly entries = new Map<K, Entry<V>>();
-  private sweptAt: SteadyMs | undefined;
+  private lastSweepAt: SteadyMs | undefined;
 
   constructor(private readonly ttl: DurationMs) {}
 
@@ -26,16 +26,16 @@
 
   set(key: K, value: V, now: SteadyMs): void {
     this.entries.set(key, { value, setAt: now });
-    this.sweptAt ??= now;
-    if (durationBetween(this.sweptAt, now) > this.ttl) this.sweep(now);
+    this.lastSweepAt ??= now;
+    if (durationBetween(this.lastSweepAt, now) > this.ttl) this.removeExpired(now);
   }
 
   delete(key: K): void {
     this.entries.delete(key);
   }
 
-  private sweep(now: SteadyMs): void {
-    this.sweptAt = now;
+  private removeExpired(now: SteadyMs): void {
+    this.lastSweepAt = now;
     for (const [key, { setAt }] of this.entries) {
       if (durationBetween(setAt, now) > this.ttl) this.entries.delete(key);
     }
--- a/src/units/index.ts
+++ b/src/units/index.ts
@@ -1,6 +1,6 @@
 /**
- * The small types of the project: ids, revisions, epochs, steady and wall times, durations. A brand costs nothing at
- * run time, and keeps a wall time from being compared with a steady one.
+ * Branded primitive types: ids, revisions, epochs, monotonic and wall-clock times, durations. A brand costs nothing at
+ * run time, and stops the compiler from accepting a wall-clock time where a monotonic one is expected.
  */
 
 declare const brand: unique symbol;
@@ -10,21 +10,21 @@
 export type JobId = Brand<string, 'JobId'>;
 /** The id of a machine, chosen by the cloud. */
 export type MachineId = Brand<string, 'MachineId'>;
-/** The name of a controller. */
+/** The id of a controller, as the settings name it. */
 export type ControllerId = Brand<string, 'ControllerId'>;
-/** An IPv4 address with a port, as `10.0.0.1:8080`. */
+/** An IPv4 address with a port, such as `10.0.0.1:8080`. */
 export type Endpoint = Brand<string, 'Endpoint'>;
-/** `<job>/<index>`, the name of one task. */
+/** The name of one task: `<job>/<index>`. */
 export type TaskKey = Brand<string, 'TaskKey'>;
-/** A revision of the state service; it rises with each transaction. */
+/** A revision of the state store, which rises with each transaction. */
 export type Revision = Brand<number, 'Revision'>;
-/** The revision of the transaction that wrote the leader key. */
+/** The number of a term: the revision of the transaction that wrote the leader key. */
 export type Epoch = Brand<number, 'Epoch'>;
-/** Rises with each placement batch of a job, so no two placements of a task share one. */
+/** The number of an attempt. It rises with each placement batch of a job, so no two placements of a task share one. */
 export type Attempt = Brand<number, 'Attempt'>;
-/** Milliseconds on this process's steady clock. */
+/** Milliseconds on this process's monotonic clock. */
 export type SteadyMs = Brand<number, 'SteadyMs'>;
-/** Milliseconds since 1970 by the time of day, exact within the platform's bound. */
+/** Milliseconds since 1970 on the wall clock, which is accurate within the platform's bound. */
 export type WallMs = Brand<number, 'WallMs'>;
 /** A duration in milliseconds. */
 export type DurationMs = Brand<number, 'DurationMs'>;
@@ -39,15 +39,15 @@
 export const SteadyMs = (value: number): SteadyMs => value as SteadyMs;
 export const WallMs = (value: number): WallMs => value as WallMs;
 
-/** A duration of so many milliseconds. */
+/** A duration in milliseconds. */
 export const ms = (value: number): DurationMs => value as DurationMs;
-/** A duration of so many seconds. */
+/** A duration in seconds. */
 export const seconds = (value: number): DurationMs => (value * 1000) as DurationMs;
 
-/** The time a duration after another. */
+/** The time that is `duration` after `time`. */
 export const addDuration = (time: SteadyMs, duration: DurationMs): SteadyMs =>
   (time + duration) as SteadyMs;
-/** The duration from one time to a later one; negative if it is an earlier one. */
+/** The duration from one time to another; negative if `to` is the earlier one. */
 export const durationBetween = (from: SteadyMs, to: SteadyMs): DurationMs =>
   (to - from) as DurationMs;
 
@@ -60,7 +60,7 @@
   readonly index: number;
 }
 
-/** Splits a task's name; undefined if it is not one (workers may report anything). */
+/** Splits the name of a task; undefined if the text is not one, since workers may report anything. */
 export function parseTaskKey(key: string): TaskRef | undefined {
   const slash = key.lastIndexOf('/');
   if (slash <= 0) return undefined;
@@ -69,34 +69,34 @@
   return { job: JobId(key.slice(0, slash)), index };
 }
 
-/** Steady clocks of two machines drift apart by at most this share. */
+/** The most by which the monotonic clocks of two machines drift apart, relative to the elapsed time. */
 export const MAX_CLOCK_DRIFT_RATIO = 0.0005;
 
-/** A duration, lengthened: once it has passed on this clock, the original one has passed on every clock. */
+/** Lengthens a duration: once the result has passed on this clock, the original duration has passed on every clock. */
 export const upperBoundUnderDrift = (duration: DurationMs): DurationMs =>
   ms(duration * (1 + 2 * MAX_CLOCK_DRIFT_RATIO));
-/** A duration, shortened: until it has passed on this clock, the original one has passed on no clock. */
+/** Shortens a duration: until the result has passed on this clock, the original duration has passed on no clock. */
 export const lowerBoundUnderDrift = (duration: DurationMs): DurationMs =>
   ms(duration * (1 - 2 * MAX_CLOCK_DRIFT_RATIO));
 
-/** A call that is due later. */
+/** A scheduled callback. */
 export interface Timer {
-  /** Does nothing once the call has been made. */
+  /** Does nothing once the callback has run. */
   cancel(): void;
 }
 
-/** Time is passed in from outside, so that tests can control it. */
+/** Monotonic time, wall-clock time and timers. It is injected so that tests can control time. */
 export interface Clock {
   steady(): SteadyMs;
   wall(): WallMs;
   after(delay: DurationMs, run: () => void): Timer;
 }
 
-/** Fulfilled after a delay. */
+/** Returns a promise that is fulfilled after a delay. */
 export const sleep = (clock: Clock, delay: DurationMs): Promise<void> =>
   new Promise((resolve) => {
     clock.after(delay, resolve);
   });
 
-/** Randomness is passed in from outside too: a number in [0, 1). */
+/** Returns a random number in [0, 1). It is injected so that tests can control randomness. */
 export type Random = () => number;
--- a/src/units/run-in-background.ts
+++ b/src/units/run-in-background.ts
@@ -1,13 +1,13 @@
-/** Promises that are not awaited. */
+/** Runs promises that the caller does not await. */
 
-/** Where failures are logged; a `pino` logger is one. */
+/** A logger for failures, such as a `pino` logger. */
 export interface ErrorLog {
   error(context: object, message: string): void;
 }
 
-/** Detaches work from its caller on purpose: it is not awaited, and a failure is logged as `<what> failed`. */
-export function runInBackground(work: Promise<unknown>, log: ErrorLog, what: string): void {
+/** Leaves a promise running without awaiting it. A rejection is logged as `<operation> failed`. */
+export function runInBackground(work: Promise<unknown>, log: ErrorLog, operation: string): void {
   work.catch((error: unknown) => {
-    log.error({ err: error }, `${what} failed`);
+    log.error({ err: error }, `${operation} failed`);
   });
 }
--- a/src/units/system-clock.ts
+++ b/src/units/system-clock.ts
@@ -1,8 +1,8 @@
-/** The clock of a process in service. */
+/** The clock that a controller uses in production. */
 import { performance } from 'node:perf_hooks';
 import { type Clock, SteadyMs, WallMs } from './index.js';
 
-/** The machine's own clocks and Node.js timers. */
+/** Reads the machine's clocks and uses Node.js timers. */
 export const systemClock: Clock = {
   steady: () => SteadyMs(performance.now()),
   wall: () => WallMs(Date.now()),
