--- a/src/config/operator-settings-file.ts
+++ b/src/config/operator-settings-file.ts
@@ -1,4 +1,4 @@
-/** The operators' settings file (XML). */
+/** The operator's settings file (XML). */
 import { XMLParser, XMLValidator } from 'fast-xml-parser';
 import * as z from 'zod';
 import { errorMessage } from '../units/errors.js';
@@ -7,10 +7,10 @@
 import { OPERATOR_DEFAULTS, maxLeaderLease, type OperatorSettings } from './operator-settings.js';
 import type { Settings } from './settings.js';
 
-/** How these settings are named in errors. */
-const KIND = 'operator settings';
+/** The name of these settings in error messages. */
+const SETTINGS_KIND = 'operator settings';
 
-/** A number as the text of an attribute. */
+/** The schema of a number in the text of an attribute. */
 const numberBetween = (min: number, max: number) =>
   z
     .string()
@@ -30,14 +30,14 @@
   }),
 });
 
-/** Elements and attributes as nested objects. Throws a `SettingsError` on anything that is not well-formed. */
+/** Converts elements and attributes to nested objects. Throws a `SettingsError` if the text is not well-formed XML. */
 function parseXml(text: string): unknown {
-  // The parser itself accepts malformed XML. Its validator is deprecated in favour of a package of its own.
+  // The parser itself accepts malformed XML. Its validator is deprecated in favour of a separate package.
   // eslint-disable-next-line @typescript-eslint/no-deprecated
   const validity = XMLValidator.validate(text);
   if (validity !== true) {
     const { msg, line, col } = validity.err;
-    throw new SettingsError(`${KIND}: not XML: ${msg}:${line}:${col}`);
+    throw new SettingsError(`${SETTINGS_KIND}: not XML: ${msg}:${line}:${col}`);
   }
   try {
     return new XMLParser({
@@ -48,20 +48,22 @@
       ignoreDeclaration: true,
     }).parse(text);
   } catch (error) {
-    throw new SettingsError(`${KIND}: not XML: ${errorMessage(error)}`, { cause: error });
+    throw new SettingsError(`${SETTINGS_KIND}: not XML: ${errorMessage(error)}`, { cause: error });
   }
 }
 
-/** Checks the text of an operators' file. Throws a `SettingsError`. */
+/** Parses and validates the text of an operator's settings file. Throws a `SettingsError`. */
 export function parseOperatorSettings(text: string): OperatorSettings {
   const parsed = OperatorFile.safeParse(parseXml(text));
-  if (!parsed.success) throw toSettingsError(parsed.error, KIND);
+  if (!parsed.success) throw toSettingsError(parsed.error, SETTINGS_KIND);
   const { leadership = {}, capacity = {} } = parsed.data.topazpin;
   const lease = leadership['lease-s'] ?? OPERATOR_DEFAULTS.leaseSeconds;
   const renewInterval =
     leadership['renew-s'] ?? Math.min(OPERATOR_DEFAULTS.renewSeconds, lease / 3);
   if (renewInterval > lease / 2) {
-    throw new SettingsError(`${KIND}: leadership.renew-s: must be at most half of lease-s`);
+    throw new SettingsError(
+      `${SETTINGS_KIND}: leadership.renew-s: must be at most half of lease-s`,
+    );
   }
   return {
     lease: seconds(lease),
@@ -70,19 +72,19 @@
   };
 }
 
-/** Reads an operators' file. Throws a `SettingsError`. */
+/** Reads and validates an operator's settings file. Throws a `SettingsError`. */
 export function readOperatorSettingsFile(path: string): OperatorSettings {
-  return parseOperatorSettings(readSettingsText(path, KIND));
+  return parseOperatorSettings(readSettingsText(path, SETTINGS_KIND));
 }
 
 /**
- * Checks the leader's lease against the platform's times: a cancelled task must be gone in time even if its machine
- * only stops it when the worker's lease ends. Throws a `SettingsError`.
+ * Checks the leader's lease against the platform's times: a cancelled task must have ended in time even if its machine
+ * stops it only when the worker's lease expires. Throws a `SettingsError`.
  */
 export function checkLeaderLease(settings: Settings, operator: OperatorSettings): void {
   if (operator.lease > maxLeaderLease(settings.workers)) {
     throw new SettingsError(
-      `${KIND}: leadership.lease-s: with params.workers.lease_s it must stay below cancel_s`,
+      `${SETTINGS_KIND}: leadership.lease-s: with params.workers.lease_s it must stay below cancel_s`,
     );
   }
 }
--- a/src/config/settings-error.ts
+++ b/src/config/settings-error.ts
@@ -1,14 +1,14 @@
-/** What the files of settings have in common: how they are read, and how an error in one is stated. */
+/** Reading settings files, and reporting errors in them. */
 import { readFileSync } from 'node:fs';
 import type * as z from 'zod';
 import { errorMessage } from '../units/errors.js';
 
-/** What is wrong with settings, in one line that names the file's kind and the field. */
+/** An error in a settings file. The message is one line that names the kind of file and the field. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
 
-/** The text of a file; `kind` names the kind of settings in the `SettingsError` if it cannot be read. */
+/** Reads a file as text. Throws a `SettingsError` that names `kind` if it cannot be read. */
 export function readSettingsText(path: string, kind: string): string {
   try {
     return readFileSync(path, 'utf8');
@@ -19,7 +19,7 @@
   }
 }
 
-/** The first issue that a schema found, as a `SettingsError` that names the field. */
+/** Converts the first issue of a schema check into a `SettingsError` that names the field. */
 export function toSettingsError(error: z.ZodError, kind: string): SettingsError {
   const issue = error.issues[0];
   const field = issue?.path.join('.') || 'file';
--- a/src/config/settings-file.ts
+++ b/src/config/settings-file.ts
@@ -1,4 +1,4 @@
-/** The form of the settings file that the platform hands over (JSON). Unknown fields are ignored. */
+/** The schema of the settings file that the platform provides (JSON). Unknown fields are ignored. */
 import * as z from 'zod';
 
 const address = z
@@ -6,12 +6,12 @@
   .regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'must be an IPv4 address with a port');
 const positive = z.number().positive();
 const limit = z.number().nonnegative();
-/** A field that may be null, or missing; undefined in both cases. */
+/** A field that may be null or missing; undefined in both cases. */
 const optional = <Schema extends z.ZodType>(schema: Schema) =>
   schema.nullish().transform((value) => value ?? undefined);
-/** 0, which is no limit, where the file does not say. */
+/** A limit that defaults to 0, which means no limit. */
 const optionalLimit = limit.nullish().transform((value) => value ?? 0);
-/** Changes in one transaction: the end of a job takes two, a put and a delete. */
+/** The most changes in one transaction. Ending a job takes two: a put and a delete. */
 const transactionOps = z.number().int().min(2);
 
 const Team = z.object({
@@ -38,7 +38,7 @@
   cancel_s: positive,
 });
 
-/** Limits of the state service. */
+/** Limits of the state store. */
 const Store = z.object({
   rps: positive,
   write_rps: positive,
@@ -54,7 +54,7 @@
   ),
 });
 
-/** The file's schema. Numbers are finite; times are in seconds or, by their names, in milliseconds. */
+/** The schema of the file. Numbers are finite; times are in seconds, or in milliseconds where the name ends in `_ms`. */
 export const SettingsFile = z.object({
   node: z.string().min(1),
   area: z.string(),
@@ -83,12 +83,14 @@
 });
 export type SettingsFile = z.infer<typeof SettingsFile>;
 
-/** What no schema of single fields can say: the first contradiction between fields; undefined if there is none. */
+/** Returns the first contradiction between fields, which the schema cannot check; undefined if there is none. */
 export function findContradiction(file: SettingsFile): string | undefined {
-  return findNodeContradiction(file) ?? findTeamContradiction(file) ?? findLeaseContradiction(file);
+  return (
+    findControllerContradiction(file) ?? findTeamContradiction(file) ?? findLeaseContradiction(file)
+  );
 }
 
-function findNodeContradiction({
+function findControllerContradiction({
   node,
   others,
   params,
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,13 +1,13 @@
-/** The settings of a controller, as the platform hands them over. */
+/** The settings of a controller, which the platform provides. */
 import { errorMessage } from '../units/errors.js';
 import { Endpoint, ControllerId, seconds, type DurationMs } from '../units/index.js';
 import { SettingsError, readSettingsText, toSettingsError } from './settings-error.js';
 import { SettingsFile, findContradiction } from './settings-file.js';
 
-/** How settings are named in errors. */
-const KIND = 'settings';
+/** The name of these settings in error messages. */
+const SETTINGS_KIND = 'settings';
 
-/** A team and its quota; a maximum of 0 is none. */
+/** A team and its quota. A maximum of 0 means no limit. */
 export interface Team {
   readonly name: string;
   readonly guaranteedCpus: number;
@@ -20,19 +20,19 @@
 export interface Objective {
   /** `wait`, `finished`, `deadline`, or a kind that this version does not know. */
   readonly kind: string;
-  /** The class of the jobs that it is set for; undefined: all. */
+  /** The job class that the objective applies to; undefined: all. */
   readonly jobClass: string | undefined;
   readonly within: DurationMs | undefined;
-  /** For deadlines: by how many times the stated one. */
+  /** For deadlines: a factor on the job's stated deadline. */
   readonly deadlineFactor: number;
 }
 
-/** The limits of the state service. Rates are per second. */
+/** The limits of the state store. Rates are per second. */
 export interface StoreLimits {
   readonly requestRate: number;
   readonly writeRate: number;
   readonly valueBytes: number;
-  /** Changes in one transaction. */
+  /** The most changes in one transaction. */
   readonly transactionOps: number;
 }
 
@@ -42,54 +42,54 @@
   readonly endpoint: Endpoint;
 }
 
-/** The times that workers keep. */
+/** The times that apply to workers. */
 export interface WorkerTimes {
   readonly heartbeatInterval: DurationMs;
   readonly lease: DurationMs;
-  /** Within this time a cancelled task must be gone. */
+  /** The time within which a cancelled task must have ended. */
   readonly cancellationTime: DurationMs;
 }
 
-/** Everything that the platform sets. */
+/** All settings that the platform provides. */
 export interface Settings {
   readonly controllerId: ControllerId;
   readonly zone: string;
-  /** Where users and workers reach this node. */
+  /** The address where users and workers reach this controller. */
   readonly apiEndpoint: Endpoint;
-  /** Where the other controllers reach this node. */
+  /** The address where the other controllers reach this controller. */
   readonly clusterEndpoint: Endpoint;
   readonly otherControllers: readonly OtherController[];
   readonly cloudEndpoint: Endpoint;
   readonly storeEndpoint: Endpoint;
-  /** How many controllers there are. */
+  /** The number of controllers, including this one. */
   readonly controllerCount: number;
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly Objective[];
   readonly workers: WorkerTimes;
   readonly storeLimits: StoreLimits & {
-    /** The limits from an unannounced moment on; undefined if they stay. */
+    /** The limits that apply from an unannounced time on; undefined if they do not change. */
     readonly next: StoreLimits | undefined;
   };
   readonly cloud: {
     /** Requests per second. */
     readonly requestRate: number;
-    /** By how much the list of machines may be out of date. */
+    /** How far the list of machines may be out of date. */
     readonly listLag: DurationMs;
   };
   readonly limits: {
-    /** The share of a processor that this node has. */
+    /** The CPU share of this controller. */
     readonly cpu: number;
     readonly maxConnections: number;
   };
 }
 
-/** Checks settings that were read from a file. Throws a `SettingsError`. */
+/** Validates settings that were read from a file. Throws a `SettingsError`. */
 export function parseSettings(json: unknown): Settings {
   const parsed = SettingsFile.safeParse(json);
-  if (!parsed.success) throw toSettingsError(parsed.error, KIND);
+  if (!parsed.success) throw toSettingsError(parsed.error, SETTINGS_KIND);
   const file = parsed.data;
   const contradiction = findContradiction(file);
-  if (contradiction !== undefined) throw new SettingsError(`${KIND}: ${contradiction}`);
+  if (contradiction !== undefined) throw new SettingsError(`${SETTINGS_KIND}: ${contradiction}`);
   const { params } = file;
   return {
     ...toControllerSettings(file),
@@ -159,7 +159,7 @@
   return { ...now, next: file.next ? toNextLimits(file.next, now) : undefined };
 }
 
-/** What the limits to come leave out stays as it is. */
+/** Limits that the announcement leaves out do not change. */
 const toNextLimits = (
   next: NonNullable<Params['state']['next']>,
   now: StoreLimits,
@@ -174,12 +174,12 @@
 
 /** Reads the settings file. Throws a `SettingsError`. */
 export function readSettingsFile(path: string): Settings {
-  const text = readSettingsText(path, KIND);
+  const text = readSettingsText(path, SETTINGS_KIND);
   let json: unknown;
   try {
     json = JSON.parse(text);
   } catch (error) {
-    throw new SettingsError(`${KIND}: ${path} is not JSON: ${errorMessage(error)}`, {
+    throw new SettingsError(`${SETTINGS_KIND}: ${path} is not JSON: ${errorMessage(error)}`, {
       cause: error,
     });
   }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,4 +1,4 @@
-/** The client of the state service: reads, compare-and-swap, leases and watches. */
+/** The client of the state store: reads, compare-and-swap transactions, leases and watches. */
 import type { HttpClient, HttpOutcome, HttpRequest } from '../net/http.js';
 import {
   Revision,
@@ -31,20 +31,20 @@
   WatchResult,
 } from './results.js';
 
-/** Small, so that a process with little processor time does its other work, above all its lease, between pages. */
+/** Small, so that a process with little CPU time can do other work between pages, above all renew its lease. */
 const PAGE_SIZE = 40;
-/** How much longer than the watch itself its answer may take. */
+/** How much longer than the watch itself its response may take. */
 const WATCH_MARGIN_MS = 3000;
 
-/** How a call leaves. */
+/** How a request is sent. */
 export interface RequestOptions {
-  /** Leaves at once, whatever the budget holds, on connections of its own: for leases and the rebuild. */
+  /** Sent at once, regardless of the rate budget, on separate connections: for leases and for recovery after a failover. */
   readonly urgent?: boolean;
-  /** How long the call may wait for its turn; without it, as long as it takes. */
+  /** How long the request may wait in the queue; by default without limit. */
   readonly queueTimeout?: DurationMs;
 }
 
-/** What a `StoreClient` works with. */
+/** The dependencies and limits of a `StoreClient`. */
 export interface StoreClientOptions {
   readonly http: HttpClient;
   readonly endpoint: Endpoint;
@@ -55,7 +55,7 @@
   readonly controllerCount: number;
 }
 
-/** The state service, called within this node's share of its rates. */
+/** Sends requests to the state store within this controller's share of its rates. */
 export class StoreClient {
   private readonly http: HttpClient;
   private readonly endpoint: Endpoint;
@@ -73,32 +73,32 @@
     this.lastServedAt = clock.steady();
   }
 
-  /** When it last answered with anything but a refusal to serve. */
+  /** When the store last sent a response other than 503 (unavailable). */
   get servedAt(): SteadyMs {
     return this.lastServedAt;
   }
 
-  /** Adapts this node's share of the rates to what it does. */
+  /** Adapts this controller's share of the rates to its role. */
   setRole(role: Role): void {
     this.budget.setRole(role);
   }
 
-  /** From now on the announced rates are kept, where they are the lower ones. */
+  /** Applies the announced rates from now on, where they are lower than the current ones. */
   lowerRates(): void {
     this.budget.lowerRates();
   }
 
-  /** About when `count` more writes will have left, in as many transactions as they take. */
+  /** The approximate time until `count` more writes have been sent, in as many transactions as necessary. */
   writeBacklog(count: number): DurationMs {
     return this.budget.writeBacklog(count);
   }
 
-  /** How long a transaction of `count` writes would have to wait for its turn. */
+  /** How long a transaction of `count` writes has to wait for rate tokens. */
   writeWait(count: number): DurationMs {
     return this.budget.waitFor(count);
   }
 
-  /** How many writes may leave now, and which share of a full burst they are. */
+  /** How many writes may be sent now, and what share of a full burst that is. */
   availableWriteTokens(): { readonly count: number; readonly share: number } {
     return this.budget.availableWriteTokens();
   }
@@ -111,7 +111,7 @@
     const { urgent = false, queueTimeout: patience = ms(Infinity) } = options;
     if (urgent) this.budget.forceTake(writes);
     else if (!(await this.queue.waitForTurn(writes, patience))) {
-      return { kind: 'undelivered', reason: 'no turn in time' };
+      return { kind: 'undelivered', reason: 'rate budget exhausted until the queue timeout' };
     }
     const outcome = await this.http.send({
       ...request,
@@ -144,7 +144,7 @@
     const items: ListResult['items'][number][] = [];
     let from: string | undefined;
     for (;;) {
-      // Keys hold no character that a query would have to escape.
+      // Keys contain no characters that must be escaped in a query.
       const after = from === undefined ? '' : `&from=${from}`;
       const path = `/store?starts=${prefix}${after}&limit=${PAGE_SIZE}`;
       const outcome = await this.send({ method: 'GET', path, timeout }, options);
@@ -176,7 +176,7 @@
     return toCommitResult(outcome);
   }
 
-  /** The id of a new lease; undefined if none is known to have been granted. */
+  /** Creates a lease and returns its id; undefined if it is not known to have been granted. */
   async createLease(ttl: DurationMs, timeout: DurationMs): Promise<number | undefined> {
     const outcome = await this.send(
       { method: 'POST', path: '/leases', body: encodeLeaseRequest(Math.round(ttl)), timeout },
@@ -186,7 +186,7 @@
     return decodeLeaseId(outcome.body);
   }
 
-  /** Starts the time of a lease anew. */
+  /** Renews a lease for its full duration. */
   async renewLease(lease: number, timeout: DurationMs): Promise<RenewalResult> {
     const outcome = await this.send(
       { method: 'POST', path: `/leases/${lease}/touch`, body: {}, timeout },
@@ -197,7 +197,7 @@
     return outcome.status === 404 ? 'gone' : 'failed';
   }
 
-  /** Ends a lease and deletes its keys, if the call arrives; otherwise it expires. */
+  /** Ends a lease and deletes its keys. If the request is lost, the lease expires by itself. */
   async revokeLease(lease: number, timeout: DurationMs): Promise<void> {
     await this.send({ method: 'DELETE', path: `/leases/${lease}`, timeout }, { urgent: true });
   }
@@ -215,7 +215,7 @@
   }
 }
 
-/** What is known of a transaction after its call. */
+/** Converts the outcome of a request into the result of its transaction. */
 function toCommitResult(outcome: HttpOutcome): CommitResult {
   if (outcome.kind === 'unknown') return { kind: 'unknown', reason: outcome.reason };
   if (outcome.kind === 'undelivered') return { kind: 'refused', reason: outcome.reason };
@@ -224,7 +224,7 @@
     case 200: {
       const revision = decodeCommitRevision(body);
       if (revision !== undefined) return { kind: 'committed', revision: Revision(revision) };
-      return { kind: 'unknown', reason: 'unreadable answer' };
+      return { kind: 'unknown', reason: 'unreadable response' };
     }
     case 409:
       return { kind: 'conflict', failed: decodeConflictingKeys(body) ?? [] };
@@ -238,7 +238,7 @@
   }
 }
 
-/** The error that a body names; empty if it names none. */
+/** The error text of a response body; empty if it has none. */
 function errorOf(body: unknown): string {
   const error = (body as { error?: unknown } | undefined)?.error;
   return typeof error === 'string' ? error : '';
--- a/src/store/results.ts
+++ b/src/store/results.ts
@@ -1,12 +1,12 @@
-/** The outcomes of calls to the state service. */
+/** The results of requests to the state store. */
 import type { Revision } from '../units/index.js';
 
-/** The outcome of a read of one key. `failed`: nothing is known of the key. */
+/** The result of reading one key. `failed`: nothing is known about the key. */
 export type ReadResult =
   | {
       readonly kind: 'found';
       readonly data: unknown;
-      /** Of the key's last change. */
+      /** The revision of the key's last change. */
       readonly revision: Revision;
       /** The lease that the key is attached to. */
       readonly leaseId: number | undefined;
@@ -14,18 +14,18 @@
   | { readonly kind: 'absent' }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** The outcome of a compare-and-swap. */
+/** The result of a compare-and-swap transaction. */
 export type CommitResult =
   | { readonly kind: 'committed'; readonly revision: Revision }
-  /** Not carried out: the conditions on the keys in `failed` did not hold. */
+  /** Not executed: the conditions on the keys in `failed` did not hold. */
   | { readonly kind: 'conflict'; readonly failed: readonly string[] }
-  /** Not carried out: the lease that a write names does not exist any more. */
+  /** Not executed: the lease that a write names no longer exists. */
   | { readonly kind: 'leaseExpired' }
-  /** Not carried out, and never will be as it is: it exceeds the limits of the state service. */
+  /** Not executed, and a retry cannot succeed: the transaction exceeds the limits of the state store. */
   | { readonly kind: 'tooLarge' }
-  /** Certainly not carried out; it may be sent again. */
+  /** Certainly not executed; it may be retried. */
   | { readonly kind: 'refused'; readonly reason: string }
-  /** It may have been carried out, or may yet be: the keys must be read before anything is concluded. */
+  /** It may have been executed, or may still be: the keys must be read to find out. */
   | { readonly kind: 'unknown'; readonly reason: string };
 
 /** Every key under a prefix. */
@@ -39,11 +39,11 @@
   readonly revision: Revision;
 }
 
-/** The outcome of a lease's renewal. `gone`: it has expired. `failed`: nothing is known of it. */
+/** The result of renewing a lease. `gone`: it has expired. `failed`: its state is unknown. */
 export type RenewalResult = 'renewed' | 'gone' | 'failed';
 
 /**
- * The outcome of a watch. `changed`: the wait ended, with or without a change. `stale`: the revision is too
+ * The result of a watch. `changed`: the wait ended, with or without a change. `stale`: the revision is too
  * old to watch from, and the keys must be read again.
  */
 export type WatchResult = 'changed' | 'stale' | 'failed';
--- a/src/store/token-bucket.ts
+++ b/src/store/token-bucket.ts
@@ -1,14 +1,14 @@
-/** Token buckets, which keep calls within the rates of a service. */
+/** A token bucket, which keeps requests within the rates of a service. */
 import type { SteadyMs } from '../units/index.js';
 import { ms, type Clock, type DurationMs } from '../units/index.js';
 
 /**
- * A bucket that gains `rate` tokens a second and holds at most `burst` of them. It starts full. Its level is
+ * A token bucket that gains `rate` tokens per second and holds at most `burst` tokens. It starts full. Its level is
  * negative while it is in debt after `forceTake`.
  */
 export class TokenBucket {
   private tokens: number;
-  private refilledAt: SteadyMs;
+  private lastRefillAt: SteadyMs;
 
   constructor(
     private readonly clock: Clock,
@@ -16,16 +16,19 @@
     private readonly burst: number,
   ) {
     this.tokens = burst;
-    this.refilledAt = clock.steady();
+    this.lastRefillAt = clock.steady();
   }
 
   private refill(): void {
     const now = this.clock.steady();
-    this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) / 1000) * this.rate);
-    this.refilledAt = now;
+    this.tokens = Math.min(
+      this.burst,
+      this.tokens + ((now - this.lastRefillAt) / 1000) * this.rate,
+    );
+    this.lastRefillAt = now;
   }
 
-  /** Takes `count` tokens if they are there. A single request above the burst passes on a full bucket. */
+  /** Takes `count` tokens if they are available. A count above the burst is granted when the bucket is full. */
   tryTake(count: number): boolean {
     this.refill();
     if (this.tokens < Math.min(count, this.burst)) return false;
@@ -33,32 +36,32 @@
     return true;
   }
 
-  /** Takes `count` tokens whether they are there or not: for what must not wait, such as a lease renewal. */
+  /** Takes `count` tokens even if they are not available: for requests that must not wait, such as a lease renewal. */
   forceTake(count: number): void {
     this.refill();
     this.tokens -= count;
   }
 
-  /** How long until `tryTake(count)` can succeed; 0 if it can now. */
+  /** The time until `tryTake(count)` can succeed; 0 if it can now. */
   waitFor(count: number): DurationMs {
     this.refill();
     const missing = Math.min(count, this.burst) - this.tokens;
     return ms(missing <= 0 ? 0 : Math.ceil((missing / this.rate) * 1000) + 1);
   }
 
-  /** About how long `count` tokens take to be spent one by one; unlike `waitFor` not bounded by the burst. */
+  /** The approximate time to spend `count` tokens one by one; unlike `waitFor`, it is not limited by the burst. */
   backlog(count: number): DurationMs {
     this.refill();
     return ms(Math.max(0, ((count - this.tokens) / this.rate) * 1000));
   }
 
-  /** The tokens that are there now, and how many a full bucket has. */
+  /** The tokens that are available now, and the size of a full bucket. */
   level(): { readonly tokens: number; readonly burst: number } {
     this.refill();
     return { tokens: this.tokens, burst: this.burst };
   }
 
-  /** Empties the bucket: the service has refused a call as too early, so its own count is ahead of this one. */
+  /** Empties the bucket after the service rejected a request for its rate: the service counts fewer tokens than this one. */
   drain(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
