--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -1,23 +1,23 @@
-/** The command line: what the process is to do, by its arguments and the files that they name. */
+/** Parses the command line and reads the settings files that it names. */
 import { Command, CommanderError } from 'commander';
 import { defaultOperatorSettingsFor, type OperatorSettings } from '../config/operator-settings.js';
 import { SettingsError } from '../config/settings-error.js';
 import { readSettingsFile, type Settings } from '../config/settings.js';
 
-/** That of package.json. */
+/** The version in package.json. */
 const VERSION = '0.1.0';
 
-/** The status of a process whose arguments are wrong, and of one whose settings are. */
-const USAGE_STATUS = 2;
-const SETTINGS_STATUS = 1;
+/** The exit codes for invalid arguments and for invalid settings. */
+const USAGE_ERROR_EXIT_CODE = 2;
+const SETTINGS_ERROR_EXIT_CODE = 1;
 
-/** To run, or to print something and end. */
+/** The action that the command line requests: run a controller, or print texts and exit. */
 export type CommandLine =
   | { readonly kind: 'run'; readonly settings: Settings; readonly operator: OperatorSettings }
   | {
       readonly kind: 'exit';
       readonly exitCode: number;
-      /** Texts to print, mostly empty. */
+      /** The texts to print; either may be empty. */
       readonly stdout: string;
       readonly stderr: string;
     };
@@ -28,21 +28,21 @@
   readonly check?: boolean;
 }
 
-const printed = (stdout: string): CommandLine => ({
+const exitWithOutput = (stdout: string): CommandLine => ({
   kind: 'exit',
   exitCode: 0,
   stdout,
   stderr: '',
 });
 
-const failed = (exitCode: number, reason: string): CommandLine => ({
+const exitWithError = (exitCode: number, reason: string): CommandLine => ({
   kind: 'exit',
   exitCode,
   stdout: '',
   stderr: `topazpin: ${reason}\n`,
 });
 
-/** What the arguments ask for. Wrong arguments and settings are outcomes; anything else is thrown. */
+/** Parses the arguments. Invalid arguments and settings result in an exit code and a message; other errors are thrown. */
 export async function parseCommandLine(argv: readonly string[]): Promise<CommandLine> {
   let stdout = '';
   let stderr = '';
@@ -50,24 +50,25 @@
     writeOut: (text) => (stdout += text),
     writeErr: (text) => (stderr += text),
   });
-  const misused = (reason: string): CommandLine =>
-    failed(USAGE_STATUS, `${reason}\nusage: topazpin ${command.usage()}`);
+  const exitWithUsage = (reason: string): CommandLine =>
+    exitWithError(USAGE_ERROR_EXIT_CODE, `${reason}\nusage: topazpin ${command.usage()}`);
   try {
     command.parse(argv, { from: 'user' });
   } catch (error) {
     if (!(error instanceof CommanderError)) throw error;
-    if (error.exitCode === 0) return printed(stdout);
-    return misused(stderr.trim().replace(/^error: /, ''));
+    if (error.exitCode === 0) return exitWithOutput(stdout);
+    return exitWithUsage(stderr.trim().replace(/^error: /, ''));
   }
   const { config, operator, check } = command.opts<Options>();
-  if (config === undefined) return misused('--config is missing');
+  if (config === undefined) return exitWithUsage('--config is missing');
   try {
     const settings = readSettingsFile(config);
     const operatorSettings = await loadOperatorSettings(settings, operator);
-    if (check) return printed('settings are valid\n');
+    if (check) return exitWithOutput('settings are valid\n');
     return { kind: 'run', settings, operator: operatorSettings };
   } catch (error) {
-    if (error instanceof SettingsError) return failed(SETTINGS_STATUS, error.message);
+    if (error instanceof SettingsError)
+      return exitWithError(SETTINGS_ERROR_EXIT_CODE, error.message);
     throw error;
   }
 }
@@ -89,7 +90,7 @@
   file: string | undefined,
 ): Promise<OperatorSettings> {
   if (file === undefined) return defaultOperatorSettingsFor(settings.workers);
-  // Loaded only where it is used: start-up counts on small machines.
+  // Loaded only when it is needed, since start-up time matters on small machines.
   const { checkLeaderLease, readOperatorSettingsFile } =
     await import('../config/operator-settings-file.js');
   const operator = readOperatorSettingsFile(file);
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: everything but the sockets it listens on, so that tests can drive it. */
+/** One controller without the sockets that it listens on, so that tests can drive it. */
 import type { Logger } from 'pino';
 import { LeaderView } from './api/leadership.js';
 import { PeerRequests } from './api/peer-requests.js';
@@ -27,18 +27,18 @@
 
 const IMAGE_HINTS_TIMEOUT = ms(1000);
 
-/** What a controller takes from its process: time, chance, the network and the log. */
+/** What a controller receives from its process: clock, random numbers, network and log. */
 export interface ControllerEnvironment {
   readonly clock: Clock;
   readonly random: Random;
   readonly http: HttpClient;
   readonly log: Logger;
   readonly peers: ReadonlyMap<ControllerId, Peer>;
-  /** Names this process among those that have run on this node. */
+  /** Distinguishes this process from earlier processes of the same controller. */
   readonly processId: string;
 }
 
-/** Takes part in the election, leads terms, and answers users, workers and the other controllers. */
+/** Takes part in the election, leads terms, and handles requests from users, workers and the other controllers. */
 export class Controller {
   readonly userRequests: UserRequests;
   readonly workerHeartbeats: WorkerHeartbeats;
@@ -70,7 +70,9 @@
       controllerCount: settings.controllerCount,
     });
     this.recordLimits = new RecordLimits(settings.storeLimits, () => {
-      log.info('the state service has lowered its limits');
+      log.info(
+        'the state store applies its announced limits from now on; request rates and record sizes are lowered',
+      );
       this.store.lowerRates();
     });
     this.jobRecords = new JobRecords(this.store, clock, this.recordLimits);
@@ -175,13 +177,13 @@
       authority: () => this.election.authority(),
       onDeposed: (deposed) => this.election.onDeposed(deposed),
       onMachineTypesChanged: () =>
-        runInBackground(this.catalogSync.save(), log, 'saving machine types'),
+        runInBackground(this.catalogSync.save(), log, 'saving machine types to the state store'),
       imageHints,
       broadcastImageHints: (machines) => this.broadcastImageHints(machines),
       peers,
     });
     this.leadership.term = term;
-    runInBackground(term.start(), log, 'rebuild');
+    runInBackground(term.start(), log, 'recovery of the state at the start of the term');
   }
 
   private endTerm(): void {
@@ -207,15 +209,15 @@
     for (const peer of peers.values()) {
       if (!peer.responsive) continue;
       const sent = peer.request({ type: 'imageHints', machines }, IMAGE_HINTS_TIMEOUT);
-      runInBackground(sent, log, 'sending image hints');
+      runInBackground(sent, log, 'sending image hints to a peer');
     }
   }
 
   /**
-   * Healthy once it has been in touch with the store or a leader. It stays so when the store is out
-   * for all: a node that says "come back" at once serves users better than one taken off the balancer,
-   * whose connections are reset and which is let back in only after a pause. One that is cut off alone
-   * says so, since another node could serve the users that stay with it.
+   * The response to a health check. The controller is healthy once it has learned of a leader, from the store or a peer, and stays healthy while the
+   * store is unavailable to all controllers: a quick response to try again serves users better than removal from the
+   * load balancer, which resets connections and readmits the controller only after a delay. A controller that alone is
+   * cut off reports this, since another controller could serve its users.
    */
   health(): Reply {
     this.hasSeenLeader ||= this.election.leader() !== undefined;
@@ -224,14 +226,18 @@
     return { status: 200, body: { node: this.settings.controllerId } };
   }
 
-  /** Begins to take part in the election. Requests are answered before, as far as that goes. */
+  /** Starts to take part in the election. Requests are handled as far as possible even before that. */
   start(): void {
     this.election.start();
-    runInBackground(this.catalogSync.run(), this.environment.log, 'reading machine types');
+    runInBackground(
+      this.catalogSync.run(),
+      this.environment.log,
+      'reading machine types from the state store',
+    );
     this.peerLiveness.start();
   }
 
-  /** For tests: what a killed process no longer does. */
+  /** For tests: ends all periodic work, as if the process had been killed. */
   stop(): void {
     this.catalogSync.stop();
     this.election.stop();
--- a/src/main.ts
+++ b/src/main.ts
@@ -16,7 +16,7 @@
 import type { ControllerId, Random } from './units/index.js';
 
 const MAX_SEED = 0x7fffffff;
-/** Connections to each worker: at most, and kept while idle. */
+/** The most connections to each worker, and the most that are kept open while idle. */
 const SOCKETS_PER_WORKER = 2;
 const IDLE_SOCKETS_PER_WORKER = 1;
 
@@ -46,9 +46,11 @@
   startServers(controller, settings, sockets.api, log);
   controller.start();
   if (operator.lease > maxLeaderLease(settings.workers)) {
-    log.warn('cancel_s leaves no time for a change of leader beside lease_s: tasks may outlast it');
+    log.warn(
+      'cancel_s is too short for a failover in addition to lease_s: cancelled tasks may run for longer than cancel_s',
+    );
   }
-  log.info({ zone: settings.zone }, 'started');
+  log.info({ zone: settings.zone }, 'controller started');
 }
 
 async function main(argv: readonly string[]): Promise<void> {
@@ -62,5 +64,5 @@
   process.exitCode = commandLine.exitCode;
 }
 
-// No await at the top: the bundle that is deployed has none. What fails here ends the process.
+// The deployed bundle has no top-level await. An error here ends the process.
 void main(process.argv.slice(2));
--- a/src/servers.ts
+++ b/src/servers.ts
@@ -1,4 +1,4 @@
-/** The sockets that a node listens on: one for users and workers, one for the other controllers. */
+/** The sockets that a controller listens on: one for users and workers, one for the other controllers. */
 import http from 'node:http';
 import type { Logger } from 'pino';
 import { createApp } from './api/app.js';
@@ -8,24 +8,24 @@
 import type { Endpoint } from './units/index.js';
 
 /**
- * Connections of workers and users that ended silently, because the network was cut, are dropped after so
- * many heartbeats, and no sooner than after the least time, in milliseconds.
+ * Idle connections of workers and users are closed after this many heartbeat intervals, but not before the minimum
+ * time. This removes connections that a network failure has ended silently.
  */
-const IDLE_HEARTBEATS = 6;
-const MIN_IDLE_MS = 20_000;
+const IDLE_TIMEOUT_HEARTBEATS = 6;
+const MIN_IDLE_TIMEOUT_MS = 20_000;
 const HEADERS_TIMEOUT_MS = 8000;
 const REQUEST_TIMEOUT_MS = 10_000;
-const CHECK_INTERVAL_MS = 5000;
-const RETRY_MS = 500;
+const CONNECTION_CHECK_INTERVAL_MS = 5000;
+const LISTEN_RETRY_DELAY_MS = 500;
 
-/** What answers the requests, and who listens for them. */
+/** A server, the address it listens on, and who sends requests to it. */
 interface Listener {
   readonly server: http.Server | ReturnType<typeof servePeers>;
   readonly endpoint: Endpoint;
-  readonly purpose: string;
+  readonly clients: string;
 }
 
-/** Listens for requests to the controller. A socket that can't be opened is tried again, without end. */
+/** Listens for requests to the controller. Retries without limit if a socket cannot be opened. */
 export function startServers(
   controller: Controller,
   settings: Settings,
@@ -35,37 +35,40 @@
   const api = createApiServer(controller, settings, log);
   api.maxConnections = maxApiConnections;
   const peers = servePeers((request) => controller.peerRequests.handle(request), log);
-  listenPersistently(
+  listenWithRetries(
     [
-      { server: api, endpoint: settings.apiEndpoint, purpose: 'users and workers' },
-      { server: peers, endpoint: settings.clusterEndpoint, purpose: 'the other nodes' },
+      { server: api, endpoint: settings.apiEndpoint, clients: 'users and workers' },
+      { server: peers, endpoint: settings.clusterEndpoint, clients: 'the other controllers' },
     ],
     log,
   );
 }
 
 function createApiServer(controller: Controller, { workers }: Settings, log: Logger): http.Server {
-  const idleTime = Math.max(MIN_IDLE_MS, workers.heartbeatInterval * IDLE_HEARTBEATS);
+  const idleTimeout = Math.max(
+    MIN_IDLE_TIMEOUT_MS,
+    workers.heartbeatInterval * IDLE_TIMEOUT_HEARTBEATS,
+  );
   return http.createServer(
     {
-      keepAliveTimeout: idleTime,
+      keepAliveTimeout: idleTimeout,
       headersTimeout: HEADERS_TIMEOUT_MS,
       requestTimeout: REQUEST_TIMEOUT_MS,
-      connectionsCheckingInterval: CHECK_INTERVAL_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
     },
-    // koa answers all its errors itself.
+    // koa handles all errors of its requests itself.
     createApp(controller, log).callback() as http.RequestListener,
   );
 }
 
-function listenPersistently(listeners: readonly Listener[], log: Logger): void {
+function listenWithRetries(listeners: readonly Listener[], log: Logger): void {
   const open = (): void => {
     for (const { server, endpoint } of listeners) if (!server.listening) listenOn(server, endpoint);
   };
-  for (const { server, purpose } of listeners) {
+  for (const { server, clients } of listeners) {
     server.on('error', (error: Error) => {
-      log.error({ err: error }, `listening for ${purpose} failed`);
-      setTimeout(open, RETRY_MS);
+      log.error({ err: error }, `server for ${clients} failed; it listens again shortly`);
+      setTimeout(open, LISTEN_RETRY_DELAY_MS);
     });
   }
   open();
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,4 +1,4 @@
-/** Messages between controllers and the cloud that rents machines. */
+/** Messages between controllers and the cloud provider that rents out machines. */
 import * as z from 'zod';
 
 const MachineTypeMessage = z.object({
@@ -27,12 +27,12 @@
   readonly fetchGbPerSecond: number;
   readonly onDemandPrice: number;
   readonly spotPrice: number;
-  /** How long a boot usually takes, in seconds. */
+  /** The usual boot time, in seconds. */
   readonly bootSeconds: number;
   readonly zones: readonly string[];
 }
 
-/** The machine types that a message lists; undefined if it is none. */
+/** Decodes a list of machine types; undefined if the message is not one. */
 export function decodeMachineTypes(value: unknown): MachineType[] | undefined {
   const parsed = MachineTypesMessage.safeParse(value);
   return parsed.success ? parsed.data.builds.map(toMachineType) : undefined;
@@ -51,7 +51,7 @@
   zones: message.halls,
 });
 
-/** The message that lists machine types; also the form in which controllers store them. */
+/** Encodes a list of machine types, both for messages and for the state store. */
 export const encodeMachineTypes = (
   types: readonly MachineType[],
 ): { builds: MachineTypeMessage[] } => ({
@@ -69,7 +69,7 @@
   })),
 });
 
-/** A request for more machines. Its id makes it idempotent and is never used again. */
+/** A request to rent machines. Its id, which is never reused, makes it idempotent. */
 export interface ScaleOutRequest {
   readonly requestId: string;
   readonly machineType: string;
@@ -78,7 +78,7 @@
   readonly count: number;
 }
 
-/** A request for more machines as it is sent. */
+/** Encodes a request to rent machines. */
 export const encodeScaleOutRequest = (request: ScaleOutRequest): object => ({
   hire: request.requestId,
   build: request.machineType,
@@ -89,13 +89,13 @@
 
 const ScaleOutResponse = z.object({ boxes: z.array(z.string()) });
 
-/** The ids of the machines that were rented; undefined if the message does not state them. */
+/** Decodes the ids of the rented machines; undefined if the message does not contain them. */
 export function decodeScaleOutResponse(value: unknown): string[] | undefined {
   const parsed = ScaleOutResponse.safeParse(value);
   return parsed.success ? parsed.data.boxes : undefined;
 }
 
-/** A request to delete machines, by their ids. */
+/** Encodes a request to delete machines by their ids. */
 export const encodeDeleteRequest = (machines: readonly string[]): object => ({ boxes: machines });
 
 const ListedMachineMessage = z.object({
@@ -125,13 +125,13 @@
   readonly ageSeconds: number;
 }
 
-/** One page of the cloud's list. */
+/** One page of the cloud's list of machines. */
 export interface MachinePage {
   readonly machines: readonly ListedMachine[];
   readonly hasNext: boolean;
 }
 
-/** One page of the cloud's list; undefined if the message is none. */
+/** Decodes one page of the cloud's list of machines; undefined if the message is not one. */
 export function decodeMachinePage(value: unknown): MachinePage | undefined {
   const parsed = MachinePageMessage.safeParse(value);
   if (!parsed.success) return undefined;
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -1,4 +1,4 @@
-/** CBOR, the encoding of all messages to and from controllers. */
+/** CBOR encoding of messages between controllers and users, workers, the cloud and the state store. */
 import { Encoder, type Options } from 'cbor-x';
 
 /** The largest body of a message, in bytes. */
@@ -6,7 +6,7 @@
 /** The media type of every body. */
 export const CONTENT_TYPE = 'application/cbor';
 
-/** `int64AsNumber` is an option of the library that its types leave out. */
+/** The type declarations of the library lack its option `int64AsNumber`. */
 const options: Options & { int64AsNumber: boolean } = {
   useRecords: false,
   mapsAsObjects: true,
@@ -17,28 +17,28 @@
 const cbor = new Encoder(options);
 
 /**
- * cbor-x writes integers of more than 32 bits as floats; the protocol's counts, versions and
- * tokens are integers, so those leave as 64-bit integers.
+ * Converts integers of more than 32 bits to `bigint`. cbor-x would encode them as floats, while the protocol requires
+ * integers for counts, versions and tokens; a `bigint` is encoded as a 64-bit integer.
  */
-function widen(value: unknown): unknown {
+function widenIntegers(value: unknown): unknown {
   if (typeof value === 'number') {
     return Number.isSafeInteger(value) && Math.abs(value) > 0x7fffffff ? BigInt(value) : value;
   }
-  if (Array.isArray(value)) return value.map(widen);
+  if (Array.isArray(value)) return value.map(widenIntegers);
   if (value !== null && typeof value === 'object') {
     const widened: Record<string, unknown> = {};
     for (const [key, field] of Object.entries(value)) {
-      if (field !== undefined) widened[key] = widen(field);
+      if (field !== undefined) widened[key] = widenIntegers(field);
     }
     return widened;
   }
   return value;
 }
 
-/** One CBOR item. Fields that are undefined are left out. */
-export const encode = (value: unknown): Buffer => cbor.encode(widen(value));
+/** Encodes a value as one CBOR item. Fields that are undefined are left out. */
+export const encode = (value: unknown): Buffer => cbor.encode(widenIntegers(value));
 
-/** The value of one CBOR item, with maps as plain objects. Throws on anything that is not exactly one item. */
+/** Decodes one CBOR item, with maps as plain objects. Throws if the bytes are not exactly one item. */
 export const decode = (bytes: Uint8Array): unknown => cbor.decode(bytes);
 
 /** Whether a decoded value is a map. */
--- a/src/wire/index.ts
+++ b/src/wire/index.ts
@@ -1,4 +1,4 @@
-/** The wire formats of topazpin, for its own packages and for clients. */
+/** The wire formats of topazpin, for its own modules and for clients. */
 export * from './codec.js';
 export * from './user.js';
 export * from './worker.js';
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -1,4 +1,4 @@
-/** Messages between controllers and the state service, a consistent key-value store. */
+/** Messages between controllers and the state store, a consistent key-value store. */
 import * as z from 'zod';
 
 /** A key with its value. */
@@ -7,7 +7,7 @@
   readonly data: unknown;
   /** The revision of the key's last change. */
   readonly revision: number;
-  /** The lease at whose end the key is deleted, if it is attached to one. */
+  /** The lease that the key is attached to, if any. The key is deleted when the lease ends. */
   readonly leaseId?: number | undefined;
 }
 
@@ -18,7 +18,7 @@
   tenure: z.number().nullish(),
 });
 
-/** The answer to a read; undefined if the message is none. */
+/** Decodes the response to a read; undefined if the message is not one. */
 export function decodeStoredValue(value: unknown): StoredValue | undefined {
   const parsed = ValueMessage.safeParse(value);
   return parsed.success ? toStoredValue(parsed.data) : undefined;
@@ -45,7 +45,7 @@
   readonly revision: number;
 }
 
-/** One page of a list; undefined if the message is none. */
+/** Decodes one page of a list of keys; undefined if the message is not one. */
 export function decodeValuePage(value: unknown): ValuePage | undefined {
   const parsed = PageMessage.safeParse(value);
   if (!parsed.success) return undefined;
@@ -53,18 +53,18 @@
   return { values: items.map(toStoredValue), hasNext, revision };
 }
 
-/** A condition of a compare-and-swap: the key has this revision; with 0, it does not exist. */
+/** A condition of a compare-and-swap transaction: the key has this revision; 0 means that it does not exist. */
 export interface StoreCondition {
   readonly key: string;
   readonly revision: number;
 }
 
-/** A change of a compare-and-swap. A put attaches its key to the lease, if it names one. */
+/** A change in a compare-and-swap transaction. A put attaches its key to the lease, if it names one. */
 export type StoreWrite =
   | { readonly put: string; readonly data: unknown; readonly leaseId?: number }
   | { readonly delete: string };
 
-/** A compare-and-swap: all writes are applied if all conditions hold, otherwise none. */
+/** Encodes a compare-and-swap transaction: all writes are applied if all conditions hold, otherwise none. */
 export const encodeTransaction = (
   conditions: readonly StoreCondition[],
   writes: readonly StoreWrite[],
@@ -81,7 +81,7 @@
 
 const CommittedMessage = z.object({ ledger_rev: z.number() });
 
-/** The revision of a transaction that was carried out; undefined if the message does not state one. */
+/** Decodes the revision of a committed transaction; undefined if the message does not contain one. */
 export function decodeCommitRevision(value: unknown): number | undefined {
   const parsed = CommittedMessage.safeParse(value);
   return parsed.success ? parsed.data.ledger_rev : undefined;
@@ -89,7 +89,7 @@
 
 const ConflictMessage = z.object({ failed: z.array(z.string()), ledger_rev: z.number() });
 
-/** The keys whose conditions did not hold; undefined if the message does not state them. */
+/** Decodes the keys whose conditions did not hold; undefined if the message does not contain them. */
 export function decodeConflictingKeys(value: unknown): string[] | undefined {
   const parsed = ConflictMessage.safeParse(value);
   return parsed.success ? parsed.data.failed : undefined;
@@ -97,10 +97,10 @@
 
 const LeaseMessage = z.object({ tenure: z.number() });
 
-/** A request for a lease of so many milliseconds. */
+/** Encodes a request for a lease of the given duration. */
 export const encodeLeaseRequest = (ttlMs: number): object => ({ ttl_ms: ttlMs });
 
-/** The id of a new lease; undefined if the message does not state one. */
+/** Decodes the id of a new lease; undefined if the message does not contain one. */
 export function decodeLeaseId(value: unknown): number | undefined {
   const parsed = LeaseMessage.safeParse(value);
   return parsed.success ? parsed.data.tenure : undefined;
@@ -118,15 +118,15 @@
   ),
 });
 
-/** What changed under a prefix while it was watched. */
+/** The changes under a prefix while it was watched. */
 export interface WatchedChanges {
-  /** The revision from which to go on watching. */
+  /** The revision from which to continue watching. */
   readonly revision: number;
   /** The keys that were put or deleted, in order. */
   readonly keys: readonly string[];
 }
 
-/** The answer to a watch; undefined if the message is none. */
+/** Decodes the response to a watch; undefined if the message is not one. */
 export function decodeWatchedChanges(value: unknown): WatchedChanges | undefined {
   const parsed = WatchMessage.safeParse(value);
   if (!parsed.success) return undefined;
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -2,24 +2,24 @@
 import * as z from 'zod';
 import { decode, isMap, MAX_BODY_BYTES } from './codec.js';
 
-/** The form of job ids. */
+/** The pattern of job ids. */
 export const JOB_ID_PATTERN = /^run-\d{6,20}$/;
-/** The most tasks that a job may have. */
+/** The maximum number of tasks in a job. */
 export const MAX_TASKS_PER_JOB = 100_000;
 
-/** The field that names a job's team, in every message of users and in final records. */
+/** The field that names a job's team, in all messages to and from users and in final records. */
 export const TEAM_FIELD = 'desk';
-/** The field of a submission that holds the number of its tasks. */
+/** The field of a submission that holds its number of tasks. */
 export const TASK_COUNT_FIELD = 'entries';
 
 /**
- * How the tasks of a job relate to each other. Only `array` and `gang` have a meaning to controllers;
- * `service` is a word of the workers' protocol and is treated as an array.
+ * How the tasks of a job relate to each other. Controllers distinguish only `array` and `gang`; `service` is a value
+ * of the workers' protocol and is treated as an array.
  */
 export const JobKind = {
   /** Independent tasks, each of which runs to completion. */
   array: 'sweep',
-  /** Gang scheduling: all tasks run at the same time or none does. */
+  /** Gang scheduling: either all tasks run at the same time or none does. */
   gang: 'ensemble',
   /** Runs until it is cancelled. */
   service: 'daemon',
@@ -33,7 +33,7 @@
 const name = z.string().min(1).max(120);
 const amount = z.number().nonnegative();
 
-/** A submission as it is sent. Its fields must keep their order: compact records depend on it. */
+/** The message of a submission. Its fields must keep their order, since compact records depend on it. */
 export const SubmissionMessage = z.object({
   name_id: z.string().regex(JOB_ID_PATTERN),
   docket: name,
@@ -62,20 +62,20 @@
 });
 export type SubmissionMessage = z.infer<typeof SubmissionMessage>;
 
-/** What a user submits: what runs, which resources each task takes, and where it may run. */
+/** The job that a user submits: what runs, which resources each task requires, and where it may run. */
 export interface JobSpec {
   readonly id: string;
-  /** The class of jobs for which service-level objectives are set. */
+  /** The job class, for which service-level objectives can be set. */
   readonly jobClass: string;
   readonly team: string;
   readonly kind: JobKind;
   readonly priority: Priority;
   readonly taskCount: number;
-  /** Processors, GPUs and memory (in GB) that each task takes. */
+  /** CPUs, GPUs and memory (in GB) that each task requires. */
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** The image that a machine must have before a task can start, and its size in GB. */
+  /** The image that a machine must have fetched before a task can start, and its size in GB. */
   readonly image: string;
   readonly imageSizeGb: number;
   /** The allowed machine types; null: any. */
@@ -90,15 +90,15 @@
   readonly allowSpot: boolean;
   /** The owner's estimate of a task's run time, in seconds. */
   readonly expectedRuntimeSeconds: number;
-  /** Seconds of progress between checkpoints; 0: the task never saves. */
+  /** Seconds of progress between checkpoints; 0: the task never saves a checkpoint. */
   readonly checkpointIntervalSeconds: number;
-  /** How long a task takes to save when it is stopped, in seconds. */
+  /** How long a task takes to save a checkpoint when it is stopped, in seconds. */
   readonly checkpointSeconds: number;
-  /** When the job should be complete, in seconds from its submission; null: no deadline. */
+  /** The time from submission by which the job should have finished, in seconds; null: no deadline. */
   readonly deadlineSeconds: number | null;
 }
 
-/** The job that a valid submission describes. */
+/** Decodes a valid submission. */
 export const decodeJobSpec = (message: SubmissionMessage): JobSpec => ({
   id: message.name_id,
   jobClass: message.docket,
@@ -122,7 +122,7 @@
   deadlineSeconds: message.due_s,
 });
 
-/** The submission that describes a job. */
+/** Encodes a job as a submission. */
 export const encodeJobSpec = (spec: JobSpec): SubmissionMessage => ({
   name_id: spec.id,
   docket: spec.jobClass,
@@ -146,20 +146,20 @@
   due_s: spec.deadlineSeconds,
 });
 
-/** The fields of a submission beside its id, which comes first. */
+/** The fields of a submission except its id, which is the first field. */
 const VALUE_FIELDS = Object.keys(SubmissionMessage.shape).slice(1);
 
-/** A job's description without its id, as a list of values in the order of the message's fields. */
+/** Encodes a job without its id, as a list of values in the order of the message's fields. */
 export const encodeJobSpecValues = (spec: JobSpec): unknown[] =>
   Object.values(encodeJobSpec(spec)).slice(1);
 
-/** Throws a `ZodError` on values that describe no job. */
+/** Decodes a job from its id and values. Throws a `ZodError` if the values do not describe a job. */
 export function decodeJobSpecValues(id: string, values: readonly unknown[]): JobSpec {
   const fields = Object.fromEntries(VALUE_FIELDS.map((field, i) => [field, values[i]]));
   return decodeJobSpec(SubmissionMessage.parse({ ...fields, name_id: id }));
 }
 
-/** The states of a job, as users see them. */
+/** The status values of a job in messages to users. */
 export const JobStatus = {
   /** No task is running. */
   pending: 'pending',
@@ -169,19 +169,19 @@
 } as const;
 export type JobStatus = (typeof JobStatus)[keyof typeof JobStatus];
 
-/** The state of a job. Numbers of tasks and the team are left out where only the status is known. */
+/** The state of a job. The task counts and the team are left out where only the status is known. */
 export interface JobState {
   readonly id: string;
   readonly status: JobStatus;
-  /** Numbers of tasks. */
+  /** The numbers of tasks that are done and running. */
   readonly done?: number;
   readonly running?: number;
   readonly team?: string;
-  /** Why the job is over, as a sentence. */
+  /** Why the job has finished, as a sentence. */
   readonly reason?: string;
 }
 
-/** The state of a job as it is sent to users. */
+/** Encodes the state of a job for users. */
 export const encodeJobState = ({
   id,
   status,
@@ -198,13 +198,13 @@
   ...(reason === undefined ? {} : { cause: reason }),
 });
 
-/** The outcome of a check; `reason` is one line. */
+/** The result of parsing; `reason` is one line. */
 export type ParseResult<T> =
   { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
 /**
- * The job id of a submission; undefined if it has none. It is read alone, so that a repeated submission of a known
- * job is answered even when its body would be refused.
+ * Decodes only the job id of a submission; undefined if it has none. A repeated submission of a known job thus
+ * receives a response even if the rest of its body is invalid.
  */
 export function decodeSubmissionId(body: Uint8Array): string | undefined {
   if (body.length > MAX_BODY_BYTES) return undefined;
@@ -218,7 +218,7 @@
   }
 }
 
-/** Checks the body of a submission; `reason` names the invalid field. */
+/** Parses and validates the body of a submission; `reason` names the invalid field. */
 export function parseSubmission(body: Uint8Array): ParseResult<JobSpec> {
   if (body.length > MAX_BODY_BYTES) return { ok: false, reason: 'body over 64 KiB' };
   let value: unknown;
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,20 +1,20 @@
-/** Messages between workers and controllers: heartbeats with status, and commands. */
+/** Messages between workers and controllers: heartbeats with the status of a machine, and commands. */
 import * as z from 'zod';
 
-/** The state of a task on its worker. Other values than these are passed on as they are. */
+/** The state of a task on its worker. Other values are passed on unchanged. */
 export const TaskState = {
-  /** Waits for its image to be fetched. */
+  /** The task waits until its image has been fetched. */
   fetching: 'fetching',
-  /** A gang's task that waits for the other tasks of its attempt. */
+  /** A task of a gang that waits for the other tasks of its attempt. */
   gathering: 'gathering',
   running: 'running',
-  /** Writes a checkpoint after a command to stop. */
+  /** The task writes a checkpoint after a command to stop. */
   saving: 'flushing',
-  /** Ended; its exit reason says how. */
+  /** The task has ended; its exit reason says why. */
   exited: 'exited',
 } as const;
 
-/** Why a task ended. Other values than these are passed on as they are. */
+/** Why a task ended. Other values are passed on unchanged. */
 export const ExitReason = {
   /** Completed. */
   done: 'done',
@@ -28,7 +28,7 @@
   attemptConflict: 'in_use',
   /** Start refused: the worker does not know the job or the task. */
   unknownTask: 'no_such',
-  /** Another task of the gang has ended or is out of reach. */
+  /** Another task of the gang has ended or is unreachable. */
   gangMemberLost: 'peers',
   /** The gang was not complete in time. */
   gangIncomplete: 'incomplete',
@@ -78,18 +78,18 @@
   readonly machineType: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** The worker's incarnation: rises each time its lease expires. */
+  /** The worker's session number, which rises each time its lease expires. */
   readonly session: number;
-  /** Rises with each message of a session. */
+  /** The number of the message within its session, which rises with each message. */
   readonly sequence: number;
   /** The highest fencing token that the worker has seen. */
   readonly fencingToken: number;
-  /** Seconds until the cloud reclaims the machine, if it has announced that. */
+  /** Seconds until the cloud reclaims the machine, if it has sent a reclaim notice. */
   readonly reclaimNoticeSeconds?: number | null | undefined;
   readonly tasks: readonly TaskStatus[];
 }
 
-/** The heartbeat that a message holds; undefined if it holds none. */
+/** Decodes a heartbeat; undefined if the message is not one. */
 export function decodeHeartbeat(message: unknown): Heartbeat | undefined {
   const parsed = HeartbeatMessage.safeParse(message);
   return parsed.success ? toHeartbeat(parsed.data) : undefined;
@@ -116,19 +116,19 @@
   checkpointSaved: message.kept ?? null,
 });
 
-/** What all commands name: one attempt of a task. */
+/** The fields of all commands, which name one attempt of a task. */
 export interface TaskCommand {
   /** `<job>/<index>` */
   readonly task: string;
   readonly attempt: number;
 }
 
-/** Start a task, or remove one that has exited. */
+/** Starts a task (`launch`), or removes one that has exited (`clear`). */
 export interface StartOrClearCommand extends TaskCommand {
   readonly type: 'launch' | 'clear';
 }
 
-/** Stop a task. It writes a checkpoint first if it can within the grace period. */
+/** Stops a task. It first writes a checkpoint if the grace period is long enough. */
 export interface KillCommand extends TaskCommand {
   readonly type: 'kill';
   readonly gracePeriodSeconds: number;
@@ -137,13 +137,13 @@
 /** A command to a worker. */
 export type Command = StartOrClearCommand | KillCommand;
 
-/** The answer to a heartbeat, which renews the worker's lease. */
+/** The response to a heartbeat, which renews the worker's lease. */
 export interface WorkerHeartbeatResponse {
   readonly fencingToken: number;
   readonly commands: readonly Command[];
 }
 
-/** Commands in a request to a worker. It refuses them unless fencing token and session match. */
+/** Direct commands: a request to a worker's own address, which it rejects unless fencing token and session match. */
 export interface CommandRequest extends WorkerHeartbeatResponse {
   readonly session: number;
 }
@@ -157,7 +157,7 @@
 type CommandMessage = z.infer<typeof CommandMessage>;
 const WorkerHeartbeatResponseMessage = z.object({ baton: count, orders: z.array(CommandMessage) });
 
-/** A command as it is sent. */
+/** Encodes a command. */
 export function encodeCommand(command: Command): CommandMessage {
   const { task, attempt } = command;
   return command.type === 'kill'
@@ -165,7 +165,7 @@
     : { verb: command.type, entry: task, try: attempt };
 }
 
-/** The command that a message holds. Throws a `ZodError` if it holds none. */
+/** Decodes a command. Throws a `ZodError` if the message is not one. */
 export function decodeCommand(value: unknown): Command {
   const message = CommandMessage.parse(value);
   const command = { task: message.entry, attempt: message.try };
@@ -174,7 +174,7 @@
     : { type: message.verb, ...command };
 }
 
-/** The answer to a heartbeat as it is sent. */
+/** Encodes the response to a heartbeat. */
 export const encodeWorkerHeartbeatResponse = ({
   fencingToken,
   commands,
@@ -183,13 +183,13 @@
   orders: commands.map(encodeCommand),
 });
 
-/** For clients: the answer to a heartbeat. Throws a `ZodError` if the message is none. */
+/** For clients: decodes the response to a heartbeat. Throws a `ZodError` if the message is not one. */
 export function decodeWorkerHeartbeatResponse(value: unknown): WorkerHeartbeatResponse {
   const { baton, orders } = WorkerHeartbeatResponseMessage.parse(value);
   return { fencingToken: baton, commands: orders.map(decodeCommand) };
 }
 
-/** A request with commands as it is sent. */
+/** Encodes a request with direct commands. */
 export const encodeCommandRequest = ({
   fencingToken,
   session,
@@ -200,10 +200,10 @@
   orders: commands.map(encodeCommand),
 });
 
-/** The body of a 421, which sends the worker to another node. */
-export const encodeRedirect = (node: string): object => ({ clerk: node });
+/** Encodes the body of a 421 response, which redirects the worker to another controller. */
+export const encodeRedirect = (controllerId: string): object => ({ clerk: controllerId });
 
-/** For clients: a heartbeat as a worker sends it. */
+/** For clients: encodes a heartbeat. */
 export const encodeHeartbeat = (heartbeat: Heartbeat): HeartbeatMessage => ({
   box: heartbeat.machine,
   addr: heartbeat.address,
