--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -36,7 +36,7 @@
 import { lostMachines } from './lost-machines.js';
 import { recordMachineList } from './machine-list.js';
 import { planScaleOut } from './planner.js';
-import { OfferRefusals } from './refusals.js';
+import { OfferRefusals } from './offer-backoff.js';
 import { idleMachines } from './scale-in.js';
 import { currentSupply } from './supply.js';
 import type { Offer, PlannedScaleOut } from './types.js';
--- a/src/fleet/pushed-starts.ts
+++ b/src/fleet/direct-starts.ts
@@ -6,7 +6,7 @@
  * still be delivered; after that, a duplicate of it may. Both matter as soon as the worker forgets the attempt,
  * since it would then run the task again.
  */
-export class PushedStarts {
+export class DirectStarts {
   private readonly pending = new Set<string>();
   /** Acknowledged starts, and when their attempts were first seen to have ended. */
   private readonly acknowledged = new Map<string, { endedAt: SteadyMs | undefined }>();
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -8,7 +8,7 @@
   type TaskKey,
 } from '../units/index.js';
 import { TaskState } from '../wire/index.js';
-import type { AssignedTask, Load, ResourcesOf } from './load.js';
+import type { AssignedTask, Load, ResourcesOf } from './machine-load.js';
 import { Machine, type MachineKind } from './machine.js';
 import { workerLeaseEnd } from './worker-lease.js';
 import { attemptKey, type WorkerStatus } from './worker-status.js';
--- a/src/fleet/load.ts
+++ b/src/fleet/machine-load.ts
@@ -1,7 +1,7 @@
 /** The resources of a machine that are in use, or may be. */
 import { parseTaskKey, taskKey, type JobId, type SteadyMs, type TaskKey } from '../units/index.js';
 import { TaskState, type TaskStatus } from '../wire/index.js';
-import type { ImageCache } from './images.js';
+import type { ImageCache } from './image-cache.js';
 import type { Resources } from './resources.js';
 import { attemptKey, type WorkerStatus } from './worker-status.js';
 
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -8,9 +8,9 @@
   type SteadyMs,
   type TaskKey,
 } from '../units/index.js';
-import { ImageCache } from './images.js';
-import { loadOf, type AssignedTask, type Load, type ResourcesOf } from './load.js';
-import { PushedStarts } from './pushed-starts.js';
+import { ImageCache } from './image-cache.js';
+import { loadOf, type AssignedTask, type Load, type ResourcesOf } from './machine-load.js';
+import { DirectStarts } from './direct-starts.js';
 import { isAfter, type WorkerStatus } from './worker-status.js';
 
 /** After this many ignored replies in a row, a machine counts as not receiving. */
@@ -70,7 +70,7 @@
   probedAt: SteadyMs | undefined;
   private readonly assignedTasks = new Map<TaskKey, AssignedTask>();
   private cachedLoad: Load | undefined;
-  readonly pushedStarts = new PushedStarts();
+  readonly pushedStarts = new DirectStarts();
   readonly images: ImageCache;
   /** The images that an earlier leader knew of have been added. */
   imageHintsTaken = false;
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -1,6 +1,6 @@
 /** Reconciliation of a machine's status with the placements that records have there. */
-import { isProvenAbsent } from '../fleet/absence.js';
-import type { AssignedTask } from '../fleet/load.js';
+import { isProvenAbsent } from '../fleet/attempt-absence.js';
+import type { AssignedTask } from '../fleet/machine-load.js';
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey, type StatusSource, type WorkerStatus } from '../fleet/worker-status.js';
 import type { Job, Placement } from '../ledger/job.js';
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { isProvenAbsent, type StartRecord } from '../../src/fleet/absence.js';
-import { ImageCache } from '../../src/fleet/images.js';
-import { loadOf } from '../../src/fleet/load.js';
+import { isProvenAbsent, type StartRecord } from '../../src/fleet/attempt-absence.js';
+import { ImageCache } from '../../src/fleet/image-cache.js';
+import { loadOf } from '../../src/fleet/machine-load.js';
 import { Machine } from '../../src/fleet/machine.js';
 import { workerLeaseEnd } from '../../src/fleet/worker-lease.js';
 import {
