--- a/src/api/submissions.ts
+++ b/src/api/submissions.ts
@@ -76,11 +76,11 @@
     }
     const verdict = this.deps.admission.judge(parsed.value);
     switch (verdict.kind) {
-      case 'impossible':
+      case 'infeasible':
         return { kind: 'refused', refusal: { status: 422, body: { error: verdict.reason } } };
       case 'undecided':
         return { kind: 'undecided', spec: parsed.value };
-      case 'runnable':
+      case 'feasible':
         return { kind: 'admitted', spec: parsed.value };
     }
   }
--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -33,11 +33,11 @@
 } from '../units/index.js';
 import type { JobSpec, ScaleOutRequest } from '../wire/index.js';
 import { anticipatedDemand, queuedDemand, type AnticipatedTasks } from './demand.js';
-import { lostMachines } from './lost-machines.js';
+import { findLostMachines } from './lost-machines.js';
 import { recordMachineList } from './machine-list.js';
 import { planScaleOut } from './planner.js';
-import { OfferRefusals } from './offer-backoff.js';
-import { idleMachines } from './scale-in.js';
+import { OfferBackoff } from './offer-backoff.js';
+import { findIdleMachines } from './scale-in.js';
 import { currentSupply } from './supply.js';
 import type { Offer, PlannedScaleOut } from './types.js';
 
@@ -46,7 +46,7 @@
   /** The autoscaler adds the machines it rents, and marks those it gives back. */
   readonly fleet: Fleet;
   /** Since when heartbeats have been answered without a break. */
-  answeringSince(): SteadyMs;
+  respondingSince(): SteadyMs;
   /** When each other node was last known not to answer this one. */
   readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
   /** The jobs with waiting tasks, in the order in which they are to be served. */
@@ -56,7 +56,7 @@
   /** Tasks that may be submitted next and should find machines on standby. */
   anticipatedWork(): readonly AnticipatedTasks[];
   /** The cloud has confirmed that a machine is gone, with all tasks on it. */
-  noteRemoved(machine: Machine, reason: string): void;
+  onMachineRemoved(machine: Machine, reason: string): void;
 }
 
 /** What an autoscaler works with. */
@@ -73,19 +73,19 @@
 }
 
 /** A call to the cloud with all that follows from its answer; false if it was not answered. */
-type CloudCall = () => Promise<boolean>;
+type CloudRequest = () => Promise<boolean>;
 
 const MACHINE_TYPES_INTERVAL = seconds(60);
 const MIN_LIST_INTERVAL = seconds(4);
 const PLAN_INTERVAL = seconds(1);
 /** The pause between a call that was answered and the next one. */
-const NEXT_CALL_DELAY = ms(1);
-const MIN_FAILURE_PAUSE = ms(500);
-const MAX_FAILURE_PAUSE = seconds(5);
+const NEXT_REQUEST_DELAY = ms(1);
+const MIN_FAILURE_BACKOFF = ms(500);
+const MAX_FAILURE_BACKOFF = seconds(5);
 /** The usual boot of a machine whose type is unknown. */
 const DEFAULT_BOOT_TIME = seconds(60);
 /** The most machines that are rented by one plan. */
-const MAX_NEW_MACHINES = 100;
+const MAX_MACHINES_PER_PLAN = 100;
 
 /**
  * Makes one cloud call at a time, the most useful one first. A scale-out request that was not answered is
@@ -94,13 +94,13 @@
 export class Autoscaler {
   /** Called when the machine types were read and differ from those known by more than prices. */
   onMachineTypesChanged: (() => void) | undefined;
-  private closed = false;
-  private callInFlight = false;
+  private isClosed = false;
+  private hasRequestInFlight = false;
   private nextTick: Timer | undefined;
   private pendingRequest: ScaleOutRequest | undefined;
   private plannedRequests: PlannedScaleOut[] = [];
   private requestCounter = 0;
-  private readonly refusals: OfferRefusals;
+  private readonly offerBackoff: OfferBackoff;
   private readonly backoff: Backoff;
   private machineTypesReadAt: SteadyMs | undefined;
   private listReadAt: SteadyMs | undefined;
@@ -110,49 +110,50 @@
     private readonly view: ClusterView,
     private readonly deps: AutoscalerDependencies,
   ) {
-    this.refusals = new OfferRefusals(deps.random);
-    this.backoff = new Backoff(deps.clock, deps.random, MIN_FAILURE_PAUSE, MAX_FAILURE_PAUSE);
+    this.offerBackoff = new OfferBackoff(deps.random);
+    this.backoff = new Backoff(deps.clock, deps.random, MIN_FAILURE_BACKOFF, MAX_FAILURE_BACKOFF);
   }
 
   /** Makes no further calls. One that is in flight is carried out, and its result is noted. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.nextTick?.cancel();
   }
 
   /** Makes the next call if one is due and the last one is over. */
   tick(): void {
-    if (this.closed || this.callInFlight) return;
-    if (this.backoff.remaining() > 0 || !this.deps.cloud.isReady()) return;
-    const call = this.nextCall(this.deps.clock.steady());
-    if (!call) return;
-    this.callInFlight = true;
-    detach(this.perform(call), this.deps.log, 'cloud call');
+    if (this.isClosed || this.hasRequestInFlight) return;
+    if (this.backoff.remaining() > 0 || !this.deps.cloud.canSendRequest()) return;
+    const request = this.nextRequest(this.deps.clock.steady());
+    if (!request) return;
+    this.hasRequestInFlight = true;
+    detach(this.executeRequest(request), this.deps.log, 'cloud call');
   }
 
-  private async perform(call: CloudCall): Promise<void> {
-    let isAnswered = false;
+  private async executeRequest(sendRequest: CloudRequest): Promise<void> {
+    let hasResponse = false;
     try {
-      isAnswered = await call();
+      hasResponse = await sendRequest();
     } catch (error) {
       this.deps.log.error({ err: error }, 'cloud step failed');
     }
-    this.callInFlight = false;
-    if (isAnswered) {
+    this.hasRequestInFlight = false;
+    if (hasResponse) {
       this.backoff.noteSuccess();
-      if (!this.closed) this.nextTick = this.deps.clock.after(NEXT_CALL_DELAY, () => this.tick());
+      if (!this.isClosed)
+        this.nextTick = this.deps.clock.after(NEXT_REQUEST_DELAY, () => this.tick());
     } else this.backoff.noteFailure();
   }
 
   /** The most useful call that is due. */
-  private nextCall(now: SteadyMs): CloudCall | undefined {
+  private nextRequest(now: SteadyMs): CloudRequest | undefined {
     if (!this.deps.catalog.isKnown) return () => this.readMachineTypes(now);
     const lost = this.lostMachines(now);
     if (lost.length > 0) return () => this.deleteMachines(lost);
-    const request = this.nextRequest(now);
+    const request = this.nextScaleOutRequest(now);
     if (request) return () => this.scaleOut(request);
     const listInterval = Math.max(MIN_LIST_INTERVAL, this.deps.settings.cloud.listLag);
-    if (isDue(this.listReadAt, listInterval, now)) return () => this.readList(now);
+    if (isDue(this.listReadAt, listInterval, now)) return () => this.readMachineList(now);
     const idle = this.idleMachines(now);
     if (idle.length > 0) return () => this.deleteMachines(idle);
     if (isDue(this.machineTypesReadAt, MACHINE_TYPES_INTERVAL, now)) {
@@ -164,14 +165,14 @@
   // --- machine types and the list of machines -----------------------------------------------------
 
   private async readMachineTypes(now: SteadyMs): Promise<boolean> {
-    const types = await this.deps.cloud.machineTypes();
+    const types = await this.deps.cloud.listMachineTypes();
     if (!types) return false;
     this.machineTypesReadAt = now;
     if (this.deps.catalog.update(types)) this.onMachineTypesChanged?.();
     return true;
   }
 
-  private async readList(now: SteadyMs): Promise<boolean> {
+  private async readMachineList(now: SteadyMs): Promise<boolean> {
     const listed = await this.deps.cloud.listMachines();
     if (!listed) return false;
     this.listReadAt = now;
@@ -183,7 +184,7 @@
   // --- scale-out ----------------------------------------------------------------------------------
 
   /** The request that was not answered yet, or the next one of the plan. */
-  private nextRequest(now: SteadyMs): ScaleOutRequest | undefined {
+  private nextScaleOutRequest(now: SteadyMs): ScaleOutRequest | undefined {
     if (this.pendingRequest) return this.pendingRequest;
     if (isDue(this.plannedAt, PLAN_INTERVAL, now)) {
       this.plannedAt = now;
@@ -219,8 +220,8 @@
       ...currentSupply({ fleet, catalog, epoch, now, specOf }),
       demands,
       machineTypes,
-      refusedOffers: this.refusals.pausedOffers(now),
-      maxMachines: MAX_NEW_MACHINES,
+      refusedOffers: this.offerBackoff.pausedOffers(now),
+      maxMachines: MAX_MACHINES_PER_PLAN,
     });
   }
 
@@ -239,23 +240,23 @@
     switch (result.kind) {
       case 'rented':
         log.info({ ...context, count: result.machines.length }, 'rented');
-        this.noteRented(result.machines, offer, now);
-        if (result.machines.length < request.count) this.refusals.noteRefused(offer, now);
-        else this.refusals.noteGranted(offer);
+        this.recordRented(result.machines, offer, now);
+        if (result.machines.length < request.count) this.offerBackoff.recordRefusal(offer, now);
+        else this.offerBackoff.recordGrant(offer);
         break;
       case 'noCapacity':
-        this.refusals.noteRefused(offer, now);
+        this.offerBackoff.recordRefusal(offer, now);
         log.info(context, 'no capacity');
         break;
       case 'malformed':
-        this.refusals.noteRefused(offer, now);
+        this.offerBackoff.recordRefusal(offer, now);
         log.error(context, 'rental refused as malformed');
         break;
     }
     return true;
   }
 
-  private noteRented(machines: readonly MachineId[], offer: Offer, now: SteadyMs): void {
+  private recordRented(machines: readonly MachineId[], offer: Offer, now: SteadyMs): void {
     const { fleet } = this.view;
     for (const id of machines) {
       // A late answer may name machines that have come and gone since.
@@ -271,9 +272,9 @@
   private lostMachines(now: SteadyMs): Machine[] {
     const { catalog, settings } = this.deps;
     const { heartbeatInterval, lease } = settings.workers;
-    const lost = lostMachines(this.view.fleet.machines.values(), {
+    const lost = findLostMachines(this.view.fleet.machines.values(), {
       now,
-      answeringSince: this.view.answeringSince(),
+      respondingSince: this.view.respondingSince(),
       heartbeatInterval,
       lease,
       bootTime: (name) => bootTimeOf(name, catalog),
@@ -283,7 +284,7 @@
   }
 
   private idleMachines(now: SteadyMs): Machine[] {
-    const idle = idleMachines({
+    const idle = findIdleMachines({
       fleet: this.view.fleet,
       catalog: this.deps.catalog,
       idleBootTimes: this.deps.operator.idleBootTimes,
@@ -297,11 +298,11 @@
     for (const machine of machines) {
       machine.isDecommissioning = true;
       // From here on it may go at any time, however late the request is carried out.
-      machine.deleteSent = true;
+      machine.isDeleteSent = true;
     }
     const isConfirmed = await this.deps.cloud.deleteMachines(machines.map(({ id }) => id));
     if (!isConfirmed) return false;
-    for (const machine of machines) this.view.noteRemoved(machine, 'deleted');
+    for (const machine of machines) this.view.onMachineRemoved(machine, 'deleted');
     return true;
   }
 }
--- a/src/capacity/bin-packing.ts
+++ b/src/capacity/bin-packing.ts
@@ -1,5 +1,5 @@
 /** Bins for the scale-out planner: machines, existing or planned, into which tasks are packed. */
-import { EPSILON, type Resources } from '../fleet/resources.js';
+import { RESOURCE_TOLERANCE, type Resources } from '../fleet/resources.js';
 import type { Offer } from './types.js';
 
 /** A machine with the resources that are left on it. */
@@ -25,12 +25,12 @@
       free.cpus / task.cpus,
       task.gpus > 0 ? free.gpus / task.gpus : Infinity,
       task.memoryGb > 0 ? free.memoryGb / task.memoryGb : Infinity,
-    ) + EPSILON,
+    ) + RESOURCE_TOLERANCE,
   );
 
 /** Packs at most `maxTasks` tasks of a size into a bin; returns how many were packed. */
 export function packTasks(bin: Bin, task: Resources, maxTasks: number): number {
-  if (bin.cpus < task.cpus - EPSILON) return 0;
+  if (bin.cpus < task.cpus - RESOURCE_TOLERANCE) return 0;
   const count = Math.min(maxTasks, slotCount(bin, task));
   bin.cpus -= count * task.cpus;
   bin.gpus -= count * task.gpus;
--- a/src/capacity/cheapest-offer.ts
+++ b/src/capacity/cheapest-offer.ts
@@ -7,7 +7,7 @@
 import { offerKey, type Demand, type Offer } from './types.js';
 
 /** The cost of a machine that boots too slowly for tasks that must not wait is multiplied by this. */
-const SLOW_BOOT_PENALTY = 4;
+const SLOW_BOOT_COST_FACTOR = 4;
 /** What a slot counts that is left for other tasks, where one that is used counts 1. */
 const SPARE_SLOT_VALUE = 0.7;
 /** Costs that differ by less are equal: the offer that was found first is kept. */
@@ -26,7 +26,7 @@
   /** How many of its tasks have no machine yet. */
   readonly taskCount: number;
   /** Some of them would be late: on-demand machines are candidates too, and slow boots count. */
-  readonly isPressing: boolean;
+  readonly hasLateTasks: boolean;
 }
 
 /** An offer with the type of its machine. */
@@ -36,7 +36,7 @@
 }
 
 /** The offer that serves the tasks at the least cost for each; undefined if nothing suits them. */
-export function cheapestOffer(request: OfferRequest, market: Market): TypedOffer | undefined {
+export function findCheapestOffer(request: OfferRequest, market: Market): TypedOffer | undefined {
   let best: TypedOffer | undefined;
   let lowestCost = Infinity;
   for (const type of market.machineTypes) {
@@ -58,21 +58,21 @@
 
 function isCandidate(
   offer: Offer,
-  { demand, isPressing }: OfferRequest,
+  { demand, hasLateTasks }: OfferRequest,
   { refusedOffers }: Market,
 ): boolean {
   if (!isAllowed(demand, offer) || refusedOffers.has(offerKey(offer))) return false;
-  return offer.spot || !demand.allowSpot || isPressing;
+  return offer.spot || !demand.allowSpot || hasLateTasks;
 }
 
 function costPerTask(
   type: MachineType,
   spot: boolean,
-  { demand, taskCount, isPressing }: OfferRequest,
+  { demand, taskCount, hasLateTasks }: OfferRequest,
 ): number {
-  const isSlow = isPressing && type.bootSeconds * seconds(1) > demand.maxWait;
+  const isSlow = hasLateTasks && type.bootSeconds * seconds(1) > demand.maxWait;
   const price = spot ? type.spotPrice : type.onDemandPrice;
   const slots = slotCount(machineResources(type), demand.resources);
   const value = Math.min(slots, taskCount) + SPARE_SLOT_VALUE * Math.max(0, slots - taskCount);
-  return ((isSlow ? SLOW_BOOT_PENALTY : 1) * price) / value;
+  return ((isSlow ? SLOW_BOOT_COST_FACTOR : 1) * price) / value;
 }
--- a/src/capacity/demand.ts
+++ b/src/capacity/demand.ts
@@ -5,18 +5,18 @@
 import { isUrgent, nextDeadline, type QueueEntry } from '../ledger/queue-order.js';
 import { ms, seconds, type DurationMs, type WallMs } from '../units/index.js';
 import type { JobSpec, MachineType } from '../wire/index.js';
-import { NEVER, NO_WAIT, type Demand } from './types.js';
+import { UNLIMITED_WAIT, NO_WAIT, type Demand } from './types.js';
 
 /** A machine is rented for tasks that would wait longer than this many boot times. */
-const ACCEPTABLE_WAIT_BOOTS = 0.7;
+const ACCEPTABLE_WAIT_BOOT_TIMES = 0.7;
 /** Urgent tasks wait only this share of it. */
 const URGENT_WAIT_SHARE = 0.25;
 /** A job that has waited this long must not wait any longer, whatever its deadline. */
-const MAX_AFFORDABLE_WAIT = seconds(180);
+const MAX_JOB_WAIT = seconds(180);
 /** While there are no machines at all, on-demand ones are rented only for jobs that have waited this long. */
-const EMPTY_FLEET_GRACE = seconds(5);
+const EMPTY_FLEET_SPOT_ONLY_TIME = seconds(5);
 /** Tasks are planned to run for this many times as long as expected. */
-const RUNTIME_MARGIN = 1.2;
+const RUNTIME_MARGIN_FACTOR = 1.2;
 
 /** Tasks like those of a spec that may be submitted next. */
 export interface AnticipatedTasks {
@@ -47,7 +47,7 @@
     ...constraintsOf(spec),
     taskCount: count,
     acceptableWait: NO_WAIT,
-    maxWait: NEVER,
+    maxWait: UNLIMITED_WAIT,
   }));
 }
 
@@ -67,12 +67,12 @@
 
 function demandOfJob({ job }: QueueEntry, context: DemandContext): Demand {
   const constraints = constraintsOf(job.spec);
-  const bootTime = shortestBoot(constraints.resources, context.machineTypes);
+  const bootTime = shortestBootTime(constraints.resources, context.machineTypes);
   const urgencyShare = isUrgent(job.spec.priority) ? URGENT_WAIT_SHARE : 1;
   return {
     ...constraints,
     taskCount: job.waiting.size,
-    acceptableWait: ms(bootTime * ACCEPTABLE_WAIT_BOOTS * urgencyShare),
+    acceptableWait: ms(bootTime * ACCEPTABLE_WAIT_BOOT_TIMES * urgencyShare),
     maxWait: maxWaitOf(job, constraints.expectedRuntime, bootTime, context),
   };
 }
@@ -85,17 +85,17 @@
   { objectives, isFleetEmpty, now }: DemandContext,
 ): DurationMs {
   const waited = now - job.submittedAt;
-  if (waited > MAX_AFFORDABLE_WAIT) return NO_WAIT;
+  if (waited > MAX_JOB_WAIT) return NO_WAIT;
   // Into an empty fleet spot machines are rented first; their answers show what is missing.
-  if (isFleetEmpty && waited < EMPTY_FLEET_GRACE) return NEVER;
+  if (isFleetEmpty && waited < EMPTY_FLEET_SPOT_ONLY_TIME) return UNLIMITED_WAIT;
   const { dueAt: due, isLate: late } = nextDeadline(job, objectives, now, runtime);
-  const slack = due - now - runtime * RUNTIME_MARGIN;
-  const isHopeless = late && slack + runtime + bootTime < 0;
-  return isHopeless ? NEVER : ms(Math.max(0, slack));
+  const slack = due - now - runtime * RUNTIME_MARGIN_FACTOR;
+  const isDeadlineUnreachable = late && slack + runtime + bootTime < 0;
+  return isDeadlineUnreachable ? UNLIMITED_WAIT : ms(Math.max(0, slack));
 }
 
 /** The shortest boot of a machine that a task fits; 0 if there is none. */
-function shortestBoot(task: Resources, machineTypes: readonly MachineType[]): DurationMs {
+function shortestBootTime(task: Resources, machineTypes: readonly MachineType[]): DurationMs {
   let shortest = Infinity;
   for (const type of machineTypes) {
     if (fits(task, machineResources(type))) shortest = Math.min(shortest, type.bootSeconds * 1000);
--- a/src/capacity/lost-machines.ts
+++ b/src/capacity/lost-machines.ts
@@ -8,11 +8,11 @@
 /** A boot has failed after this many times its usual duration. */
 const FAILED_BOOT_FACTOR = 4;
 /** Silence, in heartbeat intervals, that shows a machine to be gone: if the cloud no longer lists it. */
-const UNLISTED_HEARTBEATS = 1.5;
+const UNLISTED_SILENCE_INTERVALS = 1.5;
 /** Of any other machine. */
-const SILENT_HEARTBEATS = 2.75;
+const MAX_SILENCE_INTERVALS = 2.75;
 /** Where something else than the end of the machine may explain its silence. */
-const EXPLAINED_HEARTBEATS = 7;
+const EXPLAINED_SILENCE_INTERVALS = 7;
 /**
  * While most machines of a zone have not reconnected, none of them is given up for this many worker leases:
  * their tasks are over after one, and a machine that works is worth more than a new one.
@@ -25,7 +25,7 @@
 export interface LivenessView {
   readonly now: SteadyMs;
   /** Since when this process has answered heartbeats without a break. */
-  readonly answeringSince: SteadyMs;
+  readonly respondingSince: SteadyMs;
   readonly heartbeatInterval: DurationMs;
   /** The lease of a worker. */
   readonly lease: DurationMs;
@@ -35,7 +35,7 @@
   readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
 }
 
-type Presence =
+type Liveness =
   /** Its delete was sent before, or its boot has failed. */
   | 'abandoned'
   /** It has sent no heartbeat and is not listed as running: its silence means nothing yet. */
@@ -48,7 +48,7 @@
   | 'alive';
 
 /** Machines by what is known of them. */
-interface Survey {
+interface LivenessSummary {
   readonly machineCount: number;
   /** Gone for certain, or abandoned. */
   readonly gone: readonly Machine[];
@@ -58,8 +58,8 @@
 }
 
 /** The machines to delete: those that are certainly gone come first. */
-export function lostMachines(machines: Iterable<Machine>, view: LivenessView): Machine[] {
-  const { machineCount, gone, silent, notReceiving, zones } = survey(machines, view);
+export function findLostMachines(machines: Iterable<Machine>, view: LivenessView): Machine[] {
+  const { machineCount, gone, silent, notReceiving, zones } = summarizeLiveness(machines, view);
   const lost = [...gone];
   // Where most machines of a zone are alive, a silent one is dead. Otherwise this node may be cut off from
   // the zone: its tasks run on, and its workers may yet reach the leader through another node.
@@ -74,7 +74,7 @@
   return lost;
 }
 
-function survey(machines: Iterable<Machine>, view: LivenessView): Survey {
+function summarizeLiveness(machines: Iterable<Machine>, view: LivenessView): LivenessSummary {
   const gone: Machine[] = [];
   const silent: Machine[] = [];
   const notReceiving: Machine[] = [];
@@ -82,28 +82,28 @@
   let machineCount = 0;
   for (const machine of machines) {
     machineCount++;
-    const presence = presenceOf(machine, view);
-    if (presence === 'abandoned' || presence === 'vanished') gone.push(machine);
-    else if (presence === 'silent') silent.push(machine);
-    if (presence === 'abandoned' || presence === 'notStarted') continue;
-    zones.add(machine, presence === 'alive');
+    const liveness = livenessOf(machine, view);
+    if (liveness === 'abandoned' || liveness === 'vanished') gone.push(machine);
+    else if (liveness === 'silent') silent.push(machine);
+    if (liveness === 'abandoned' || liveness === 'notStarted') continue;
+    zones.add(machine, liveness === 'alive');
     if (isNotReceiving(machine, view)) notReceiving.push(machine);
   }
   return { machineCount, gone, silent, notReceiving, zones };
 }
 
-function presenceOf(machine: Machine, view: LivenessView): Presence {
-  if (machine.deleteSent || isBootOverdue(machine, view)) return 'abandoned';
+function livenessOf(machine: Machine, view: LivenessView): Liveness {
+  if (machine.isDeleteSent || isBootOverdue(machine, view)) return 'abandoned';
   const silence = silenceOf(machine, view);
   if (silence === undefined) return 'notStarted';
   const { heartbeatInterval } = view;
-  if (machine.missedLists >= 1 && silence > heartbeatInterval * UNLISTED_HEARTBEATS) {
+  if (machine.missedListCount >= 1 && silence > heartbeatInterval * UNLISTED_SILENCE_INTERVALS) {
     return 'vanished';
   }
-  if (isReconnecting(machine, view) && silence <= heartbeatInterval * EXPLAINED_HEARTBEATS) {
+  if (isReconnecting(machine, view) && silence <= heartbeatInterval * EXPLAINED_SILENCE_INTERVALS) {
     return 'reconnecting';
   }
-  return silence > heartbeatInterval * SILENT_HEARTBEATS ? 'silent' : 'alive';
+  return silence > heartbeatInterval * MAX_SILENCE_INTERVALS ? 'silent' : 'alive';
 }
 
 function isBootOverdue(machine: Machine, { now, bootTime }: LivenessView): boolean {
@@ -115,7 +115,7 @@
 /** How long a machine has been silent; undefined if no heartbeat of it was to be expected yet. */
 function silenceOf(
   machine: Machine,
-  { now, answeringSince: listeningSince }: LivenessView,
+  { now, respondingSince: listeningSince }: LivenessView,
 ): DurationMs | undefined {
   const last = machine.lastStatusAt ?? machine.listedRunningSince;
   if (last === undefined) return undefined;
@@ -136,8 +136,8 @@
  */
 function isReconnecting(machine: Machine, { unreachableAt }: LivenessView): boolean {
   if (machine.lastStatusAt === undefined) return true;
-  if (machine.relayNode === undefined) return false;
-  const relayLostAt = unreachableAt.get(machine.relayNode);
+  if (machine.relayControllerId === undefined) return false;
+  const relayLostAt = unreachableAt.get(machine.relayControllerId);
   return relayLostAt !== undefined && relayLostAt >= machine.lastStatusAt;
 }
 
@@ -145,7 +145,7 @@
 function isGivenUp(machine: Machine, view: LivenessView): boolean {
   const silence = silenceOf(machine, view) ?? 0;
   if (isReconnecting(machine, view)) return silence > view.lease * ZONE_RECONNECT_LEASES;
-  return !machine.isUp || silence > view.heartbeatInterval * EXPLAINED_HEARTBEATS;
+  return !machine.isUp || silence > view.heartbeatInterval * EXPLAINED_SILENCE_INTERVALS;
 }
 
 /** How many machines of each zone are alive. */
@@ -165,4 +165,4 @@
 
 /** How long a machine may be silent before that needs an explanation. */
 export const silenceThreshold = (heartbeatInterval: DurationMs): DurationMs =>
-  ms(heartbeatInterval * SILENT_HEARTBEATS);
+  ms(heartbeatInterval * MAX_SILENCE_INTERVALS);
--- a/src/capacity/machine-list.ts
+++ b/src/capacity/machine-list.ts
@@ -32,8 +32,8 @@
     if (!fleet.isGone(id)) recordListed(id, entry, fleet, now);
   }
   for (const machine of fleet.machines.values()) {
-    if (listedIds.has(machine.id)) machine.missedLists = 0;
-    else if (isMissing(machine, listLag, now)) machine.missedLists++;
+    if (listedIds.has(machine.id)) machine.missedListCount = 0;
+    else if (isMissing(machine, listLag, now)) machine.missedListCount++;
   }
 }
 
@@ -53,7 +53,7 @@
   if (status === 'failed') {
     // It stopped on its own: its tasks are gone. The delete only takes it off the list.
     machine.isDecommissioning = true;
-    machine.deleteSent = true;
+    machine.isDeleteSent = true;
   } else if (!machine.isUp && machine.lastStatusAt === undefined) {
     // A running machine has booted long ago, and only this leader has had no heartbeat of it yet. After a
     // failover that is the whole fleet, and none of it may be given up for a boot that took too long.
--- a/src/capacity/offer-backoff.ts
+++ b/src/capacity/offer-backoff.ts
@@ -2,10 +2,10 @@
 import { later, ms, seconds, type Random, type SteadyMs } from '../units/index.js';
 import { offerKey, type Offer } from './types.js';
 
-const MIN_PAUSE = seconds(8);
-const MAX_PAUSE = seconds(60);
+const MIN_OFFER_BACKOFF = seconds(8);
+const MAX_OFFER_BACKOFF = seconds(60);
 /** Pauses are spread by this share up and down. */
-const JITTER = 0.2;
+const JITTER_SHARE = 0.2;
 
 interface Refusal {
   readonly pausedUntil: SteadyMs;
@@ -14,22 +14,22 @@
 }
 
 /** The pause of each refused offer, which doubles with each refusal in a row. */
-export class OfferRefusals {
+export class OfferBackoff {
   private readonly refusals = new Map<string, Refusal>();
 
   constructor(private readonly random: Random) {}
 
   /** An offer was refused, wholly or in part. */
-  noteRefused(offer: Offer, now: SteadyMs): void {
+  recordRefusal(offer: Offer, now: SteadyMs): void {
     const key = offerKey(offer);
     const count = (this.refusals.get(key)?.count ?? 0) + 1;
-    const pause = Math.min(MAX_PAUSE, MIN_PAUSE * 2 ** (count - 1));
-    const jitter = 1 - JITTER + 2 * JITTER * this.random();
+    const pause = Math.min(MAX_OFFER_BACKOFF, MIN_OFFER_BACKOFF * 2 ** (count - 1));
+    const jitter = 1 - JITTER_SHARE + 2 * JITTER_SHARE * this.random();
     this.refusals.set(key, { count, pausedUntil: later(now, ms(pause * jitter)) });
   }
 
   /** An offer was granted in full: its next refusal counts as the first. */
-  noteGranted(offer: Offer): void {
+  recordGrant(offer: Offer): void {
     this.refusals.delete(offerKey(offer));
   }
 
--- a/src/capacity/planner.ts
+++ b/src/capacity/planner.ts
@@ -6,7 +6,7 @@
 import { fits, machineResources } from '../fleet/resources.js';
 import { isAllowed } from '../placer/placer.js';
 import { createBin, packTasks, slotCount, type Bin } from './bin-packing.js';
-import { cheapestOffer, type Market } from './cheapest-offer.js';
+import { findCheapestOffer, type Market } from './cheapest-offer.js';
 import {
   offerKey,
   type AvailableCapacity,
@@ -80,8 +80,8 @@
   let remaining = tasks.total;
   let late = tasks.late;
   while (remaining > 0 && opened.length < input.maxMachines) {
-    const request = { demand, taskCount: remaining, isPressing: late > 0 };
-    const best = cheapestOffer(request, input);
+    const request = { demand, taskCount: remaining, hasLateTasks: late > 0 };
+    const best = findCheapestOffer(request, input);
     if (!best) return;
     const bin = createBin(best.offer, machineResources(best.type));
     const packed = packTasks(bin, demand.resources, remaining);
@@ -108,12 +108,12 @@
   const maxPerZone = demand.singleZone ? demand.taskCount : Math.ceil(demand.taskCount / 2);
   const zones = zonesByFreeSlots(demand, bins, input);
   // A zone without enough free slots is of use only if machines can be rented there.
-  const usable = zones.filter(
+  const usableZones = zones.filter(
     ({ zone, slots }) => slots >= maxPerZone || canRentIn(zone, demand, maxPerZone, input),
   );
   const parts: Demand[] = [];
   let remaining = demand.taskCount;
-  for (const { zone } of usable.length > 0 ? usable : zones) {
+  for (const { zone } of usableZones.length > 0 ? usableZones : zones) {
     if (remaining === 0) break;
     const taskCount = Math.min(remaining, maxPerZone);
     parts.push({ ...demand, requiredZone: zone, taskCount });
@@ -124,7 +124,7 @@
 
 function canRentIn(zone: string, demand: Demand, taskCount: number, market: Market): boolean {
   const inZone = { ...demand, requiredZone: zone };
-  return cheapestOffer({ demand: inZone, taskCount, isPressing: true }, market) !== undefined;
+  return findCheapestOffer({ demand: inZone, taskCount, hasLateTasks: true }, market) !== undefined;
 }
 
 /** The zones with a machine type that suits a gang and how many of its tasks fit there, most first. */
--- a/src/capacity/scale-in.ts
+++ b/src/capacity/scale-in.ts
@@ -22,19 +22,19 @@
 }
 
 /** The machines to give back, on-demand ones first. */
-export function idleMachines(view: ScaleInView): Machine[] {
+export function findIdleMachines(view: ScaleInView): Machine[] {
   const spare = new SpareCpus(view);
   const onDemandFirst = [...view.fleet.machines.values()].sort(
     (a, b) => Number(a.kind.spot) - Number(b.kind.spot),
   );
   return onDemandFirst.filter(
     (machine) =>
-      isIdleForLong(machine, view) && isEmpty(machine, view.fleet) && spare.tryTake(machine),
+      isIdleTooLong(machine, view) && hasNoTasks(machine, view.fleet) && spare.tryTake(machine),
   );
 }
 
 /** Whether a machine has been idle for so long that to keep it costs more than to boot another one. */
-function isIdleForLong(machine: Machine, { catalog, idleBootTimes, now }: ScaleInView): boolean {
+function isIdleTooLong(machine: Machine, { catalog, idleBootTimes, now }: ScaleInView): boolean {
   if (!machine.isUp || machine.assignments.size > 0 || machine.idleSince === undefined)
     return false;
   const bootTime = (catalog.machineType(machine.kind.machineType)?.bootSeconds ?? 0) * 1000;
@@ -44,7 +44,7 @@
 }
 
 /** Whether nothing runs on a machine that no record accounts for either. */
-function isEmpty(machine: Machine, fleet: Fleet): boolean {
+function hasNoTasks(machine: Machine, fleet: Fleet): boolean {
   const load = fleet.load(machine);
   return !load.hasUnknownTasks && load.used.cpus <= 0;
 }
--- a/src/capacity/supply.ts
+++ b/src/capacity/supply.ts
@@ -2,7 +2,7 @@
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
-import { machineResources, subtract, type Resources } from '../fleet/resources.js';
+import { machineResources, subtractResources, type Resources } from '../fleet/resources.js';
 import { isUrgent } from '../ledger/queue-order.js';
 import { ms, durationBetween, type Epoch, type JobId, type SteadyMs } from '../units/index.js';
 import type { JobSpec, MachineType } from '../wire/index.js';
@@ -32,7 +32,7 @@
   const turnover = new TurnoverByOffer(view);
   for (const machine of view.fleet.machines.values()) {
     const type = view.catalog.machineType(machine.kind.machineType);
-    if (!type || !mayTakeTasks(machine, view)) continue;
+    if (!type || !canTakeTasks(machine, view)) continue;
     const capacity = machineResources(type);
     if (!machine.isUp) {
       if (isBooting(machine, type, view.now)) available.push({ ...machine.kind, free: capacity });
@@ -40,14 +40,16 @@
     }
     const load = view.fleet.load(machine);
     if (load.hasUnknownTasks) continue;
-    available.push({ ...machine.kind, free: subtract(capacity, load.used) });
+    available.push({ ...machine.kind, free: subtractResources(capacity, load.used) });
     turnover.add(machine, capacity);
   }
   return { available, turnover: turnover.list() };
 }
 
-const mayTakeTasks = (machine: Machine, { epoch, now }: SupplyView): boolean =>
-  !machine.isDraining && !machine.deleteSent && !machine.isUnconfirmedWithFailedPush(epoch, now);
+const canTakeTasks = (machine: Machine, { epoch, now }: SupplyView): boolean =>
+  !machine.isDraining &&
+  !machine.isDeleteSent &&
+  !machine.isUnconfirmedWithFailedCommand(epoch, now);
 
 function isBooting(machine: Machine, type: MachineType, now: SteadyMs): boolean {
   if (machine.bootingSince === undefined) return false;
--- a/src/capacity/types.ts
+++ b/src/capacity/types.ts
@@ -42,7 +42,7 @@
 /** The `acceptableWait` or `maxWait` of tasks that should not wait at all. */
 export const NO_WAIT = ms(0);
 /** The `maxWait` of tasks that are not worth an on-demand machine however long they wait. */
-export const NEVER = ms(Infinity);
+export const UNLIMITED_WAIT = ms(Infinity);
 
 /** Unused resources of a machine that is up, or all resources of one that boots. */
 export interface AvailableCapacity extends Offer {
--- a/src/capacity/wait-estimator.ts
+++ b/src/capacity/wait-estimator.ts
@@ -5,13 +5,13 @@
 import type { Demand, Turnover } from './types.js';
 
 /** The share of freed CPUs that counts: they come free in pieces, of which a large task can't use all. */
-const USABLE_SHARE = 0.8;
+const USABLE_FREED_CPU_SHARE = 0.8;
 
 /** The tasks that wait for the machines of one offer. */
 interface WaitQueue {
   readonly turnover: Turnover;
   /** CPUs that come free a second. */
-  readonly rate: number;
+  readonly freedCpusPerSecond: number;
   /** CPUs that the tasks queued so far need. */
   queuedCpus: number;
 }
@@ -25,7 +25,8 @@
       .filter(({ busyCpus }) => busyCpus > 0)
       .map((entry) => ({
         turnover: entry,
-        rate: (entry.busyCpus * USABLE_SHARE) / Math.max(1, entry.meanRuntime / seconds(1)),
+        freedCpusPerSecond:
+          (entry.busyCpus * USABLE_FREED_CPU_SHARE) / Math.max(1, entry.meanRuntime / seconds(1)),
         queuedCpus: 0,
       }));
   }
@@ -38,12 +39,12 @@
     let rate = 0;
     let queuedCpus = 0;
     for (const queue of eligible) {
-      rate += queue.rate;
+      rate += queue.freedCpusPerSecond;
       queuedCpus += queue.queuedCpus;
     }
     const cpus = taskCount * demand.resources.cpus;
     for (const queue of eligible) {
-      queue.queuedCpus += rate > 0 ? (cpus * queue.rate) / rate : 0;
+      queue.queuedCpus += rate > 0 ? (cpus * queue.freedCpusPerSecond) / rate : 0;
     }
     return waits.map((wait) => {
       if (wait === Infinity) return 0;
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -20,10 +20,10 @@
 export const MAX_MACHINES_PER_REQUEST = 50;
 /** The most machines that one delete request may name. */
 export const MAX_MACHINES_PER_DELETE = 100;
-const PAGE_SIZE = 500;
-const CALL_TIMEOUT: DurationMs = ms(5000);
+const MACHINE_PAGE_SIZE = 500;
+const REQUEST_TIMEOUT: DurationMs = ms(5000);
 /** Calls stay below the cloud's rate limit by the rest of this share. */
-const USED_RATE_SHARE = 0.95;
+const USED_RATE_LIMIT_SHARE = 0.95;
 /** How many seconds' worth of calls may leave at once after a pause. */
 const BURST_SECONDS = 1.8;
 
@@ -50,19 +50,19 @@
     private readonly http: HttpClient,
     private readonly endpoint: Endpoint,
     clock: Clock,
-    callsPerSecond: number,
+    requestsPerSecond: number,
   ) {
-    const burst = Math.max(1, callsPerSecond * BURST_SECONDS);
-    this.bucket = new TokenBucket(clock, callsPerSecond * USED_RATE_SHARE, burst);
+    const burst = Math.max(1, requestsPerSecond * BURST_SECONDS);
+    this.bucket = new TokenBucket(clock, requestsPerSecond * USED_RATE_LIMIT_SHARE, burst);
   }
 
   /** Whether the rate limit allows a call now. */
-  isReady(): boolean {
+  canSendRequest(): boolean {
     return this.bucket.waitFor(1) <= 0;
   }
 
   /** The machine types that can be rented; undefined if the cloud did not answer with them. */
-  async machineTypes(): Promise<readonly MachineType[] | undefined> {
+  async listMachineTypes(): Promise<readonly MachineType[] | undefined> {
     const outcome = await this.send({ method: 'GET', path: '/flavors' });
     if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
     return decodeMachineTypes(outcome.body);
@@ -106,7 +106,7 @@
     let from: string | undefined;
     for (;;) {
       const query = from === undefined ? '' : `from=${from}&`;
-      const path = `/machines?${query}limit=${PAGE_SIZE}`;
+      const path = `/machines?${query}limit=${MACHINE_PAGE_SIZE}`;
       const outcome = await this.send({ method: 'GET', path });
       if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
       const page = decodeMachinePage(outcome.body);
@@ -124,7 +124,7 @@
       ...request,
       lane: 'cloud',
       endpoint: this.endpoint,
-      timeout: CALL_TIMEOUT,
+      timeout: REQUEST_TIMEOUT,
     });
     // Too many requests: the cloud has counted more calls than we have.
     if (outcome.kind === 'answer' && outcome.status === 429) this.bucket.drain();
--- a/src/cloud/feasibility.ts
+++ b/src/cloud/feasibility.ts
@@ -6,26 +6,26 @@
 import { JobKind, TEAM_FIELD, type JobSpec, type MachineType } from '../wire/index.js';
 
 /** Whether a job can ever run. */
-export type Verdict =
-  | { readonly kind: 'runnable' }
+export type Feasibility =
+  | { readonly kind: 'feasible' }
   /** The machine types are not known yet. */
   | { readonly kind: 'undecided' }
   /** `reason` is part of the answer to the user. */
-  | { readonly kind: 'impossible'; readonly reason: string };
+  | { readonly kind: 'infeasible'; readonly reason: string };
 
 /** Judges a job by its team's quota and by the machine types; an empty list: not known yet. */
-export function judgeFeasibility(
+export function checkFeasibility(
   spec: JobSpec,
   teams: ReadonlyMap<string, Team>,
   machineTypes: readonly MachineType[],
-): Verdict {
+): Feasibility {
   const teamReason = unknownTeam(spec, teams) ?? quotaExceeded(spec, teams.get(spec.team));
-  if (teamReason !== undefined) return { kind: 'impossible', reason: teamReason };
+  if (teamReason !== undefined) return { kind: 'infeasible', reason: teamReason };
   if (machineTypes.length === 0) return { kind: 'undecided' };
   const zones = eligibleZones(spec, machineTypes);
   const zoneReason = noEligibleZone(zones) ?? spreadImpossible(spec, zones);
-  if (zoneReason !== undefined) return { kind: 'impossible', reason: zoneReason };
-  return { kind: 'runnable' };
+  if (zoneReason !== undefined) return { kind: 'infeasible', reason: zoneReason };
+  return { kind: 'feasible' };
 }
 
 const isGang = (spec: JobSpec): boolean => spec.kind === JobKind.gang;
--- a/src/cloud/machine-catalog.ts
+++ b/src/cloud/machine-catalog.ts
@@ -6,7 +6,7 @@
   type JobSpec,
   type MachineType,
 } from '../wire/index.js';
-import { judgeFeasibility, type Verdict } from './feasibility.js';
+import { checkFeasibility, type Feasibility } from './feasibility.js';
 
 /**
  * The machine types, their prices and zones, as last read from the cloud. The leader also keeps them in
@@ -50,8 +50,8 @@
   }
 
   /** Whether a job can ever run on these types within the quota of its team. */
-  judge(spec: JobSpec, teams: ReadonlyMap<string, Team>): Verdict {
-    return judgeFeasibility(spec, teams, this.all());
+  checkFeasibility(spec: JobSpec, teams: ReadonlyMap<string, Team>): Feasibility {
+    return checkFeasibility(spec, teams, this.all());
   }
 }
 
--- a/src/fleet/direct-starts.ts
+++ b/src/fleet/direct-starts.ts
@@ -24,23 +24,23 @@
     return this.acknowledged.has(attempt);
   }
 
-  noteSent(attempt: string): void {
+  recordSent(attempt: string): void {
     this.pending.add(attempt);
   }
 
   /** The start was certainly not delivered. */
-  noteUndelivered(attempt: string): void {
+  recordUndelivered(attempt: string): void {
     this.pending.delete(attempt);
   }
 
   /** The worker executed or refused the start. */
-  noteAcknowledged(attempt: string): void {
+  recordAcknowledged(attempt: string): void {
     this.pending.delete(attempt);
     this.acknowledged.set(attempt, { endedAt: undefined });
   }
 
   /** An attempt has ended. Returns when that was noted first. */
-  noteEnded(attempt: string, now: SteadyMs): SteadyMs {
+  recordEnded(attempt: string, now: SteadyMs): SteadyMs {
     const start = this.acknowledged.get(attempt);
     if (!start) return now;
     return (start.endedAt ??= now);
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -8,16 +8,16 @@
   type TaskKey,
 } from '../units/index.js';
 import { TaskState } from '../wire/index.js';
-import type { AssignedTask, Load, ResourcesOf } from './machine-load.js';
+import type { AssignedTask, MachineLoad, ResourcesOf } from './machine-load.js';
 import { Machine, type MachineKind } from './machine.js';
 import { workerLeaseEnd } from './worker-lease.js';
 import { attemptKey, type WorkerStatus } from './worker-status.js';
 
 /** Machine names of this form take few bytes in a compact record. */
-const NUMBERED_NAME = /\d$/;
+const NUMBERED_NAME_PATTERN = /\d$/;
 
 /** How long a machine that is gone is remembered: ten minutes. */
-const GONE_RETENTION = 600_000 as DurationMs;
+const GONE_MACHINE_RETENTION = 600_000 as DurationMs;
 
 /** The kind of a machine that only a record names. */
 const UNKNOWN_KIND: MachineKind = { machineType: '', zone: '', spot: true };
@@ -45,13 +45,13 @@
   /** Running attempts without a placement: they must have ended before their task is started again. */
   private readonly orphans = new Map<TaskKey, Set<MachineId>>();
 
-  private longestOtherNameLength = 0;
+  private maxUnnumberedNameLength = 0;
 
   constructor(private readonly deps: FleetDependencies) {}
 
   /** The length of the longest machine name that doesn't end in a number; 0 if there is none. */
-  get longestOtherName(): number {
-    return this.longestOtherNameLength;
+  get longestUnnumberedNameLength(): number {
+    return this.maxUnnumberedNameLength;
   }
 
   isGone(id: MachineId): boolean {
@@ -67,10 +67,10 @@
     const cacheGb = this.deps.cacheSizeOf(kind.machineType);
     const machine = this.getOrCreate(id, kind);
     if (machine.kind.machineType === '') machine.kind = kind;
-    if (cacheGb !== undefined && !machine.imageHintsTaken) {
-      machine.imageHintsTaken = true;
+    if (cacheGb !== undefined && !machine.hasImageHints) {
+      machine.hasImageHints = true;
       machine.images.resize(cacheGb);
-      for (const { name, gb } of this.deps.imageHintsFor(id)) machine.noteImageUse(name, gb);
+      for (const { name, gb } of this.deps.imageHintsFor(id)) machine.recordImageUse(name, gb);
     }
     if (address !== '') machine.address = Endpoint(address);
     return machine;
@@ -83,8 +83,8 @@
     const leaseExpiresAt = workerLeaseEnd(this.deps.startedAt, this.deps.lease);
     const machine = new Machine(id, kind, 0, leaseExpiresAt);
     this.machines.set(id, machine);
-    if (!NUMBERED_NAME.test(id))
-      this.longestOtherNameLength = Math.max(this.longestOtherNameLength, id.length);
+    if (!NUMBERED_NAME_PATTERN.test(id))
+      this.maxUnnumberedNameLength = Math.max(this.maxUnnumberedNameLength, id.length);
     return machine;
   }
 
@@ -99,7 +99,7 @@
     if (machine?.assignments.get(key)?.attempt === attempt) machine.unassign(key);
   }
 
-  load(machine: Machine): Load {
+  load(machine: Machine): MachineLoad {
     return machine.load(this.deps.resourcesOf);
   }
 
@@ -111,9 +111,9 @@
   }
 
   /** Drops the machines that have been gone for long. */
-  forgetGone(now: SteadyMs): void {
+  pruneGoneMachines(now: SteadyMs): void {
     for (const [id, at] of this.goneSince)
-      if (durationBetween(at, now) > GONE_RETENTION) this.goneSince.delete(id);
+      if (durationBetween(at, now) > GONE_MACHINE_RETENTION) this.goneSince.delete(id);
   }
 
   // --- attempts that no placement accounts for --------------------------------------------------
@@ -127,7 +127,7 @@
   }
 
   /** A machine runs an attempt of the task that no placement accounts for. */
-  noteOrphan(key: TaskKey, machine: MachineId): void {
+  recordOrphan(key: TaskKey, machine: MachineId): void {
     const machines = this.orphans.get(key) ?? new Set<MachineId>();
     machines.add(machine);
     this.orphans.set(key, machines);
@@ -138,17 +138,21 @@
    *
    * @param status its newest status; undefined if its session is over, and with it all its tasks
    */
-  sweepOrphans(machine: Machine, status: WorkerStatus | undefined): void {
+  removeEndedOrphans(machine: Machine, status: WorkerStatus | undefined): void {
     for (const [key, machines] of this.orphans) {
       if (!machines.has(machine.id)) continue;
-      if (!runsOrphan(machine, key, status)) machines.delete(machine.id);
+      if (!isRunningOrphan(machine, key, status)) machines.delete(machine.id);
       if (machines.size === 0) this.orphans.delete(key);
     }
   }
 }
 
 /** Whether a status shows an attempt of the task that runs and is not the one assigned to the machine. */
-function runsOrphan(machine: Machine, key: TaskKey, status: WorkerStatus | undefined): boolean {
+function isRunningOrphan(
+  machine: Machine,
+  key: TaskKey,
+  status: WorkerStatus | undefined,
+): boolean {
   if (!status) return false;
   const assigned = machine.assignments.get(key);
   const assignedAttempt = assigned && attemptKey(key, assigned.attempt);
--- a/src/fleet/image-cache.ts
+++ b/src/fleet/image-cache.ts
@@ -13,7 +13,7 @@
   }
 
   /** Notes the use of an image. One that is larger than the cache is kept, alone. */
-  use(image: string, sizeGb: number): void {
+  recordUse(image: string, sizeGb: number): void {
     const knownSize = this.sizes.get(image);
     if (knownSize !== undefined) {
       this.sizes.delete(image);
--- a/src/fleet/machine-load.ts
+++ b/src/fleet/machine-load.ts
@@ -16,7 +16,7 @@
 }
 
 /** What is in use on a machine, or may be. */
-export interface Load {
+export interface MachineLoad {
   readonly used: Resources;
   /** A task of unknown size runs on the machine, so its free resources are unknown. */
   readonly hasUnknownTasks: boolean;
@@ -47,7 +47,7 @@
 }
 
 /** The sum of all tasks that records place on a machine and all others that its status shows. */
-export function loadOf(machine: LoadSource, resourcesOf: ResourcesOf): Load {
+export function computeLoad(machine: LoadSource, resourcesOf: ResourcesOf): MachineLoad {
   const sum = new ResourceSum();
   const imagesBeingFetched = new Set<string>();
   for (const [key, assigned] of machine.assignments) {
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -9,12 +9,17 @@
   type TaskKey,
 } from '../units/index.js';
 import { ImageCache } from './image-cache.js';
-import { loadOf, type AssignedTask, type Load, type ResourcesOf } from './machine-load.js';
+import {
+  computeLoad,
+  type AssignedTask,
+  type MachineLoad,
+  type ResourcesOf,
+} from './machine-load.js';
 import { DirectStarts } from './direct-starts.js';
 import { isAfter, type WorkerStatus } from './worker-status.js';
 
 /** After this many ignored replies in a row, a machine counts as not receiving. */
-const MAX_IGNORED_REPLIES = 2;
+const MAX_IGNORED_RESPONSES = 2;
 
 /** The type of a machine, and where and how it is rented. */
 export interface MachineKind {
@@ -28,7 +33,7 @@
 export class Machine {
   address: Endpoint | undefined;
   /** The node that relays its heartbeats; undefined if they come directly to the leader. */
-  relayNode: NodeId | undefined;
+  relayControllerId: NodeId | undefined;
   /** The newest status; undefined before the first one and after the worker lease has expired. */
   status: WorkerStatus | undefined;
   /** Earlier sessions are certainly over, and their messages are stale. */
@@ -44,24 +49,24 @@
   /** To be given back or given up: gets no new tasks. */
   isDecommissioning = false;
   /** A delete was sent and may be executed at any time. */
-  deleteSent = false;
+  isDeleteSent = false;
   rentedAt: SteadyMs | undefined;
   /** When the cloud's list first showed it. */
   listedAt: SteadyMs | undefined;
   /** How many lists in a row have lacked it. */
-  missedLists = 0;
+  missedListCount = 0;
   bootingSince: SteadyMs | undefined;
   /** When it was first listed as running, while no status of it had arrived. */
   listedRunningSince: SteadyMs | undefined;
   idleSince: SteadyMs | undefined;
   /** After a refused or failed start it gets no tasks until then. */
   quarantinedUntil = 0 as SteadyMs;
-  failureCount = 0;
+  taskFailureCount = 0;
   /** After an unanswered push, commands go only with replies to heartbeats until then. */
   commandsPausedUntil = 0 as SteadyMs;
-  commandInFlight = false;
+  hasCommandInFlight = false;
   /** Heartbeats in a row that show no effect of the replies to earlier ones. */
-  private ignoredReplies = 0;
+  private ignoredResponses = 0;
   /** Since when its heartbeats arrive but nothing that is sent to it does; undefined if that is not so. */
   notReceivingSince: SteadyMs | undefined;
   /** When a status arrived that was older than the newest one. */
@@ -69,11 +74,11 @@
   /** When it was last probed. */
   probedAt: SteadyMs | undefined;
   private readonly assignedTasks = new Map<TaskKey, AssignedTask>();
-  private cachedLoad: Load | undefined;
-  readonly pushedStarts = new DirectStarts();
+  private cachedLoad: MachineLoad | undefined;
+  readonly directStarts = new DirectStarts();
   readonly images: ImageCache;
   /** The images that an earlier leader knew of have been added. */
-  imageHintsTaken = false;
+  hasImageHints = false;
 
   constructor(
     readonly id: MachineId,
@@ -101,14 +106,14 @@
     if (this.assignedTasks.delete(key)) this.cachedLoad = undefined;
   }
 
-  noteImageUse(image: string, sizeGb: number): void {
+  recordImageUse(image: string, sizeGb: number): void {
     if (!this.images.has(image)) this.cachedLoad = undefined;
-    this.images.use(image, sizeGb);
+    this.images.recordUse(image, sizeGb);
   }
 
   /** The load, computed again only after a change: it is read far more often than it changes. */
-  load(resourcesOf: ResourcesOf): Load {
-    this.cachedLoad ??= loadOf(this, resourcesOf);
+  load(resourcesOf: ResourcesOf): MachineLoad {
+    this.cachedLoad ??= computeLoad(this, resourcesOf);
     return this.cachedLoad;
   }
 
@@ -123,7 +128,7 @@
       return false;
     }
     // A new session has dropped the tasks of the old one and refuses commands that were sent to it.
-    if (this.status && status.session > this.status.session) this.pushedStarts.clear();
+    if (this.status && status.session > this.status.session) this.directStarts.clear();
     this.status = status;
     this.cachedLoad = undefined;
     this.isUp = true;
@@ -149,21 +154,21 @@
    *
    * @param status the reply to a request of this leader, which proves that it is new
    */
-  noteRestarted(status: WorkerStatus, now: SteadyMs): void {
+  onRestart(status: WorkerStatus, now: SteadyMs): void {
     this.status = undefined;
     this.minSession = status.session;
     this.recordStatus(status, now);
   }
 
   /** A heartbeat shows no effect of the reply to an earlier one. A single reply may be lost, not several in a row. */
-  noteIgnoredReply(now: SteadyMs): void {
-    this.ignoredReplies++;
-    if (this.ignoredReplies >= MAX_IGNORED_REPLIES) this.notReceivingSince ??= now;
+  recordIgnoredResponse(now: SteadyMs): void {
+    this.ignoredResponses++;
+    if (this.ignoredResponses >= MAX_IGNORED_RESPONSES) this.notReceivingSince ??= now;
   }
 
   /** Something that was sent to the machine has arrived. */
-  noteReceiving(): void {
-    this.ignoredReplies = 0;
+  recordDelivery(): void {
+    this.ignoredResponses = 0;
     this.notReceivingSince = undefined;
   }
 
@@ -178,7 +183,7 @@
     this.status = undefined;
     this.cachedLoad = undefined;
     this.isUp = false;
-    this.pushedStarts.clear();
+    this.directStarts.clear();
   }
 
   /** Only statuses from before the epoch are known. They may be late copies from a machine that is long gone. */
@@ -187,7 +192,7 @@
   }
 
   /** Unconfirmed, and its worker did not answer a pushed command lately. */
-  isUnconfirmedWithFailedPush(epoch: Epoch, now: SteadyMs): boolean {
+  isUnconfirmedWithFailedCommand(epoch: Epoch, now: SteadyMs): boolean {
     return this.commandsPausedUntil > now && this.isUnconfirmed(epoch);
   }
 
--- a/src/fleet/resources.ts
+++ b/src/fleet/resources.ts
@@ -9,13 +9,13 @@
 }
 
 /** Tolerance of comparisons: amounts are decimal numbers, and sums of them are not exact. */
-export const EPSILON = 1e-6;
+export const RESOURCE_TOLERANCE = 1e-6;
 
 /** Whether the needed resources are within the free ones. */
 export const fits = (needed: Resources, free: Resources): boolean =>
-  needed.cpus <= free.cpus + EPSILON &&
-  needed.gpus <= free.gpus + EPSILON &&
-  needed.memoryGb <= free.memoryGb + EPSILON;
+  needed.cpus <= free.cpus + RESOURCE_TOLERANCE &&
+  needed.gpus <= free.gpus + RESOURCE_TOLERANCE &&
+  needed.memoryGb <= free.memoryGb + RESOURCE_TOLERANCE;
 
 /** What each task of a job needs. */
 export const taskResources = (spec: JobSpec): Resources => ({
@@ -32,7 +32,7 @@
 });
 
 /** What is left of `total`; negative where more than that is used. */
-export const subtract = (total: Resources, used: Resources): Resources => ({
+export const subtractResources = (total: Resources, used: Resources): Resources => ({
   cpus: total.cpus - used.cpus,
   gpus: total.gpus - used.gpus,
   memoryGb: total.memoryGb - used.memoryGb,
--- a/src/fleet/worker-lease.ts
+++ b/src/fleet/worker-lease.ts
@@ -2,7 +2,7 @@
 import { later, ms, upperBoundUnderDrift, type DurationMs, type SteadyMs } from '../units/index.js';
 
 /** Added to the lease beyond clock drift, for imprecise timers of the worker. */
-const LEASE_MARGIN = ms(500);
+const WORKER_TIMER_MARGIN = ms(500);
 
 /**
  * The time by which a worker's lease has expired on every clock.
@@ -11,4 +11,4 @@
  * @param lease the length of the lease
  */
 export const workerLeaseEnd = (from: SteadyMs, lease: DurationMs): SteadyMs =>
-  later(from, ms(upperBoundUnderDrift(lease) + LEASE_MARGIN));
+  later(from, ms(upperBoundUnderDrift(lease) + WORKER_TIMER_MARGIN));
--- a/src/fleet/worker-status.ts
+++ b/src/fleet/worker-status.ts
@@ -25,7 +25,7 @@
  * How a status reached the leader. The reply to pushed commands may overtake the reply to a heartbeat, so
  * only a heartbeat proves that the replies to earlier heartbeats have been processed or lost.
  */
-export type StatusSource = 'heartbeat' | 'commandReply';
+export type StatusSource = 'heartbeat' | 'commandResponse';
 
 /** Identifies one attempt of a task among all attempts on a machine. */
 export const attemptKey = (task: string, attempt: number): string => `${task}#${attempt}`;
--- a/src/leader/attempt-clearance.ts
+++ b/src/leader/attempt-clearance.ts
@@ -28,22 +28,22 @@
    */
   mayClear(machine: Machine, status: TaskStatus, ref: TaskRef, job: Job | undefined): boolean {
     const attempt = attemptKey(status.task, status.attempt);
-    const { pushedStarts } = machine;
-    if (pushedStarts.isUnacknowledged(attempt)) return false;
+    const { directStarts } = machine;
+    if (directStarts.isUnacknowledged(attempt)) return false;
     const isDone = status.exitReason === ExitReason.done;
     // The worker's status is the only record of a completion until the store has it.
     if (isDone && job && !(job.isDone(ref.index) && areCompletionsStored(job))) return false;
-    if (!pushedStarts.isAcknowledged(attempt)) return true;
+    if (!directStarts.isAcknowledged(attempt)) return true;
     // A completed task that is started again ends at once, which is harmless unless it must not run at all.
     if (isDone && !this.mustNotRunAgain(job, this.ledger.finalState(ref.job))) {
-      pushedStarts.forget(attempt);
+      directStarts.forget(attempt);
       return true;
     }
     const now = this.deps.clock.steady();
-    const endedAt = pushedStarts.noteEnded(attempt, now);
+    const endedAt = directStarts.recordEnded(attempt, now);
     if (durationBetween(endedAt, now) < this.deps.settings.workers.lease * LATE_DUPLICATE_LEASES)
       return false;
-    pushedStarts.forget(attempt);
+    directStarts.forget(attempt);
     return true;
   }
 
--- a/src/leader/candidate-machines.ts
+++ b/src/leader/candidate-machines.ts
@@ -2,7 +2,7 @@
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
-import { machineResources, subtract } from '../fleet/resources.js';
+import { machineResources, subtractResources } from '../fleet/resources.js';
 import type { CandidateMachine } from '../placer/placer.js';
 import { durationBetween, type DurationMs, type Epoch, type SteadyMs } from '../units/index.js';
 
@@ -22,7 +22,7 @@
 ): CandidateMachine[] {
   const candidates: CandidateMachine[] = [];
   for (const machine of fleet.machines.values()) {
-    if (!acceptsTasks(machine, now) || machine.isUnconfirmedWithFailedPush(epoch, now)) continue;
+    if (!acceptsTasks(machine, now) || machine.isUnconfirmedWithFailedCommand(epoch, now)) continue;
     if (
       machine.lastStatusAt === undefined ||
       durationBetween(machine.lastStatusAt, now) > silenceThreshold
@@ -38,7 +38,7 @@
 const acceptsTasks = (machine: Machine, now: SteadyMs): boolean =>
   machine.isUp &&
   !machine.isDraining &&
-  !machine.deleteSent &&
+  !machine.isDeleteSent &&
   machine.quarantinedUntil <= now &&
   Boolean(machine.address) &&
   machine.status !== undefined;
@@ -61,7 +61,7 @@
     zone: kind.zone,
     spot: kind.spot,
     capacity,
-    free: subtract(capacity, load.used),
+    free: subtractResources(capacity, load.used),
     pricePerCpu: (kind.spot ? type.spotPrice : type.onDemandPrice) / type.cpus,
     fetchGbPerSecond: type.fetchGbPerSecond,
     hasImage: (image) => machine.images.has(image),
--- a/src/leader/command-sender.ts
+++ b/src/leader/command-sender.ts
@@ -93,7 +93,7 @@
     for (const machine of this.pendingPushes) {
       if (!this.calls.hasFreeSocket) return;
       this.pendingPushes.delete(machine);
-      if (machine.commandInFlight || !this.canReach(machine)) continue;
+      if (machine.hasCommandInFlight || !this.canReach(machine)) continue;
       const push = preparePush(machine, this.jobs, !this.isBusy);
       if (push.commands.length > 0) this.calls.start(machine, () => this.push(machine, push));
     }
@@ -102,7 +102,7 @@
   /** Whether a command can be pushed to a machine now, or as soon as the one in flight is answered. */
   canReach(machine: Machine): boolean {
     if (this.calls.isClosed || !machine.isUp || !machine.address || !machine.status) return false;
-    if (machine.deleteSent) return false;
+    if (machine.isDeleteSent) return false;
     const now = this.deps.clock.steady();
     return now >= machine.commandsPausedUntil && now <= machine.leaseExpiresAt && this.hasAuthority;
   }
@@ -114,15 +114,15 @@
     if (this.calls.isClosed) return;
     if (outcome === 'answered') {
       // Executed or refused: either way nothing of it is in flight any more.
-      for (const attempt of started) machine.pushedStarts.noteAcknowledged(attempt);
+      for (const attempt of started) machine.directStarts.recordAcknowledged(attempt);
       if (status && this.calls.recordReply(machine, status))
-        this.observer.observe(machine, status, 'commandReply');
+        this.observer.observe(machine, status, 'commandResponse');
       return;
     }
     this.deps.log.info({ machine: machine.id, reason }, 'command not answered');
     machine.commandsPausedUntil = later(this.deps.clock.steady(), PUSH_PAUSE);
     if (outcome !== 'undelivered') return;
-    for (const attempt of started) machine.pushedStarts.noteUndelivered(attempt);
+    for (const attempt of started) machine.directStarts.recordUndelivered(attempt);
     if (wasUnconfirmed && machine.isUnconfirmed(this.epoch)) this.requeueUnsent(machine, started);
   }
 
--- a/src/leader/failure-backoff.ts
+++ b/src/leader/failure-backoff.ts
@@ -43,9 +43,9 @@
 
   /** The machine is suspected first: it is quarantined, and the job avoids it for longer. */
   private noteFailure(machine: Machine, job: Job, now: SteadyMs): void {
-    machine.failureCount++;
+    machine.taskFailureCount++;
     job.avoidedMachines.set(machine.id, later(now, MAX_FAILURE_BACKOFF));
-    const factor = Math.min(MAX_QUARANTINE_FACTOR, machine.failureCount);
+    const factor = Math.min(MAX_QUARANTINE_FACTOR, machine.taskFailureCount);
     machine.quarantinedUntil = later(now, ms(FAILURE_BACKOFF * factor));
     if (job.avoidedMachines.size >= MAX_FAILED_MACHINES) this.holdBack(job, now);
   }
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -95,7 +95,7 @@
     // A stale heartbeat is answered too, and its worker counts a new lease from when it was sent.
     machine.extendLease(workerLeaseEnd(now, lease));
     if (!isFresh) return this.emptyReply;
-    machine.relayNode = relayNode;
+    machine.relayControllerId = relayNode;
     if (!wasUp) onMachineUp();
     observer.observe(machine, status, 'heartbeat');
     return { fencingToken: epoch, commands: replies.commandsForReply(machine, status) };
--- a/src/leader/machine-loss.ts
+++ b/src/leader/machine-loss.ts
@@ -27,7 +27,7 @@
       machine.expireLease();
       this.placements.releaseMachine(machine, 'worker lease expired');
     }
-    this.fleet.forgetGone(now);
+    this.fleet.pruneGoneMachines(now);
   }
 
   /** The cloud answered that the machine is deleted, or that it stopped on its own. */
--- a/src/leader/machine-probe.ts
+++ b/src/leader/machine-probe.ts
@@ -54,7 +54,10 @@
     if (machine.probedAt !== undefined && durationBetween(machine.probedAt, now) < PROBE_INTERVAL)
       return false;
     return (
-      machine.isUp && !machine.commandInFlight && !machine.deleteSent && this.options.hasAuthority()
+      machine.isUp &&
+      !machine.hasCommandInFlight &&
+      !machine.isDeleteSent &&
+      this.options.hasAuthority()
     );
   }
 
@@ -64,17 +67,17 @@
     const { status } = await calls.send(machine, [], UNCONFIRMED_CALL_TIMEOUT);
     if (calls.isClosed || !status || !statusBefore) return;
     const now = deps.clock.steady();
-    machine.noteReceiving();
+    machine.recordDelivery();
     // The status was made after the call, so one that counts as older comes from a restarted machine.
     if (!isAfter(status, statusBefore)) this.recordRestart(machine, status, now);
     else if (!calls.recordReply(machine, status)) return;
-    observer.observe(machine, status, 'commandReply');
+    observer.observe(machine, status, 'commandResponse');
   }
 
   private recordRestart(machine: Machine, status: WorkerStatus, now: SteadyMs): void {
     const { deps, jobs } = this.options;
     deps.log.warn({ machine: machine.id }, 'machine numbers its messages from the start again');
-    machine.noteRestarted(status, now);
+    machine.onRestart(status, now);
     machine.extendLease(workerLeaseEnd(now, deps.settings.workers.lease));
     // Replies that carried starts went to the machine as it was before the restart.
     for (const assigned of machine.assignments.values()) {
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -178,7 +178,7 @@
         this.requeueTask(job, assigned.index, reason);
     }
     for (const key of [...machine.assignments.keys()]) machine.unassign(key);
-    this.fleet.sweepOrphans(machine, undefined);
+    this.fleet.removeEndedOrphans(machine, undefined);
     this.events.onCapacityChanged();
   }
 }
--- a/src/leader/push-commands.ts
+++ b/src/leader/push-commands.ts
@@ -61,7 +61,7 @@
   attempt: number,
 ): void {
   const startedAttempt = attemptKey(key, attempt);
-  machine.pushedStarts.noteSent(startedAttempt);
+  machine.directStarts.recordSent(startedAttempt);
   started.push(startedAttempt);
   commands.push(launch(key, attempt));
 }
--- a/src/leader/reception-check.ts
+++ b/src/leader/reception-check.ts
@@ -27,15 +27,15 @@
   /** To be called after a heartbeat has been recorded and before it extends the lease. */
   check(machine: Machine, status: WorkerStatus, previous: WorkerStatus, now: SteadyMs): void {
     if (status.fencingToken >= this.epoch && previous.fencingToken < this.epoch)
-      machine.noteReceiving();
+      machine.recordDelivery();
     if (previous.fencingToken >= this.epoch && this.hasLostLease(machine, status, previous, now)) {
       machine.notReceivingSince ??= now;
       return;
     }
     const effect = this.effectOfReplies(machine, status);
-    if (effect === 'visible') machine.noteReceiving();
+    if (effect === 'visible') machine.recordDelivery();
     else if (effect === 'missing' || status.fencingToken < this.epoch)
-      machine.noteIgnoredReply(now);
+      machine.recordIgnoredResponse(now);
   }
 
   /** Whether the worker lease has expired although the last heartbeat was answered in time. */
--- a/src/leader/reply-commands.ts
+++ b/src/leader/reply-commands.ts
@@ -67,11 +67,11 @@
       if (!job || !placement || status.byAttempt.has(attempt)) continue;
       if (isToBeStopped(job, placement)) {
         // A pushed start may still be delivered. Executed and stopped here, it has no effect then.
-        if (machine.pushedStarts.isUnacknowledged(attempt))
+        if (machine.directStarts.isUnacknowledged(attempt))
           commands.push(launch(key, assigned.attempt), kill(key, assigned.attempt, 0));
       } else if (
         isStartable(job, placement) &&
-        (!machine.isDraining || machine.pushedStarts.isUnacknowledged(attempt))
+        (!machine.isDraining || machine.directStarts.isUnacknowledged(attempt))
       ) {
         placement.sentInReplyTo = { session: status.session, sequence: status.sequence };
         commands.push(launch(key, assigned.attempt));
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -2,7 +2,7 @@
 import { silenceThreshold } from '../capacity/lost-machines.js';
 import type { Machine } from '../fleet/machine.js';
 import { compareQueueEntries, queueEntryFor, type QueueEntry } from '../ledger/queue-order.js';
-import { place, type Assignment, type RemainingQuota } from '../placer/placer.js';
+import { placeTasks, type Assignment, type RemainingQuota } from '../placer/placer.js';
 import type { DurationMs, Epoch, JobId, MachineId, SteadyMs } from '../units/index.js';
 import { AnticipatedWork, type AnticipatedSubmission } from './anticipated-work.js';
 import { candidateMachines } from './candidate-machines.js';
@@ -104,7 +104,7 @@
     if (machines.length === 0) return undefined;
     const requests = queue.map((entry) => this.requests.build(entry, now));
     const fleetCpus = machines.reduce((sum, machine) => sum + machine.capacity.cpus, 0);
-    return place({
+    return placeTasks({
       requests,
       machines,
       quotas: this.quotas(),
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -38,7 +38,7 @@
       if (task.state !== TaskState.exited) hasRunningTask = true;
       this.observeTask(machine, task, now);
     }
-    this.placements.fleet.sweepOrphans(machine, status);
+    this.placements.fleet.removeEndedOrphans(machine, status);
     for (const [key, assigned] of [...machine.assignments])
       this.reconcileAssignment(machine, key, assigned, status, source);
     if (machine.assignments.size > 0 || hasRunningTask) machine.idleSince = undefined;
@@ -53,7 +53,7 @@
     const placement = placementOfAttempt(job, index, machine.id, task.attempt);
     if (task.state !== TaskState.exited) {
       if (job && placement) this.observeLive(machine, job, index, placement, task);
-      else this.placements.fleet.noteOrphan(taskKey(ref.job, index), machine.id);
+      else this.placements.fleet.recordOrphan(taskKey(ref.job, index), machine.id);
     } else if (task.exitReason === ExitReason.done) {
       // Whichever attempt has completed, the task is done.
       if (job && !job.isDone(index)) this.observeCompletion(machine, job, index);
@@ -75,11 +75,11 @@
     placement.isReported = true;
     if (task.state !== TaskState.running) return;
     if (!placement.hasRun) this.noteStart(machine, job, index, placement);
-    machine.noteImageUse(job.spec.image, job.spec.imageSizeGb);
+    machine.recordImageUse(job.spec.image, job.spec.imageSizeGb);
   }
 
   private observeCompletion(machine: Machine, job: Job, index: number): void {
-    machine.noteImageUse(job.spec.image, job.spec.imageSizeGb);
+    machine.recordImageUse(job.spec.image, job.spec.imageSizeGb);
     if (job.isGang) this.placements.completeGang(job);
     else this.placements.completeTask(job, index);
   }
@@ -104,7 +104,7 @@
       source,
       attempt,
       start: placement,
-      unacknowledgedStarts: machine.pushedStarts.unacknowledged,
+      unacknowledgedStarts: machine.directStarts.unacknowledged,
       epoch: this.epoch,
     };
     if (isProvenAbsent(evidence))
--- a/src/leader/task-requests.ts
+++ b/src/leader/task-requests.ts
@@ -57,7 +57,7 @@
       isGang: job.isGang,
       avoidedMachines: machinesToAvoid(job, now),
       isUrgent: isUrgent(spec.priority) || rank < 0,
-      usesReserve: this.anticipatedWork.isAnticipated(spec),
+      canUseReserve: this.anticipatedWork.isAnticipated(spec),
       rank,
       mustStart,
     };
@@ -74,7 +74,10 @@
   }
 
   private maxNewlyOpened(job: Job): number {
-    const maxOpen = this.recordLimits.openTasks(job.spec, this.placements.fleet.longestOtherName);
+    const maxOpen = this.recordLimits.openTasks(
+      job.spec,
+      this.placements.fleet.longestUnnumberedNameLength,
+    );
     return Math.max(0, maxOpen - job.openTaskCount);
   }
 
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -153,12 +153,12 @@
     const autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        answeringSince: () => this.contacts.answeringSince,
+        respondingSince: () => this.contacts.answeringSince,
         unreachableAt: this.contacts.unreachableAt,
         queue: () => this.scheduler.queue(),
         specOf: (id) => this.ledger.jobs.get(id)?.spec,
         anticipatedWork: () => this.scheduler.anticipatedSubmissions(),
-        noteRemoved: (machine, reason) => this.machineLoss.remove(machine, reason),
+        onMachineRemoved: (machine, reason) => this.machineLoss.remove(machine, reason),
       },
       { cloud, catalog, epoch: this.epoch, settings, operator, clock, random, log },
     );
--- a/src/leader/worker-calls.ts
+++ b/src/leader/worker-calls.ts
@@ -69,7 +69,7 @@
   /** Runs a call that counts against the limit; its failure is logged. */
   start(machine: Machine, call: () => Promise<void>): void {
     this.inFlight++;
-    machine.commandInFlight = true;
+    machine.hasCommandInFlight = true;
     detach(this.run(machine, call), this.deps.log, 'follow-up of a command');
   }
 
@@ -78,7 +78,7 @@
       this.deps.log.error({ err: error, machine: machine.id }, 'command failed');
     });
     this.inFlight--;
-    machine.commandInFlight = false;
+    machine.hasCommandInFlight = false;
     if (!this.closed) this.listener.onCallEnded(machine);
   }
 
@@ -99,7 +99,8 @@
       commands,
     };
     const { http, peers } = this.deps;
-    const peer = machine.relayNode === undefined ? undefined : peers.get(machine.relayNode);
+    const peer =
+      machine.relayControllerId === undefined ? undefined : peers.get(machine.relayControllerId);
     const { outcome, reason, heartbeat } = peer?.responsive
       ? await callWorkerThrough(peer, request)
       : await callWorker(http, request);
--- a/src/ledger/admission.ts
+++ b/src/ledger/admission.ts
@@ -1,5 +1,5 @@
 /** Whether a submitted job can ever run here. Every node gives the same answer. */
-import type { Verdict } from '../cloud/feasibility.js';
+import type { Feasibility } from '../cloud/feasibility.js';
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Team } from '../config/settings.js';
 import { TASK_COUNT_FIELD, type JobSpec } from '../wire/index.js';
@@ -14,15 +14,15 @@
     private readonly recordLimits: RecordLimits,
   ) {}
 
-  judge(spec: JobSpec): Verdict {
+  judge(spec: JobSpec): Feasibility {
     // A gang is placed in one transaction, so all of it has to fit one record.
     const openTasks = isGang(spec) ? spec.taskCount : 1;
     if (!this.recordLimits.canRecord(spec, openTasks)) {
       return {
-        kind: 'impossible',
+        kind: 'infeasible',
         reason: `${TASK_COUNT_FIELD}: its record would exceed the limits of the state service`,
       };
     }
-    return this.catalog.judge(spec, this.teams);
+    return this.catalog.checkFeasibility(spec, this.teams);
   }
 }
--- a/src/placer/cluster-capacity.ts
+++ b/src/placer/cluster-capacity.ts
@@ -1,5 +1,5 @@
 /** The free capacity of the machines during one placing round, and the order in which a job prefers machines. */
-import { EPSILON, fits, type Resources } from '../fleet/resources.js';
+import { RESOURCE_TOLERANCE, fits, type Resources } from '../fleet/resources.js';
 import type { CandidateMachine, ImageReserve, TaskRequest } from './types.js';
 
 /** A machine with the capacity that the placements of this round have left free. */
@@ -35,9 +35,9 @@
 }
 
 /** Prices of one price model vary by up to a third each way; only a larger difference is one of price model. */
-const PRICE_RATIO = 1.8;
+const MIN_PRICE_MODEL_RATIO = 1.8;
 /** A job that may use less than this share of the cluster's processors counts as constrained. */
-const CONSTRAINED_SHARE = 0.75;
+const CONSTRAINED_CPU_SHARE = 0.75;
 
 /** Whether a job accepts the type, zone and price model of a machine. */
 export function isAllowed(
@@ -86,7 +86,7 @@
     this.groups = groupMachines(machines, minTaskCpus);
     this.totalCpus = totalCpus;
     this.smallestMachineCpus = smallest;
-    for (const image of reserve.keys()) this.freeByImage.set(image, this.reserveCandidates(image));
+    for (const image of reserve.keys()) this.freeByImage.set(image, this.freeReserveCpus(image));
   }
 
   /** The groups that a job may use and whose machines, when empty, can hold a task of it. */
@@ -100,11 +100,11 @@
   isConstrained(eligible: readonly MachineGroup[]): boolean {
     let cpus = 0;
     for (const group of eligible) cpus += group.slots.length * group.capacity.cpus;
-    return cpus < this.totalCpus * CONSTRAINED_SHARE;
+    return cpus < this.totalCpus * CONSTRAINED_CPU_SHARE;
   }
 
   /** Free processors, before any placement, of the machines that count towards the reserve of an image. */
-  private reserveCandidates(image: string): number {
+  private freeReserveCpus(image: string): number {
     let free = 0;
     for (const group of this.groups) {
       if (group.capacity.cpus !== this.smallestMachineCpus) continue;
@@ -122,7 +122,7 @@
   leavesReserve(slot: MachineSlot, request: TaskRequest): boolean {
     const { cpus } = request.resources;
     for (const [image, reserved] of this.reserve) {
-      if (request.usesReserve && image === request.image) continue;
+      if (request.canUseReserve && image === request.image) continue;
       if (
         this.countsTowardsReserve(slot, image) &&
         (this.freeByImage.get(image) ?? 0) - cpus < reserved
@@ -176,7 +176,7 @@
       reservation: 'none',
     };
     group.slots.push(slot);
-    if (cpus >= minTaskCpus - EPSILON) group.openSlots.push(slot);
+    if (cpus >= minTaskCpus - RESOURCE_TOLERANCE) group.openSlots.push(slot);
   }
   return [...groups.values()];
 }
@@ -188,7 +188,8 @@
  */
 export function compareSlots(a: MachineSlot, b: MachineSlot): number {
   const priceRatio = a.machine.pricePerCpu / b.machine.pricePerCpu;
-  if (priceRatio > PRICE_RATIO || priceRatio < 1 / PRICE_RATIO) return priceRatio - 1;
+  if (priceRatio > MIN_PRICE_MODEL_RATIO || priceRatio < 1 / MIN_PRICE_MODEL_RATIO)
+    return priceRatio - 1;
   if (a.machine.capacity.cpus !== b.machine.capacity.cpus)
     return a.machine.capacity.cpus - b.machine.capacity.cpus;
   return compareByFreeCpus(a, b);
--- a/src/placer/job-placement.ts
+++ b/src/placer/job-placement.ts
@@ -1,5 +1,5 @@
 /** Places the waiting tasks of one job: as many as there is capacity for or, of a gang, all or none. */
-import { EPSILON, fits, type Resources } from '../fleet/resources.js';
+import { RESOURCE_TOLERANCE, fits, type Resources } from '../fleet/resources.js';
 import {
   compareSlots,
   imageDelay,
@@ -36,14 +36,15 @@
 /** Whether a team may start so many more tasks of a size; `quota` undefined: it has no limit. */
 export const isWithinQuota = (
   quota: RemainingQuota | undefined,
-  size: Resources,
+  taskResources: Resources,
   tasks = 1,
 ): boolean =>
   !quota ||
-  (size.cpus * tasks <= quota.cpus + EPSILON && size.gpus * tasks <= quota.gpus + EPSILON);
+  (taskResources.cpus * tasks <= quota.cpus + RESOURCE_TOLERANCE &&
+    taskResources.gpus * tasks <= quota.gpus + RESOURCE_TOLERANCE);
 
 /** The slots that can take a task of the job, best first. */
-function candidatesFor({ request, groups, isConstrained }: EligibleRequest): Candidate[] {
+function findCandidates({ request, groups, isConstrained }: EligibleRequest): Candidate[] {
   const candidates: Candidate[] = [];
   for (const group of groups) {
     const penalty =
@@ -83,7 +84,7 @@
     this.placedByZone = new Map(request.placedByZone);
   }
 
-  get size(): number {
+  get placedCount(): number {
     return this.placed.length;
   }
 
@@ -107,7 +108,7 @@
     if (request.singleZone && this.zone !== undefined && zone !== this.zone) return false;
     if ((this.placedByZone.get(zone) ?? 0) >= request.maxPerZone) return false;
     // Reserves and reservations may delay a job, but not for so long that it never begins.
-    if (request.mustStart && (request.isGang || this.size === 0)) return true;
+    if (request.mustStart && (request.isGang || this.placedCount === 0)) return true;
     return (
       slot.reservation === 'none' &&
       (request.isUrgent || this.capacity.leavesReserve(slot, request))
@@ -174,14 +175,14 @@
   quota: RemainingQuota | undefined,
   maxTasks: number,
 ): Assignment[] {
-  const candidates = candidatesFor(eligible);
+  const candidates = findCandidates(eligible);
   if (candidates.length === 0) return [];
   const { request } = eligible;
   const context = { request, capacity, quota };
   if (request.isGang) return placeGang(context, candidates);
   const placement = new TentativePlacement(context, candidates, request.boundZone);
   for (const index of request.waitingIndexes) {
-    if (placement.size >= maxTasks || !placement.add(index)) break;
+    if (placement.placedCount >= maxTasks || !placement.add(index)) break;
   }
   return placement.assignments();
 }
@@ -194,21 +195,21 @@
   if (!isWithinQuota(quota, request.resources, indexes.length)) return [];
   let zone = request.boundZone;
   if (request.singleZone && zone === undefined) {
-    zone = cheapestZone(context, candidates, indexes);
+    zone = findSoonestZone(context, candidates, indexes);
     if (zone === undefined) return [];
   }
-  return tryGang(context, candidates, indexes, zone)?.assignments() ?? [];
+  return tryPlaceGang(context, candidates, indexes, zone)?.assignments() ?? [];
 }
 
 /** The zone in which the gang would start soonest; undefined if no zone can hold all of it. */
-function cheapestZone(
+function findSoonestZone(
   context: PlacementContext,
   candidates: readonly Candidate[],
   indexes: readonly number[],
 ): string | undefined {
   let best: { readonly zone: string; readonly cost: number } | undefined;
   for (const zone of new Set(candidates.map(({ slot }) => slot.machine.zone))) {
-    const placement = tryGang(context, candidates, indexes, zone);
+    const placement = tryPlaceGang(context, candidates, indexes, zone);
     if (!placement) continue;
     placement.undo();
     if (!best || placement.cost < best.cost) best = { zone, cost: placement.cost };
@@ -217,7 +218,7 @@
 }
 
 /** Places all tasks, in one zone if it is given; undefined, with nothing allocated, if that is not possible. */
-function tryGang(
+function tryPlaceGang(
   context: PlacementContext,
   candidates: readonly Candidate[],
   indexes: readonly number[],
--- a/src/placer/placer.ts
+++ b/src/placer/placer.ts
@@ -28,7 +28,7 @@
  * machine, the quota of its team or the constraints of its job. The values of `quotas` are reduced by what is
  * placed.
  */
-export function place({
+export function placeTasks({
   requests,
   machines,
   quotas,
@@ -41,26 +41,23 @@
   );
   const capacity = new ClusterCapacity(machines, reserve, minTaskCpus);
   const assignments: Assignment[] = [];
-  for (const queued of orderedQueue(requests, capacity)) {
+  for (const queued of sortQueue(requests, capacity)) {
     if (assignments.length >= maxAssignments) break;
     const { request, groups } = queued;
     const quota = quotas.get(request.team);
     const placed = placeJob(queued, capacity, quota, maxAssignments - assignments.length);
     for (const assignment of placed) assignments.push(assignment);
-    const unplaced = request.taskCount - placed.length;
+    const unplacedTasks = request.taskCount - placed.length;
     // No machine is reserved for tasks that the quota of their team would keep from starting.
     const minTasks = request.isGang ? request.taskCount : 1;
-    if (unplaced > 0 && isWithinQuota(quota, request.resources, minTasks))
-      reserveSlots(request, groups, unplaced);
+    if (unplacedTasks > 0 && isWithinQuota(quota, request.resources, minTasks))
+      reserveSlots(request, groups, unplacedTasks);
   }
   return assignments;
 }
 
 /** By rank; among equals constrained jobs come first, since the others have more machines to choose from. */
-function orderedQueue(
-  requests: readonly TaskRequest[],
-  capacity: ClusterCapacity,
-): QueuedRequest[] {
+function sortQueue(requests: readonly TaskRequest[], capacity: ClusterCapacity): QueuedRequest[] {
   const queue = requests.map((request, position) => {
     const groups = capacity.eligibleGroups(request);
     return { request, groups, isConstrained: capacity.isConstrained(groups), position };
--- a/src/placer/reservations.ts
+++ b/src/placer/reservations.ts
@@ -2,7 +2,7 @@
  * Reserves machines, for one placing round, against the jobs that come later in the queue: for large tasks, since
  * small ones would fill each gap before it is wide enough, and for gangs, which need capacity for all tasks at once.
  */
-import { EPSILON, fits } from '../fleet/resources.js';
+import { RESOURCE_TOLERANCE, fits } from '../fleet/resources.js';
 import {
   compareByFreeCpus,
   imageDelay,
@@ -12,13 +12,13 @@
 import type { TaskRequest } from './types.js';
 
 /** Reserved machines stand partly empty: of those that a job may use, no more than this share is reserved. */
-const MAX_RESERVED_SHARE = 0.5;
+const MAX_RESERVED_MACHINE_SHARE = 0.5;
 
 /** Reserves machines for so many tasks of a job that could not be placed, within the groups that it may use. */
 export function reserveSlots(
   request: TaskRequest,
   groups: readonly MachineGroup[],
-  unplaced: number,
+  unplacedTasks: number,
 ): void {
   let machines = 0;
   let reserved = 0;
@@ -26,10 +26,10 @@
     machines += group.slots.length;
     reserved += group.reservedCount;
   }
-  const maxReserved = Math.max(1, Math.floor(machines * MAX_RESERVED_SHARE));
+  const maxReserved = Math.max(1, Math.floor(machines * MAX_RESERVED_MACHINE_SHARE));
   if (reserved >= maxReserved) return;
   const slots = request.isGang ? slotsForGang(request, groups) : slotsForLargeTask(request, groups);
-  let tasksLeft = unplaced;
+  let tasksLeft = unplacedTasks;
   for (const slot of slots) {
     if (tasksLeft <= 0 || reserved >= maxReserved) break;
     slot.reservation = request.rank < 0 ? 'hard' : 'soft';
@@ -43,7 +43,7 @@
 function slotsForLargeTask(request: TaskRequest, groups: readonly MachineGroup[]): MachineSlot[] {
   const slots: MachineSlot[] = [];
   for (const group of groups) {
-    if (request.resources.cpus * 2 < group.capacity.cpus - EPSILON) continue;
+    if (request.resources.cpus * 2 < group.capacity.cpus - RESOURCE_TOLERANCE) continue;
     for (const slot of group.slots)
       if (slot.reservation === 'none' && !fits(request.resources, slot)) slots.push(slot);
   }
@@ -55,9 +55,9 @@
   const unreserved = groups.flatMap((group) =>
     group.slots.filter((slot) => slot.reservation === 'none'),
   );
-  const regions = request.singleZone ? [...slotsByZone(unreserved).values()] : [unreserved];
+  const slotSets = request.singleZone ? [...slotsByZone(unreserved).values()] : [unreserved];
   // Machines that could not hold the whole gang even if they were empty are of no use to it.
-  const largeEnough = regions.filter((slots) => taskCapacity(slots, request) >= request.taskCount);
+  const largeEnough = slotSets.filter((slots) => taskCapacity(slots, request) >= request.taskCount);
   const [best = []] = largeEnough.sort((a, b) => freeCpus(b) - freeCpus(a));
   return best.sort(
     (a, b) => imageDelay(request, a) - imageDelay(request, b) || compareByFreeCpus(a, b),
@@ -76,7 +76,7 @@
 
 /** How many tasks of the job the machine can hold, by processors, while it runs nothing else. */
 const tasksPerEmptyMachine = ({ machine }: MachineSlot, { resources }: TaskRequest): number =>
-  Math.floor((machine.capacity.cpus + EPSILON) / resources.cpus);
+  Math.floor((machine.capacity.cpus + RESOURCE_TOLERANCE) / resources.cpus);
 
 const taskCapacity = (slots: readonly MachineSlot[], request: TaskRequest): number =>
   slots.reduce((sum, slot) => sum + tasksPerEmptyMachine(slot, request), 0);
--- a/src/placer/types.ts
+++ b/src/placer/types.ts
@@ -54,7 +54,7 @@
   /** Urgent tasks may use the capacity that is kept free by `ImageReserve`. */
   readonly isUrgent: boolean;
   /** The reserve is kept for jobs of this class: it may use that of its own image. */
-  readonly usesReserve: boolean;
+  readonly canUseReserve: boolean;
   /**
    * The job has waited for long and none of its tasks is placed: its first task, or all of a gang, may use the
    * reserve, and machines under a soft reservation.
--- a/test/unit/attempt-clearance.test.ts
+++ b/test/unit/attempt-clearance.test.ts
@@ -44,8 +44,8 @@
   const machine = fleet.machines.get(id);
   assert.ok(machine);
   const pushed = attemptKey(key, placement.attempt);
-  if (attempt.push !== 'none') machine.pushedStarts.noteSent(pushed);
-  if (attempt.push === 'acknowledged') machine.pushedStarts.noteAcknowledged(pushed);
+  if (attempt.push !== 'none') machine.directStarts.recordSent(pushed);
+  if (attempt.push === 'acknowledged') machine.directStarts.recordAcknowledged(pushed);
   const final = typeof attempt.job === 'string' ? undefined : attempt.job;
   const isLive = attempt.job === 'live' || attempt.job === 'completionUnstored';
   const subject = new AttemptClearance({ finalState: () => final }, { clock, settings });
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -75,12 +75,12 @@
   const autoscaler = new Autoscaler(
     {
       fleet,
-      answeringSince: () => SteadyMs(0),
+      respondingSince: () => SteadyMs(0),
       unreachableAt: new Map(),
       queue: () => [entry],
       specOf: () => job.spec,
       anticipatedWork: () => [],
-      noteRemoved: () => undefined,
+      onMachineRemoved: () => undefined,
     },
     {
       cloud: new CloudClient(http, Endpoint('10.2.0.2:8443'), clock, 4),
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -108,7 +108,7 @@
     const machine = observeMachine(fleet);
     const { job, placement, key } = placedTask(fleet, id, clock.steady());
     if (isEvicted) placement.evictionGraceSeconds = 0;
-    if (mayStillArrive) machine.pushedStarts.noteSent(attemptKey(key, placement.attempt));
+    if (mayStillArrive) machine.directStarts.recordSent(attemptKey(key, placement.attempt));
     const ledger = { jobs: new Map([[job.id, job]]), finalState: () => undefined };
     const replies = new ReplyCommands(ledger, { clock, settings });
     const commands = replies.commandsForReply(machine, toWorkerStatus(heartbeat));
@@ -173,7 +173,7 @@
     const attempt = attemptKey(task.key, task.placement.attempt);
     const isStart = expected.includes('launch');
     assert.deepEqual(started, isStart ? [attempt] : [], name);
-    assert.equal(machine.pushedStarts.isUnacknowledged(attempt), isStart, name);
+    assert.equal(machine.directStarts.isUnacknowledged(attempt), isStart, name);
     assert.deepEqual(preparePush(machine, jobs, mayStart).commands, [], `${name}: once`);
   }
 });
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { isProvenAbsent, type StartRecord } from '../../src/fleet/attempt-absence.js';
 import { ImageCache } from '../../src/fleet/image-cache.js';
-import { loadOf } from '../../src/fleet/machine-load.js';
+import { computeLoad } from '../../src/fleet/machine-load.js';
 import { Machine } from '../../src/fleet/machine.js';
 import { workerLeaseEnd } from '../../src/fleet/worker-lease.js';
 import {
@@ -50,9 +50,9 @@
 void test('pushed starts and late messages of a session end with its lease', () => {
   const machine = newMachine();
   machine.recordStatus(statusWith({ session: 3, sequence: 5 }), SteadyMs(1));
-  machine.pushedStarts.noteSent('run-000001/0#1');
+  machine.directStarts.recordSent('run-000001/0#1');
   machine.expireLease();
-  assert.equal(machine.pushedStarts.unacknowledged.size, 0);
+  assert.equal(machine.directStarts.unacknowledged.size, 0);
   // Delayed on the way: the worker has long dropped these tasks.
   const late = statusWith({ session: 3, sequence: 6 });
   assert.equal(machine.recordStatus(late, SteadyMs(9)), false);
@@ -109,11 +109,11 @@
     ['sent in reply to an earlier heartbeat', {}, heartbeat, sent, none, true],
     ['sent in reply to this very heartbeat', { sequence: 9 }, heartbeat, sent, none, false],
     // The reply with the start is still on its way to the worker that answered our command.
-    ['only the reply to a command is newer', {}, 'commandReply', sent, none, false],
+    ['only the reply to a command is newer', {}, 'commandResponse', sent, none, false],
     [
       'a new session since it was sent',
       { session: 2, sequence: 1 },
-      'commandReply',
+      'commandResponse',
       sent,
       none,
       true,
@@ -160,7 +160,7 @@
         };
         if (kind === 'assign' && n < 3) machine.assign(taskKey(job, 0), task);
         else if (kind === 'unassign') machine.unassign(taskKey(job, 0));
-        else if (kind === 'image') machine.noteImageUse(`img-${n}`, 4);
+        else if (kind === 'image') machine.recordImageUse(`img-${n}`, 4);
         else {
           const reported = list.map(([k, attempt, s]) => ({
             task: `run-${k}/0`,
@@ -170,7 +170,7 @@
           const status = statusWith({ sequence: ++sequence, tasks: reported });
           machine.recordStatus(status, SteadyMs(sequence));
         }
-        assert.deepEqual(machine.load(resourcesOf), loadOf(machine, resourcesOf));
+        assert.deepEqual(machine.load(resourcesOf), computeLoad(machine, resourcesOf));
       }
     }),
     { seed: 20261202 },
@@ -179,11 +179,11 @@
 
 void test('the image cache forgets the least recently used images', () => {
   const cache = new ImageCache(10);
-  cache.use('a', 4);
-  cache.use('b', 4);
-  cache.use('a', 4);
-  cache.use('c', 4);
+  cache.recordUse('a', 4);
+  cache.recordUse('b', 4);
+  cache.recordUse('a', 4);
+  cache.recordUse('c', 4);
   assert.deepEqual([cache.has('a'), cache.has('b'), cache.has('c')], [true, false, true]);
-  cache.use('huge', 20);
+  cache.recordUse('huge', 20);
   assert.deepEqual([cache.has('a'), cache.has('huge')], [false, true]);
 });
--- a/test/unit/lost-machines.test.ts
+++ b/test/unit/lost-machines.test.ts
@@ -1,7 +1,7 @@
 /** Which machines count as lost: by their silence, the cloud's list, their boot and what they receive. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { lostMachines, type LivenessView } from '../../src/capacity/lost-machines.js';
+import { findLostMachines, type LivenessView } from '../../src/capacity/lost-machines.js';
 import { Machine } from '../../src/fleet/machine.js';
 import { MachineId, NodeId, SteadyMs, seconds } from '../../src/units/index.js';
 
@@ -25,7 +25,7 @@
 /** At second 100, with nothing known of other nodes. */
 const VIEW: LivenessView = {
   now: at(100),
-  answeringSince: at(0),
+  respondingSince: at(0),
   heartbeatInterval: seconds(3),
   lease: seconds(24),
   bootTime: () => seconds(10),
@@ -33,7 +33,7 @@
 };
 
 void test('which silent machines count as lost', () => {
-  const relayed = { relayNode: FOLLOWER };
+  const relayed = { relayControllerId: FOLLOWER };
   type Case = [
     name: string,
     machine: Machine,
@@ -49,7 +49,7 @@
     ['silent for long since then', machineSilentSince(78, relayed), 92, true],
     [
       'silent and no longer listed',
-      machineSilentSince(91, { ...relayed, missedLists: 1 }),
+      machineSilentSince(91, { ...relayed, missedListCount: 1 }),
       92,
       true,
     ],
@@ -73,7 +73,7 @@
     const unreachableAt = new Map(
       followerUnreachableAt === undefined ? [] : [[FOLLOWER, at(followerUnreachableAt)]],
     );
-    const found = lostMachines(all, { ...VIEW, unreachableAt });
+    const found = findLostMachines(all, { ...VIEW, unreachableAt });
     assert.deepEqual(found, isLost ? [machine] : [], name);
   }
 });
@@ -84,19 +84,23 @@
     machineSilentSince(91, {}, 'n'),
     machineSilentSince(99, {}, 'x'),
   ];
-  assert.deepEqual(lostMachines(all, VIEW), []);
-  assert.equal(lostMachines(all, { ...VIEW, now: at(113) }).length, 2, 'for longer than that');
+  assert.deepEqual(findLostMachines(all, VIEW), []);
+  assert.equal(findLostMachines(all, { ...VIEW, now: at(113) }).length, 2, 'for longer than that');
 });
 
 void test('machines that are silent after a failover have two worker leases to reconnect', () => {
   // Hundreds that reconnect to a new leader, or after the end of their follower, take their time.
   const reconnecting = [
     machineSilentSince(undefined, {}, 'm'),
-    machineSilentSince(91, { relayNode: FOLLOWER }, 'n'),
+    machineSilentSince(91, { relayControllerId: FOLLOWER }, 'n'),
   ];
   const unreachableAt = new Map([[FOLLOWER, at(95)]]);
   const lostAt = (second: number): number =>
-    lostMachines(reconnecting, { ...VIEW, unreachableAt, answeringSince: at(91), now: at(second) })
-      .length;
+    findLostMachines(reconnecting, {
+      ...VIEW,
+      unreachableAt,
+      respondingSince: at(91),
+      now: at(second),
+    }).length;
   assert.deepEqual([lostAt(113), lostAt(138), lostAt(140)], [0, 0, 2]);
 });
--- a/test/unit/placer.test.ts
+++ b/test/unit/placer.test.ts
@@ -5,7 +5,7 @@
 import type { Resources } from '../../src/fleet/resources.js';
 import {
   isAllowed,
-  place,
+  placeTasks,
   type Assignment,
   type CandidateMachine,
   type ImageReserve,
@@ -52,7 +52,7 @@
   waitingIndexes: Array.from({ length: count }, (_, i) => i),
   avoidedMachines: new Set(),
   isUrgent: false,
-  usesReserve: false,
+  canUseReserve: false,
   rank: 2,
   mustStart: false,
   isGang: false,
@@ -111,7 +111,7 @@
     // `place` changes the quotas that it is given.
     const quotas = new Map([...teams].map(([team, quota]) => [team, { ...quota }]));
     const input = { requests, machines, quotas, maxAssignments: 100, reserve };
-    assert.equal(place(input).length, placed, name);
+    assert.equal(placeTasks(input).length, placed, name);
   }
 });
 
@@ -180,7 +180,7 @@
     ],
   ];
   for (const [name, taskRequest, machines, expected] of cases) {
-    const placed = place({
+    const placed = placeTasks({
       requests: [taskRequest],
       machines,
       quotas: new Map(),
@@ -194,7 +194,7 @@
   const gang = request('g', 5, { isGang: true });
   const other = request('o', 4);
   const quotas = new Map<string, RemainingQuota>();
-  const placed = place({
+  const placed = placeTasks({
     requests: [gang, other],
     machines: [machine('m1')],
     quotas,
@@ -205,7 +205,7 @@
     ['o', 'o', 'o', 'o'],
   );
   const machines = [machine('m1'), machine('m2')];
-  assert.equal(place({ requests: [gang], machines, quotas, maxAssignments: 10 }).length, 5);
+  assert.equal(placeTasks({ requests: [gang], machines, quotas, maxAssignments: 10 }).length, 5);
 });
 
 void test('a gang that must be in one zone goes where all of it fits, and starts soonest', () => {
@@ -244,7 +244,7 @@
   ];
   for (const [name, machines, quota, zone] of cases) {
     const quotas = new Map(quota === undefined ? [] : [['t', { cpus: quota, gpus: Infinity }]]);
-    const placed = place({ requests: [gang], machines, quotas, maxAssignments: 100 });
+    const placed = placeTasks({ requests: [gang], machines, quotas, maxAssignments: 100 });
     const zones = new Set(placed.map((a) => machines.find(({ id }) => id === a.machine)?.zone));
     assert.deepEqual([...zones], zone === undefined ? [] : [zone], name);
     assert.equal(placed.length, zone === undefined ? 0 : 4, name);
@@ -268,7 +268,7 @@
   for (const [name, count, unreserved] of cases) {
     const gang = request('g', count, { isGang: true, singleZone: true });
     const requests = [gang, request('o', 9)];
-    const placed = place({ requests, machines, quotas: new Map(), maxAssignments: 100 });
+    const placed = placeTasks({ requests, machines, quotas: new Map(), maxAssignments: 100 });
     assert.deepEqual(placed.map((assignment) => assignment.machine).sort(), unreserved, name);
   }
 });
@@ -311,7 +311,7 @@
   machines: readonly CandidateMachine[],
 ): Assignment[] => {
   const quotas = new Map([['t', { cpus: limit, gpus: limit }]]);
-  return place({ requests, machines, quotas, maxAssignments: 50 });
+  return placeTasks({ requests, machines, quotas, maxAssignments: 50 });
 };
 
 /** What tasks take together. */
--- a/test/unit/planner.test.ts
+++ b/test/unit/planner.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { planScaleOut, type PlanningInput } from '../../src/capacity/planner.js';
 import {
-  NEVER,
+  UNLIMITED_WAIT,
   NO_WAIT,
   offerKey,
   type AvailableCapacity,
@@ -56,7 +56,7 @@
   spreadZones: false,
   expectedRuntime: seconds(10),
   acceptableWait: NO_WAIT,
-  maxWait: NEVER,
+  maxWait: UNLIMITED_WAIT,
   ...change,
 });
 
--- a/test/unit/remaining-quotas.test.ts
+++ b/test/unit/remaining-quotas.test.ts
@@ -64,7 +64,7 @@
       finalState: (id) => (id === finishedId ? finals[0] : undefined),
     };
     const fleet = emptyFleet(seconds(24));
-    for (const key of orphans) fleet.noteOrphan(key, machine);
+    for (const key of orphans) fleet.recordOrphan(key, machine);
     const quotas = remainingQuotas(TEAMS, ledger, fleet);
     assert.deepEqual(
       [...quotas],
--- a/test/unit/scale-in.test.ts
+++ b/test/unit/scale-in.test.ts
@@ -1,7 +1,7 @@
 /** Scale-in: which idle machines are given back, and when. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { idleMachines } from '../../src/capacity/scale-in.js';
+import { findIdleMachines } from '../../src/capacity/scale-in.js';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
 import type { Machine } from '../../src/fleet/machine.js';
 import { JobId, MachineId, SteadyMs, seconds, taskKey } from '../../src/units/index.js';
@@ -41,7 +41,7 @@
     machine.rentedAt = ago(idle.rentedFor ?? 500);
     idle.change?.(machine);
   });
-  const found = idleMachines({
+  const found = findIdleMachines({
     fleet,
     catalog,
     // Of a boot of 10 seconds.
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -108,12 +108,14 @@
   ];
   for (const [name, body, status] of cases) {
     const parsed = parseSubmission(encode(body));
-    const verdict = parsed.ok ? catalog.judge(parsed.value, settings.teams) : undefined;
-    const refusal = !parsed.ok ? 400 : verdict?.kind === 'impossible' ? 422 : 0;
+    const verdict = parsed.ok ? catalog.checkFeasibility(parsed.value, settings.teams) : undefined;
+    const refusal = !parsed.ok ? 400 : verdict?.kind === 'infeasible' ? 422 : 0;
     assert.equal(refusal, status, name);
   }
   const gang = parseSubmission(encode(submission({ kind: 'ensemble', spreadZones: true })));
-  assert.ok(gang.ok && singleZoneCatalog.judge(gang.value, settings.teams).kind === 'impossible');
+  assert.ok(
+    gang.ok && singleZoneCatalog.checkFeasibility(gang.value, settings.teams).kind === 'infeasible',
+  );
 });
 
 void test('a follower without a leader: a late answer of the store is given only if it is final', async () => {
