--- a/src/fleet/attempt-absence.ts
+++ b/src/fleet/attempt-absence.ts
@@ -1,36 +1,36 @@
-/** Proof that an attempt of a task is not on its machine and can't be started there any more. */
+/** Proves that an attempt of a task is not on its machine and can no longer be started there. */
 import type { Epoch } from '../units/index.js';
 import { TaskState } from '../wire/index.js';
 import type { MessageOrder, StatusSource, WorkerStatus } from './worker-status.js';
 
-/** How the start of an attempt was sent. A `Placement` is one. */
+/** How the start command of an attempt was sent. `Placement` satisfies this interface. */
 export interface StartRecord {
-  /** Placed by an earlier leader, which may have pushed the start without recording that. */
+  /** An earlier leader placed the attempt and may have sent a direct start command without recording it. */
   readonly isInherited: boolean;
-  /** The heartbeat whose reply last carried the start; undefined if none did. */
+  /** The heartbeat whose response last carried the start command; undefined if none did. */
   readonly sentInReplyTo?: MessageOrder;
 }
 
-/** What is known of one attempt and of its machine. */
+/** What the leader knows about one attempt and its machine. */
 export interface AbsenceEvidence {
   /** The machine's newest status. */
   readonly status: WorkerStatus;
   readonly source: StatusSource;
-  /** The attempt, as made by `attemptKey`. */
+  /** The key of the attempt (`attemptKey`). */
   readonly attempt: string;
   readonly start: StartRecord;
-  /** Attempts on this machine whose start was pushed without a reply: it may be delivered at any time. */
+  /** Attempts on this machine whose direct start command is unacknowledged and may be delivered at any time. */
   readonly unacknowledgedStarts: ReadonlySet<string>;
-  /** The current leader's epoch. A worker that has seen it refuses the starts of earlier leaders. */
+  /** The current leader's epoch. A worker that has seen it refuses start commands of earlier leaders. */
   readonly epoch: Epoch;
 }
 
 /**
- * Whether the evidence proves that the attempt is not running and will not run. A worker processes the reply
- * to a heartbeat before it sends the next one, or never; so a start that was sent in reply to an earlier
- * heartbeat is no longer in flight when a later heartbeat arrives. A reply to pushed commands proves that only
- * if it belongs to a later session, since it may overtake the reply to a heartbeat. Where no reply carried the
- * start, either kind of status is proof.
+ * Whether the evidence proves that the attempt is not running and will not run. A worker processes the response
+ * to a heartbeat before it sends the next heartbeat, or never. A start command that was sent in the response to
+ * an earlier heartbeat is therefore no longer in flight when a later heartbeat arrives. A response to direct
+ * commands proves this only if it belongs to a later session, since it may overtake the response to a heartbeat.
+ * If no response carried the start command, a status from either source is proof.
  */
 export function isProvenAbsent({
   status,
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** The machines of one term, those that are gone, and attempts that no record accounts for. */
+/** The machines of one term, the machines that are gone, and attempts that no record accounts for. */
 import {
   Endpoint,
   durationBetween,
@@ -13,43 +13,43 @@
 import { workerLeaseEnd } from './worker-lease.js';
 import { attemptKey, type WorkerStatus } from './worker-status.js';
 
-/** Machine names of this form take few bytes in a compact record. */
+/** Names that end in a number take few bytes in a compact record. */
 const NUMBERED_NAME_PATTERN = /\d$/;
 
-/** How long a machine that is gone is remembered: ten minutes. */
+/** How long the fleet remembers a machine that is gone: ten minutes. */
 const GONE_MACHINE_RETENTION = 600_000 as DurationMs;
 
-/** The kind of a machine that only a record names. */
+/** The kind of a machine that is known only from a record. */
 const UNKNOWN_KIND: MachineKind = { machineType: '', zone: '', spot: true };
 
-/** What a fleet needs to know from elsewhere. */
+/** What a fleet depends on. */
 export interface FleetDependencies {
-  /** The beginning of the term. */
+  /** When the term began. */
   readonly startedAt: SteadyMs;
   /** The length of a worker's lease. */
   readonly lease: DurationMs;
   /** The size of a machine type's image cache in GB; undefined while it is not known. */
   readonly cacheSizeOf: (machineType: string) => number | undefined;
-  /** The images that an earlier leader believed to be in a machine's cache. */
+  /** The images that an earlier leader expected in a machine's cache. */
   readonly imageHintsFor: (
     id: MachineId,
   ) => readonly { readonly name: string; readonly gb: number }[];
   readonly resourcesOf: ResourcesOf;
 }
 
-/** The machines of one epoch, and which attempts may be on them. */
+/** The machines of one term, and which attempts may be on them. */
 export class Fleet {
   readonly machines = new Map<MachineId, Machine>();
-  /** Machines that are certainly gone, so that late heartbeats and stale lists do not bring them back. */
+  /** Machines that are certainly gone. Late heartbeats and stale lists must not add them again. */
   private readonly goneSince = new Map<MachineId, SteadyMs>();
-  /** Running attempts without a placement: they must have ended before their task is started again. */
+  /** Machines that run an attempt without a placement: it must end before its task is started again. */
   private readonly orphans = new Map<TaskKey, Set<MachineId>>();
 
   private maxUnnumberedNameLength = 0;
 
   constructor(private readonly deps: FleetDependencies) {}
 
-  /** The length of the longest machine name that doesn't end in a number; 0 if there is none. */
+  /** The length of the longest machine name that does not end in a number; 0 if there is none. */
   get longestUnnumberedNameLength(): number {
     return this.maxUnnumberedNameLength;
   }
@@ -59,9 +59,9 @@
   }
 
   /**
-   * A heartbeat or the cloud has shown a machine. Returns it, with its kind filled in.
+   * Adds or updates a machine that a heartbeat or the cloud reports, and returns it with its kind set.
    *
-   * @param address empty if it was not shown
+   * @param address empty if it was not reported
    */
   observe(id: MachineId, kind: MachineKind, address: string): Machine {
     const cacheGb = this.deps.cacheSizeOf(kind.machineType);
@@ -79,7 +79,7 @@
   private getOrCreate(id: MachineId, kind: MachineKind): Machine {
     const known = this.machines.get(id);
     if (known) return known;
-    // An earlier leader's authority, and so its last reply to the worker, ended before this term began.
+    // An earlier leader's authority, and so its last response to the worker, ended before this term began.
     const leaseExpiresAt = workerLeaseEnd(this.deps.startedAt, this.deps.lease);
     const machine = new Machine(id, kind, 0, leaseExpiresAt);
     this.machines.set(id, machine);
@@ -88,12 +88,12 @@
     return machine;
   }
 
-  /** A record places a task on a machine, which need not have been observed yet. */
+  /** Assigns a task that a record places on a machine. The machine need not have been observed yet. */
   assign(id: MachineId, key: TaskKey, task: AssignedTask): void {
     this.getOrCreate(id, UNKNOWN_KIND).assign(key, task);
   }
 
-  /** The attempt is not on the machine any more. A later attempt of the task there stays. */
+  /** Removes an attempt that is no longer on the machine. A later attempt of the task there stays. */
   release(id: MachineId, key: TaskKey, attempt: number): void {
     const machine = this.machines.get(id);
     if (machine?.assignments.get(key)?.attempt === attempt) machine.unassign(key);
@@ -103,20 +103,20 @@
     return machine.load(this.deps.resourcesOf);
   }
 
-  /** The machine is certainly gone. */
+  /** Removes a machine that is certainly gone. */
   remove(machine: Machine, now: SteadyMs): void {
     this.machines.delete(machine.id);
     this.goneSince.set(machine.id, now);
     machine.expireLease();
   }
 
-  /** Drops the machines that have been gone for long. */
+  /** Forgets machines that have been gone for longer than the retention time. */
   pruneGoneMachines(now: SteadyMs): void {
     for (const [id, at] of this.goneSince)
       if (durationBetween(at, now) > GONE_MACHINE_RETENTION) this.goneSince.delete(id);
   }
 
-  // --- attempts that no placement accounts for --------------------------------------------------
+  // --- orphaned attempts ------------------------------------------------------------------------
 
   get orphanedTasks(): ReadonlyMap<TaskKey, ReadonlySet<MachineId>> {
     return this.orphans;
@@ -126,7 +126,7 @@
     return this.orphans.has(key);
   }
 
-  /** A machine runs an attempt of the task that no placement accounts for. */
+  /** Records that a machine runs an attempt of the task that no placement accounts for. */
   recordOrphan(key: TaskKey, machine: MachineId): void {
     const machines = this.orphans.get(key) ?? new Set<MachineId>();
     machines.add(machine);
@@ -134,9 +134,9 @@
   }
 
   /**
-   * Drops the orphans that a machine does not run any more.
+   * Removes the orphaned attempts that a machine no longer runs.
    *
-   * @param status its newest status; undefined if its session is over, and with it all its tasks
+   * @param status its newest status; undefined if its session, and with it every task, has ended
    */
   removeEndedOrphans(machine: Machine, status: WorkerStatus | undefined): void {
     for (const [key, machines] of this.orphans) {
@@ -147,7 +147,7 @@
   }
 }
 
-/** Whether a status shows an attempt of the task that runs and is not the one assigned to the machine. */
+/** Whether a status shows a running attempt of the task other than the one assigned to the machine. */
 function isRunningOrphan(
   machine: Machine,
   key: TaskKey,
--- a/src/fleet/image-cache.ts
+++ b/src/fleet/image-cache.ts
@@ -1,18 +1,18 @@
-/** An estimate of which images a machine holds in its cache. */
+/** Estimates which images a machine holds in its cache. */
 
-/** The most recently used images that fit the cache together, least recently used first. */
+/** The most recently used images that fit the cache together, ordered from least to most recently used. */
 export class ImageCache {
   private readonly sizes = new Map<string, number>();
   private usedGb = 0;
 
   constructor(private capacityGb: number) {}
 
-  /** Sets the capacity. What exceeds it is dropped with the next use of an image. */
+  /** Sets the capacity. Images that exceed it are evicted on the next use of an image. */
   resize(capacityGb: number): void {
     this.capacityGb = capacityGb;
   }
 
-  /** Notes the use of an image. One that is larger than the cache is kept, alone. */
+  /** Records the use of an image. An image larger than the whole cache is kept as the only one. */
   recordUse(image: string, sizeGb: number): void {
     const knownSize = this.sizes.get(image);
     if (knownSize !== undefined) {
--- a/src/fleet/machine-load.ts
+++ b/src/fleet/machine-load.ts
@@ -1,4 +1,4 @@
-/** The resources of a machine that are in use, or may be. */
+/** The resources of a machine that are, or may be, in use. */
 import { parseTaskKey, taskKey, type JobId, type SteadyMs, type TaskKey } from '../units/index.js';
 import { TaskState, type TaskStatus } from '../wire/index.js';
 import type { ImageCache } from './image-cache.js';
@@ -15,16 +15,16 @@
   readonly placedAt: SteadyMs;
 }
 
-/** What is in use on a machine, or may be. */
+/** What is, or may be, in use on a machine. */
 export interface MachineLoad {
   readonly used: Resources;
-  /** A task of unknown size runs on the machine, so its free resources are unknown. */
+  /** Whether a task of unknown size runs on the machine, so that its free resources are unknown. */
   readonly hasUnknownTasks: boolean;
-  /** Images that are being fetched, or will be. */
+  /** Images that the machine fetches now or will fetch. */
   readonly imagesBeingFetched: ReadonlySet<string>;
 }
 
-/** What the load of a machine is computed from; a `Machine` is one. */
+/** What the load of a machine is computed from. `Machine` satisfies this interface. */
 export interface LoadSource {
   readonly assignments: ReadonlyMap<TaskKey, AssignedTask>;
   readonly images: ImageCache;
@@ -46,7 +46,7 @@
   }
 }
 
-/** The sum of all tasks that records place on a machine and all others that its status shows. */
+/** Sums up the tasks that records place on a machine and any other tasks that its status shows. */
 export function computeLoad(machine: LoadSource, resourcesOf: ResourcesOf): MachineLoad {
   const sum = new ResourceSum();
   const imagesBeingFetched = new Set<string>();
@@ -70,7 +70,7 @@
 const isAssigned = (machine: LoadSource, key: TaskKey, status: TaskStatus): boolean =>
   machine.assignments.get(key)?.attempt === status.attempt;
 
-/** Whether the image of an assigned task is not on the machine yet, as far as is known. */
+/** Whether the image of an assigned task is, as far as the leader knows, not on the machine yet. */
 function isFetchingImage(machine: LoadSource, key: TaskKey, assigned: AssignedTask): boolean {
   if (machine.images.has(assigned.image)) return false;
   const status = machine.status?.byAttempt.get(attemptKey(key, assigned.attempt));
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -18,58 +18,58 @@
 import { DirectStarts } from './direct-starts.js';
 import { isAfter, type WorkerStatus } from './worker-status.js';
 
-/** After this many ignored replies in a row, a machine counts as not receiving. */
+/** After this many ignored responses in a row, the leader treats a machine as not receiving. */
 const MAX_IGNORED_RESPONSES = 2;
 
-/** The type of a machine, and where and how it is rented. */
+/** The type, zone and price model of a machine. */
 export interface MachineKind {
-  /** Empty if not known yet. */
+  /** Empty while unknown. */
   readonly machineType: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** What records place on a machine, what its newest status shows, and what may still be delivered to it. */
+/** The tasks that records place on a machine, its newest status, and commands that may still be delivered to it. */
 export class Machine {
   address: Endpoint | undefined;
-  /** The node that relays its heartbeats; undefined if they come directly to the leader. */
+  /** The controller that relays its heartbeats; undefined if the worker sends them to the leader itself. */
   relayControllerId: NodeId | undefined;
   /** The newest status; undefined before the first one and after the worker lease has expired. */
   status: WorkerStatus | undefined;
-  /** Earlier sessions are certainly over, and their messages are stale. */
+  /** The lowest session that may be current. Earlier ones have certainly ended, so their messages are stale. */
   minSession = 0;
-  /** A status has arrived under this epoch, and the worker lease has not expired since. */
+  /** Whether a status has arrived in this term and the worker lease has not expired since. */
   isUp = false;
   /** When the newest status arrived. */
   lastStatusAt: SteadyMs | undefined;
-  /** When the worker lease has certainly expired unless another heartbeat is answered. */
+  /** When the worker lease has certainly expired unless the leader accepts another heartbeat. */
   leaseExpiresAt: SteadyMs;
-  /** When the cloud is going to reclaim it, as announced by its newest status. */
+  /** When the cloud will reclaim the machine, according to its newest status. */
   reclaimAt: SteadyMs | undefined;
-  /** To be given back or given up: gets no new tasks. */
+  /** Whether the machine is to be deleted or given up as lost: it gets no new tasks. */
   isDecommissioning = false;
-  /** A delete was sent and may be executed at any time. */
+  /** Whether a delete request was sent, which the cloud may execute at any time. */
   isDeleteSent = false;
   rentedAt: SteadyMs | undefined;
-  /** When the cloud's list first showed it. */
+  /** When the cloud's machine list first contained it. */
   listedAt: SteadyMs | undefined;
-  /** How many lists in a row have lacked it. */
+  /** How many machine lists in a row have not contained it. */
   missedListCount = 0;
   bootingSince: SteadyMs | undefined;
-  /** When it was first listed as running, while no status of it had arrived. */
+  /** When the cloud first listed it as running before any status of it had arrived. */
   listedRunningSince: SteadyMs | undefined;
   idleSince: SteadyMs | undefined;
-  /** After a refused or failed start it gets no tasks until then. */
+  /** The machine gets no tasks until then, after a refused start or a failed task. */
   quarantinedUntil = 0 as SteadyMs;
   taskFailureCount = 0;
-  /** After an unanswered push, commands go only with replies to heartbeats until then. */
+  /** After a direct command without a response, only heartbeat responses carry commands until then. */
   commandsPausedUntil = 0 as SteadyMs;
   hasCommandInFlight = false;
-  /** Heartbeats in a row that show no effect of the replies to earlier ones. */
+  /** Number of heartbeats in a row that show no effect of the responses to earlier ones. */
   private ignoredResponses = 0;
-  /** Since when its heartbeats arrive but nothing that is sent to it does; undefined if that is not so. */
+  /** Since when its heartbeats arrive but nothing sent to it does; undefined while it receives. */
   notReceivingSince: SteadyMs | undefined;
-  /** When a status arrived that was older than the newest one. */
+  /** When a status last arrived that was older than the newest one. */
   staleStatusAt: SteadyMs | undefined;
   /** When it was last probed. */
   probedAt: SteadyMs | undefined;
@@ -77,12 +77,12 @@
   private cachedLoad: MachineLoad | undefined;
   readonly directStarts = new DirectStarts();
   readonly images: ImageCache;
-  /** The images that an earlier leader knew of have been added. */
+  /** Whether the images that an earlier leader expected in the cache have been added. */
   hasImageHints = false;
 
   constructor(
     readonly id: MachineId,
-    /** Its `machineType` is empty while only a record names the machine. */
+    /** Its `machineType` is empty while the machine is known only from a record. */
     public kind: MachineKind,
     cacheGb: number,
     leaseExpiresAt: SteadyMs,
@@ -91,7 +91,7 @@
     this.images = new ImageCache(cacheGb);
   }
 
-  /** What records place here. Each task may run here until its absence is proven. */
+  /** The tasks that records place here. Each of them may run here until its absence is proven. */
   get assignments(): ReadonlyMap<TaskKey, AssignedTask> {
     return this.assignedTasks;
   }
@@ -111,7 +111,7 @@
     this.images.recordUse(image, sizeGb);
   }
 
-  /** The load, computed again only after a change: it is read far more often than it changes. */
+  /** The load. It is cached until it changes, since it is read far more often than it changes. */
   load(resourcesOf: ResourcesOf): MachineLoad {
     this.cachedLoad ??= computeLoad(this, resourcesOf);
     return this.cachedLoad;
@@ -121,13 +121,13 @@
     return status.session >= this.minSession && (!this.status || isAfter(status, this.status));
   }
 
-  /** Takes a status as the newest one; false if it is stale, and nothing but `staleStatusAt` changes. */
+  /** Stores a status as the newest one. Returns false if it is stale; then only `staleStatusAt` changes. */
   recordStatus(status: WorkerStatus, now: SteadyMs): boolean {
     if (!this.isNewer(status)) {
       this.staleStatusAt = now;
       return false;
     }
-    // A new session has dropped the tasks of the old one and refuses commands that were sent to it.
+    // A new session has dropped the tasks of the old one and refuses commands addressed to the old one.
     if (this.status && status.session > this.status.session) this.directStarts.clear();
     this.status = status;
     this.cachedLoad = undefined;
@@ -138,7 +138,7 @@
     return true;
   }
 
-  /** Only the newest status counts: a late copy may carry a notice that does not apply any more. */
+  /** Called only with the newest status, since a late copy may carry an outdated reclaim notice. */
   private recordReclaimNotice({ reclaimNotice }: WorkerStatus, now: SteadyMs): void {
     if (reclaimNotice === undefined) {
       this.reclaimAt = undefined;
@@ -149,10 +149,10 @@
   }
 
   /**
-   * The machine was restarted too quickly to be missed and numbers its sessions or messages from the start
-   * again, so that all its messages would count as stale.
+   * Resets the session of a machine that restarted before the leader noticed its absence. Its session or message
+   * numbers start again from the beginning, so all its messages would otherwise count as stale.
    *
-   * @param status the reply to a request of this leader, which proves that it is new
+   * @param status from the response to a request of this leader, which proves that it is new
    */
   onRestart(status: WorkerStatus, now: SteadyMs): void {
     this.status = undefined;
@@ -160,24 +160,27 @@
     this.recordStatus(status, now);
   }
 
-  /** A heartbeat shows no effect of the reply to an earlier one. A single reply may be lost, not several in a row. */
+  /**
+   * Counts a heartbeat that shows no effect of the response to an earlier one. A single response may get lost, but
+   * not several in a row.
+   */
   recordIgnoredResponse(now: SteadyMs): void {
     this.ignoredResponses++;
     if (this.ignoredResponses >= MAX_IGNORED_RESPONSES) this.notReceivingSince ??= now;
   }
 
-  /** Something that was sent to the machine has arrived. */
+  /** Records that something sent to the machine has arrived. */
   recordDelivery(): void {
     this.ignoredResponses = 0;
     this.notReceivingSince = undefined;
   }
 
-  /** A heartbeat was accepted that renews the worker lease until then at most. */
+  /** Extends the worker lease after an accepted heartbeat, which renews it until `expiresAt` at most. */
   extendLease(expiresAt: SteadyMs): void {
     if (expiresAt > this.leaseExpiresAt) this.leaseExpiresAt = expiresAt;
   }
 
-  /** The worker lease has certainly expired: the session is over, and so are all its tasks. */
+  /** Ends the session, and with it all its tasks, once the worker lease has certainly expired. */
   expireLease(): void {
     if (this.status) this.minSession = this.status.session + 1;
     this.status = undefined;
@@ -186,17 +189,17 @@
     this.directStarts.clear();
   }
 
-  /** Only statuses from before the epoch are known. They may be late copies from a machine that is long gone. */
+  /** Whether the newest status is from an earlier epoch. It may be a late copy from a machine that is long gone. */
   isUnconfirmed(epoch: Epoch): boolean {
     return this.status !== undefined && this.status.fencingToken < epoch;
   }
 
-  /** Unconfirmed, and its worker did not answer a pushed command lately. */
+  /** Whether the machine is unconfirmed and its worker recently did not respond to a direct command. */
   isUnconfirmedWithFailedCommand(epoch: Epoch, now: SteadyMs): boolean {
     return this.commandsPausedUntil > now && this.isUnconfirmed(epoch);
   }
 
-  /** Gets no new tasks, and those that are proven not to be there are placed elsewhere. */
+  /** Whether the machine gets no new tasks. Tasks that are proven not to be on it are placed elsewhere. */
   get isDraining(): boolean {
     return (
       this.isDecommissioning || this.reclaimAt !== undefined || this.notReceivingSince !== undefined
--- a/src/fleet/resources.ts
+++ b/src/fleet/resources.ts
@@ -1,4 +1,4 @@
-/** Amounts of resources, of tasks and of machines. */
+/** Amounts of resources that tasks need and machines have. */
 import type { MachineType, JobSpec } from '../wire/index.js';
 
 /** What a task needs, or what a machine has. */
@@ -8,7 +8,7 @@
   readonly memoryGb: number;
 }
 
-/** Tolerance of comparisons: amounts are decimal numbers, and sums of them are not exact. */
+/** Tolerance of comparisons: amounts are decimal fractions, and floating-point sums of them are not exact. */
 export const RESOURCE_TOLERANCE = 1e-6;
 
 /** Whether the needed resources are within the free ones. */
@@ -24,14 +24,14 @@
   memoryGb: spec.memoryGb,
 });
 
-/** What a machine of a type has in all. */
+/** The total resources of a machine of a type. */
 export const machineResources = (machineType: MachineType): Resources => ({
   cpus: machineType.cpus,
   gpus: machineType.gpus,
   memoryGb: machineType.memoryGb,
 });
 
-/** What is left of `total`; negative where more than that is used. */
+/** What is left of `total`; negative where `used` exceeds it. */
 export const subtractResources = (total: Resources, used: Resources): Resources => ({
   cpus: total.cpus - used.cpus,
   gpus: total.gpus - used.gpus,
--- a/src/fleet/worker-lease.ts
+++ b/src/fleet/worker-lease.ts
@@ -1,7 +1,7 @@
-/** When a worker's lease has certainly expired, as computed on the leader's clock. */
+/** Computes on the leader's clock when a worker's lease has certainly expired. */
 import { later, ms, upperBoundUnderDrift, type DurationMs, type SteadyMs } from '../units/index.js';
 
-/** Added to the lease beyond clock drift, for imprecise timers of the worker. */
+/** Added to the lease, beyond clock drift, for imprecise timers of the worker. */
 const WORKER_TIMER_MARGIN = ms(500);
 
 /**
--- a/src/fleet/worker-status.ts
+++ b/src/fleet/worker-status.ts
@@ -1,4 +1,4 @@
-/** The status that a worker reports of its machine, and the order of such messages. */
+/** The status of a machine as its worker sends it, and the order of a worker's messages. */
 import { ms, type DurationMs } from '../units/index.js';
 import type { Heartbeat, TaskStatus } from '../wire/index.js';
 
@@ -8,22 +8,22 @@
   readonly sequence: number;
 }
 
-/** The status of a machine, from a heartbeat or from a worker's reply to commands. */
+/** The status of a machine, from a heartbeat or from a worker's response to direct commands. */
 export interface WorkerStatus extends MessageOrder {
   /** The highest fencing token that the worker has seen. */
   readonly fencingToken: number;
-  /** How long until the cloud reclaims the machine; undefined if it has announced nothing. */
+  /** How long until the cloud reclaims the machine; undefined without a reclaim notice. */
   readonly reclaimNotice: DurationMs | undefined;
   readonly tasks: readonly TaskStatus[];
-  /** The same tasks by `attemptKey`, so that one is found without a scan. */
+  /** The same tasks by `attemptKey`, for lookups without a scan. */
   readonly byAttempt: ReadonlyMap<string, TaskStatus>;
-  /** The number by which a follower refers to this status; undefined if it came another way. */
+  /** The number by which a follower refers to this status; undefined if no follower relayed it. */
   readonly baseline?: number;
 }
 
 /**
- * How a status reached the leader. The reply to pushed commands may overtake the reply to a heartbeat, so
- * only a heartbeat proves that the replies to earlier heartbeats have been processed or lost.
+ * How a status reached the leader. The response to direct commands may overtake the response to a heartbeat, so
+ * only a heartbeat proves that the responses to earlier heartbeats have been processed or lost.
  */
 export type StatusSource = 'heartbeat' | 'commandResponse';
 
@@ -50,7 +50,7 @@
   ),
 });
 
-/** Whether one message of a worker was made after another one. */
+/** Whether a worker created `message` after `other`. */
 export function isAfter(message: MessageOrder, other: MessageOrder): boolean {
   return (
     message.session > other.session ||
--- a/src/placer/cluster-capacity.ts
+++ b/src/placer/cluster-capacity.ts
@@ -1,42 +1,42 @@
-/** The free capacity of the machines during one placing round, and the order in which a job prefers machines. */
+/** Tracks the free capacity of machines during one placing round and defines which machines a job prefers. */
 import { RESOURCE_TOLERANCE, fits, type Resources } from '../fleet/resources.js';
 import type { CandidateMachine, ImageReserve, TaskRequest } from './types.js';
 
-/** A machine with the capacity that the placements of this round have left free. */
+/** A machine and the capacity that is still free after the placements of this round. */
 export interface MachineSlot {
   readonly machine: CandidateMachine;
   readonly group: MachineGroup;
-  /** Free processors, GPUs and memory: a slot is itself the `Resources` that a task must fit into. */
+  /** Free CPUs, GPUs and memory: a slot is itself the `Resources` that a task must fit into. */
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Images being fetched. This is the machine's own set until a placement of this round adds an image. */
+  /** Images being fetched. The set is the machine's own until a placement of this round adds an image. */
   pendingImages: ReadonlySet<string>;
   /**
-   * Whether the machine is kept for a large task or a gang that is ahead in the queue. A job with `mustStart` may
-   * ignore a soft reservation; a hard one, made for a starved job, holds against all.
+   * Whether the machine is reserved for a large task or a gang that is ahead in the queue. A job with `mustStart`
+   * may ignore a soft reservation. No job may ignore a hard one, which is made for a starved job.
    */
   reservation: 'none' | 'soft' | 'hard';
 }
 
-/** Machines of the same type, zone, price model and size: a job may use either all of them or none. */
+/** Machines of the same type, zone, price model and size: a job may use all of them or none. */
 export interface MachineGroup {
   readonly machineType: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly capacity: Resources;
   readonly slots: MachineSlot[];
-  /** The slots that can hold the smallest task of the round, as the round began: only they are searched. */
+  /** The slots that could hold the smallest task of the round when it began. Only these are searched. */
   readonly openSlots: MachineSlot[];
   /** How many of the slots are reserved. */
   reservedCount: number;
-  /** A constrained job may use the group, so other jobs take it last. */
+  /** Whether a constrained job may use the group, so that other jobs use it last. */
   isContested: boolean;
 }
 
-/** Prices of one price model vary by up to a third each way; only a larger difference is one of price model. */
+/** Prices within a price model vary by up to a third each way; a larger ratio means different price models. */
 const MIN_PRICE_MODEL_RATIO = 1.8;
-/** A job that may use less than this share of the cluster's processors counts as constrained. */
+/** A job that may use less than this share of the cluster's CPUs counts as constrained. */
 const CONSTRAINED_CPU_SHARE = 0.75;
 
 /** Whether a job accepts the type, zone and price model of a machine. */
@@ -52,8 +52,8 @@
 }
 
 /**
- * How long until the image is on the machine, as a score: 0 if it is there, 1 if it is being fetched, else rising by
- * one with every two seconds, so that machines within two seconds of each other compare as equal.
+ * Scores how long it takes until the image is on the machine: 0 if it is there, 1 if it is being fetched, and
+ * otherwise one more for every two seconds, so that machines within two seconds of each other compare as equal.
  */
 export function imageDelay(request: TaskRequest, slot: MachineSlot): number {
   if (slot.machine.hasImage(request.image)) return 0;
@@ -63,15 +63,15 @@
   return 1 + Math.ceil(fetchSeconds / 2);
 }
 
-/** The free capacity of all machines, as the placements of this round change it. */
+/** The free capacity of all machines, updated by the placements of this round. */
 export class ClusterCapacity {
   readonly groups: readonly MachineGroup[];
   private readonly totalCpus: number;
   private readonly smallestMachineCpus: number;
-  /** Free processors that count towards the reserve of each image. */
+  /** Free CPUs that count towards the reserve of each image. */
   private readonly freeByImage = new Map<string, number>();
 
-  /** `minTaskCpus`: no task of this round takes fewer processors. */
+  /** `minTaskCpus`: no task of this round needs fewer CPUs. */
   constructor(
     machines: readonly CandidateMachine[],
     private readonly reserve: ImageReserve,
@@ -89,21 +89,21 @@
     for (const image of reserve.keys()) this.freeByImage.set(image, this.freeReserveCpus(image));
   }
 
-  /** The groups that a job may use and whose machines, when empty, can hold a task of it. */
+  /** The groups that a job may use and whose machines, when empty, can hold one of its tasks. */
   eligibleGroups(request: TaskRequest): MachineGroup[] {
     return this.groups.filter(
       (group) => isAllowed(request, group) && fits(request.resources, group.capacity),
     );
   }
 
-  /** Whether these groups are so small a part of the cluster that a job limited to them counts as constrained. */
+  /** Whether a job limited to these groups counts as constrained, because they are a small part of the cluster. */
   isConstrained(eligible: readonly MachineGroup[]): boolean {
     let cpus = 0;
     for (const group of eligible) cpus += group.slots.length * group.capacity.cpus;
     return cpus < this.totalCpus * CONSTRAINED_CPU_SHARE;
   }
 
-  /** Free processors, before any placement, of the machines that count towards the reserve of an image. */
+  /** Free CPUs, before any placement, of the machines that count towards the reserve of an image. */
   private freeReserveCpus(image: string): number {
     let free = 0;
     for (const group of this.groups) {
@@ -113,12 +113,12 @@
     return free;
   }
 
-  /** Only the smallest machines keep a reserve: large tasks, which need the larger ones, would pay for it. */
+  /** Only the smallest machines count, since a reserve on larger ones would delay the large tasks that need them. */
   private countsTowardsReserve(slot: MachineSlot, image: string): boolean {
     return slot.machine.capacity.cpus === this.smallestMachineCpus && slot.machine.hasImage(image);
   }
 
-  /** Whether enough stays free for the reserve of every other image if a task is placed there. */
+  /** Whether the reserve of every other image stays free if a task of the job is placed on the slot. */
   leavesReserve(slot: MachineSlot, request: TaskRequest): boolean {
     const { cpus } = request.resources;
     for (const [image, reserved] of this.reserve) {
@@ -132,7 +132,7 @@
     return true;
   }
 
-  /** Allocates capacity for so many tasks of a job; a negative number releases it. */
+  /** Allocates capacity for `tasks` tasks of a job; a negative number releases it. */
   allocate(slot: MachineSlot, request: TaskRequest, tasks: number): void {
     const { cpus, gpus, memoryGb } = request.resources;
     slot.cpus -= cpus * tasks;
@@ -145,7 +145,7 @@
   }
 }
 
-/** Groups and slots are in the order of the machines. */
+/** Groups the machines. Groups and slots keep the order of the machines. */
 function groupMachines(machines: readonly CandidateMachine[], minTaskCpus: number): MachineGroup[] {
   const groups = new Map<string, MachineGroup>();
   for (const machine of machines) {
@@ -182,9 +182,9 @@
 }
 
 /**
- * Order of machines on which a job could start equally soon: those of the cheaper price model, so that expensive
- * ones become idle and can be released; the smaller type, so that large machines stay whole for large tasks; then
- * those with most free processors. Machine ids break the remaining ties.
+ * Orders machines on which a job could start equally soon. The cheaper price model comes first, so that expensive
+ * machines become idle and can be deleted; then the smaller type, so that large machines stay empty for large
+ * tasks; then the machine with the most free CPUs. Machine ids break the remaining ties.
  */
 export function compareSlots(a: MachineSlot, b: MachineSlot): number {
   const priceRatio = a.machine.pricePerCpu / b.machine.pricePerCpu;
@@ -195,7 +195,7 @@
   return compareByFreeCpus(a, b);
 }
 
-/** Most free processors first; machine ids break ties. */
+/** Orders machines by free CPUs, most first; machine ids break ties. */
 export function compareByFreeCpus(a: MachineSlot, b: MachineSlot): number {
   if (a.cpus !== b.cpus) return b.cpus - a.cpus;
   return a.machine.id < b.machine.id ? -1 : 1;
--- a/src/placer/job-placement.ts
+++ b/src/placer/job-placement.ts
@@ -1,4 +1,4 @@
-/** Places the waiting tasks of one job: as many as there is capacity for or, of a gang, all or none. */
+/** Places the waiting tasks of one job: as many as capacity allows, or all or none of a gang. */
 import { RESOURCE_TOLERANCE, fits, type Resources } from '../fleet/resources.js';
 import {
   compareSlots,
@@ -9,31 +9,31 @@
 } from './cluster-capacity.js';
 import type { Assignment, RemainingQuota, TaskRequest } from './types.js';
 
-/** Unconstrained jobs treat a contested machine as if its image came later by this score, so they take it last. */
+/** Added to the score of a contested machine for unconstrained jobs, so that they use it last. */
 const CONTESTED_PENALTY = 1000;
 
-/** A job's waiting tasks with the machines that they may use. */
+/** A job's waiting tasks and the machines that they may use. */
 export interface EligibleRequest {
   readonly request: TaskRequest;
   readonly groups: readonly MachineGroup[];
-  /** The job may use only a small part of the cluster (`ClusterCapacity.isConstrained`). */
+  /** Whether the job may use only a small part of the cluster (`ClusterCapacity.isConstrained`). */
   readonly isConstrained: boolean;
 }
 
 interface Candidate {
   readonly slot: MachineSlot;
-  /** Lower is better: mainly how long until the image is there (`imageDelay`). */
+  /** Lower is better. Mainly the time until the image is on the machine (`imageDelay`). */
   readonly score: number;
 }
 
-/** What all placements of one job work on. */
+/** What all placement attempts for one job share. */
 interface PlacementContext {
   readonly request: TaskRequest;
   readonly capacity: ClusterCapacity;
   readonly quota: RemainingQuota | undefined;
 }
 
-/** Whether a team may start so many more tasks of a size; `quota` undefined: it has no limit. */
+/** Whether a team may start that many more tasks. An undefined `quota` means no limit. */
 export const isWithinQuota = (
   quota: RemainingQuota | undefined,
   taskResources: Resources,
@@ -59,7 +59,7 @@
   return candidates.sort((a, b) => a.score - b.score || compareSlots(a.slot, b.slot));
 }
 
-/** Placements of one job that can still be undone. */
+/** Placements of tasks of one job, which can still be undone. */
 class TentativePlacement {
   private readonly placed: {
     readonly index: number;
@@ -88,10 +88,10 @@
     return this.placed.length;
   }
 
-  /** Places one more task; false if no machine can take it or the quota of the team is used up. */
+  /** Places one more task. Returns false if no machine can take it or the team's quota is exhausted. */
   add(index: number): boolean {
     if (!isWithinQuota(this.quota, this.request.resources)) return false;
-    // The best machine stays the best until it is full, so the search never goes back.
+    // The best machine stays the best until it is full, so earlier candidates need not be searched again.
     for (; this.nextCandidate < this.candidates.length; this.nextCandidate++) {
       const candidate = this.candidates[this.nextCandidate];
       if (!candidate || !this.isAvailable(candidate.slot)) continue;
@@ -107,7 +107,7 @@
     if (!fits(request.resources, slot)) return false;
     if (request.singleZone && this.zone !== undefined && zone !== this.zone) return false;
     if ((this.placedByZone.get(zone) ?? 0) >= request.maxPerZone) return false;
-    // Reserves and reservations may delay a job, but not for so long that it never begins.
+    // Reserves and reservations may delay a job but must not starve it.
     if (request.mustStart && (request.isGang || this.placedCount === 0)) return true;
     return (
       slot.reservation === 'none' &&
@@ -132,7 +132,7 @@
     this.placed.push({ index, candidate, startsFetch });
   }
 
-  /** Releases all that was allocated; the placement is not used any more, but its `cost` stays. */
+  /** Releases everything that was allocated. Only `cost` stays valid after that. */
   undo(): void {
     const { request, quota } = this;
     for (const { candidate, startsFetch } of this.placed) {
@@ -148,7 +148,7 @@
     }
   }
 
-  /** The worst score, since the slowest fetch decides when a gang starts; the sum of all only breaks ties. */
+  /** The worst score, since the slowest fetch determines when a gang starts; the sum of all scores breaks ties. */
   get cost(): number {
     let worst = 0;
     let sum = 0;
@@ -168,7 +168,7 @@
   }
 }
 
-/** Places up to `maxTasks` tasks of an array, or all tasks of a gang whatever their number. */
+/** Places up to `maxTasks` tasks of an array, or all tasks of a gang regardless of `maxTasks`. */
 export function placeJob(
   eligible: EligibleRequest,
   capacity: ClusterCapacity,
@@ -187,7 +187,7 @@
   return placement.assignments();
 }
 
-/** All tasks or none: a part of a gang would only occupy capacity that others could use. */
+/** Places all tasks or none, since part of a gang would only occupy capacity that other jobs could use. */
 function placeGang(context: PlacementContext, candidates: readonly Candidate[]): Assignment[] {
   const { request, quota } = context;
   const indexes = [...request.waitingIndexes];
@@ -201,7 +201,7 @@
   return tryPlaceGang(context, candidates, indexes, zone)?.assignments() ?? [];
 }
 
-/** The zone in which the gang would start soonest; undefined if no zone can hold all of it. */
+/** Returns the zone in which the gang would start soonest; undefined if no zone can hold all of it. */
 function findSoonestZone(
   context: PlacementContext,
   candidates: readonly Candidate[],
@@ -217,7 +217,7 @@
   return best?.zone;
 }
 
-/** Places all tasks, in one zone if it is given; undefined, with nothing allocated, if that is not possible. */
+/** Places all tasks, in `zone` if it is given. Returns undefined, with nothing allocated, if not all can be placed. */
 function tryPlaceGang(
   context: PlacementContext,
   candidates: readonly Candidate[],
--- a/src/placer/placer.ts
+++ b/src/placer/placer.ts
@@ -1,7 +1,7 @@
 /**
- * Decides which machines the waiting tasks go to. Pure and deterministic: tasks that may be on a machine count
- * as being there, jobs are taken by rank and then in the order given, and each task goes to a machine that holds
- * its image, else to the one that will have it first, else to the one with most free processors.
+ * Decides which machines waiting tasks run on. The placer is pure and deterministic. Tasks that may be on a machine
+ * count as being there. Jobs are placed by rank and then in the given order. Each task goes to a machine that holds
+ * its image, otherwise to the one that will have it first, otherwise to the one with the most free CPUs.
  */
 import { ClusterCapacity } from './cluster-capacity.js';
 import { isWithinQuota, placeJob, type EligibleRequest } from './job-placement.js';
@@ -19,14 +19,14 @@
 } from './types.js';
 
 interface QueuedRequest extends EligibleRequest {
-  /** Position in the queue that the placer was given. */
+  /** Position in the queue that is passed to the placer. */
   readonly position: number;
 }
 
 /**
- * Runs one placing round. Each task is assigned once at most, and no assignment exceeds the free capacity of its
- * machine, the quota of its team or the constraints of its job. The values of `quotas` are reduced by what is
- * placed.
+ * Runs one placing round. Each task is assigned at most once. No assignment exceeds the free capacity of its machine
+ * or the quota of its team, or violates the constraints of its job. Placements are subtracted from the values of
+ * `quotas`.
  */
 export function placeTasks({
   requests,
@@ -48,7 +48,7 @@
     const placed = placeJob(queued, capacity, quota, maxAssignments - assignments.length);
     for (const assignment of placed) assignments.push(assignment);
     const unplacedTasks = request.taskCount - placed.length;
-    // No machine is reserved for tasks that the quota of their team would keep from starting.
+    // No machine is reserved for tasks that the quota of their team prevents from starting.
     const minTasks = request.isGang ? request.taskCount : 1;
     if (unplacedTasks > 0 && isWithinQuota(quota, request.resources, minTasks))
       reserveSlots(request, groups, unplacedTasks);
@@ -56,7 +56,7 @@
   return assignments;
 }
 
-/** By rank; among equals constrained jobs come first, since the others have more machines to choose from. */
+/** Sorts by rank. At equal rank, constrained jobs come first, since other jobs have more machines to choose from. */
 function sortQueue(requests: readonly TaskRequest[], capacity: ClusterCapacity): QueuedRequest[] {
   const queue = requests.map((request, position) => {
     const groups = capacity.eligibleGroups(request);
--- a/src/placer/reservations.ts
+++ b/src/placer/reservations.ts
@@ -1,6 +1,7 @@
 /**
- * Reserves machines, for one placing round, against the jobs that come later in the queue: for large tasks, since
- * small ones would fill each gap before it is wide enough, and for gangs, which need capacity for all tasks at once.
+ * Reserves machines for one placing round, so that jobs later in the queue can't use them. Large tasks need this
+ * because small ones would fill each gap before it is large enough, and gangs because they need capacity for all
+ * tasks at once.
  */
 import { RESOURCE_TOLERANCE, fits } from '../fleet/resources.js';
 import {
@@ -11,10 +12,10 @@
 } from './cluster-capacity.js';
 import type { TaskRequest } from './types.js';
 
-/** Reserved machines stand partly empty: of those that a job may use, no more than this share is reserved. */
+/** At most this share of the machines that a job may use is reserved, since reserved machines stay partly empty. */
 const MAX_RESERVED_MACHINE_SHARE = 0.5;
 
-/** Reserves machines for so many tasks of a job that could not be placed, within the groups that it may use. */
+/** Reserves machines for the unplaced tasks of a job, within the groups that it may use. */
 export function reserveSlots(
   request: TaskRequest,
   groups: readonly MachineGroup[],
@@ -39,7 +40,7 @@
   }
 }
 
-/** If a task takes at least half of a machine: those that are too full for it now, the least full first. */
+/** Machines that are too full for the task now, least full first, if a task takes at least half of a machine. */
 function slotsForLargeTask(request: TaskRequest, groups: readonly MachineGroup[]): MachineSlot[] {
   const slots: MachineSlot[] = [];
   for (const group of groups) {
@@ -50,13 +51,16 @@
   return slots.sort(compareByFreeCpus);
 }
 
-/** In the zone with most free processors, if all must be in one: machines that will have the image first. */
+/**
+ * Machines that could hold the whole gang, ordered by when they will have the image. If all tasks must be in one
+ * zone, the machines of the zone with the most free CPUs.
+ */
 function slotsForGang(request: TaskRequest, groups: readonly MachineGroup[]): MachineSlot[] {
   const unreserved = groups.flatMap((group) =>
     group.slots.filter((slot) => slot.reservation === 'none'),
   );
   const slotSets = request.singleZone ? [...slotsByZone(unreserved).values()] : [unreserved];
-  // Machines that could not hold the whole gang even if they were empty are of no use to it.
+  // Machines that could not hold the whole gang even when empty are not worth reserving.
   const largeEnough = slotSets.filter((slots) => taskCapacity(slots, request) >= request.taskCount);
   const [best = []] = largeEnough.sort((a, b) => freeCpus(b) - freeCpus(a));
   return best.sort(
@@ -74,7 +78,7 @@
   return zones;
 }
 
-/** How many tasks of the job the machine can hold, by processors, while it runs nothing else. */
+/** How many tasks of the job the machine can hold, by CPUs, while it runs nothing else. */
 const tasksPerEmptyMachine = ({ machine }: MachineSlot, { resources }: TaskRequest): number =>
   Math.floor((machine.capacity.cpus + RESOURCE_TOLERANCE) / resources.cpus);
 
--- a/src/placer/types.ts
+++ b/src/placer/types.ts
@@ -1,4 +1,4 @@
-/** Input and output of the placer: waiting tasks, machines with free capacity, quotas, assignments. */
+/** Input and output of the placer: waiting tasks, machines with free capacity, quotas and assignments. */
 import type { Resources } from '../fleet/resources.js';
 import type { JobId, MachineId } from '../units/index.js';
 
@@ -8,11 +8,11 @@
   readonly machineType: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** All that the machine has. */
+  /** The total resources of the machine. */
   readonly capacity: Resources;
-  /** What is left of it beside the tasks that are, or may be, on the machine. */
+  /** The resources not taken by tasks that are, or may be, on the machine. */
   readonly free: Resources;
-  /** Price of one processor for an hour. */
+  /** Price of one CPU for an hour. */
   readonly pricePerCpu: number;
   /** Rate at which the machine fetches images, in GB per second. */
   readonly fetchGbPerSecond: number;
@@ -22,55 +22,55 @@
   readonly imagesBeingFetched: ReadonlySet<string>;
 }
 
-/** The waiting tasks of one job, which are all alike, and the constraints on where they may run. */
+/** The waiting tasks of one job, which all need the same resources, and the constraints on where they may run. */
 export interface TaskRequest {
   readonly id: JobId;
   readonly team: string;
-  /** What one task takes. */
+  /** The resources of one task. */
   readonly resources: Resources;
   readonly image: string;
   readonly imageSizeGb: number;
-  /** The allowed machine types; null: any. */
+  /** The allowed machine types; null means any. */
   readonly machineTypes: readonly string[] | null;
-  /** The only allowed zone; null: any. */
+  /** The only allowed zone; null means any. */
   readonly requiredZone: string | null;
   readonly allowSpot: boolean;
-  /** All tasks of the job must be in the same zone. */
+  /** Whether all tasks of the job must be in the same zone. */
   readonly singleZone: boolean;
-  /** The zone that a job with `singleZone` already has tasks in; undefined if none is placed. */
+  /** The zone in which a job with `singleZone` already has tasks; undefined if none is placed. */
   readonly boundZone: string | undefined;
-  /** The most tasks of the job that may be in one zone. */
+  /** The maximum number of tasks of the job in one zone. */
   readonly maxPerZone: number;
-  /** Tasks of the job that may be on machines already, by zone. */
+  /** Number of tasks of the job that may already be on machines, by zone. */
   readonly placedByZone: ReadonlyMap<string, number>;
-  /** The waiting tasks that may be placed now, lowest index first. Iterated once at most. */
+  /** The waiting tasks that may be placed now, lowest index first. Iterated at most once. */
   readonly waitingIndexes: Iterable<number>;
-  /** All of the waiting tasks are placed at once, or none. */
+  /** Whether all waiting tasks must be placed at once. */
   readonly isGang: boolean;
-  /** How many tasks are to be placed in all. */
+  /** The number of tasks to place. */
   readonly taskCount: number;
-  /** Machines that the job must not use, since its tasks failed there. */
+  /** Machines that the job must not use because its tasks failed there. */
   readonly avoidedMachines: ReadonlySet<MachineId>;
-  /** Urgent tasks may use the capacity that is kept free by `ImageReserve`. */
+  /** Whether the tasks may use the capacity that `ImageReserve` keeps free. */
   readonly isUrgent: boolean;
-  /** The reserve is kept for jobs of this class: it may use that of its own image. */
+  /** Whether the reserve exists for jobs of this job class, so that the job may use the reserve of its own image. */
   readonly canUseReserve: boolean;
   /**
-   * The job has waited for long and none of its tasks is placed: its first task, or all of a gang, may use the
-   * reserve, and machines under a soft reservation.
+   * Whether the job has waited for long without any placed task. Its first task, or the whole gang, may then use
+   * the reserve and machines with a soft reservation.
    */
   readonly mustStart: boolean;
-  /** Priority in the queue, lowest first. Negative: the job is starved, and its reservations are hard. */
+  /** Priority in the queue, lowest first. Negative if the job is starved: its reservations are then hard. */
   readonly rank: number;
 }
 
 /**
- * Processors to keep free for anticipated urgent work, by image. They count on machines that hold the image:
- * less urgent tasks leave them free, so that an urgent one starts without waiting or fetching.
+ * CPUs to keep free for anticipated urgent work, by image. Only CPUs on machines that hold the image count. Less
+ * urgent tasks leave them free, so that an urgent task starts without waiting or fetching the image.
  */
 export type ImageReserve = ReadonlyMap<string, number>;
 
-/** What a team may still start under its quota. The placer subtracts what it places. */
+/** What a team may still start under its quota. The placer subtracts its placements. */
 export interface RemainingQuota {
   cpus: number;
   gpus: number;
@@ -81,14 +81,14 @@
   /** Jobs with waiting tasks, in queue order. */
   readonly requests: readonly TaskRequest[];
   readonly machines: readonly CandidateMachine[];
-  /** By team; a team without an entry has no limit. The values are reduced by what is placed. */
+  /** By team; a team without an entry has no limit. Placements are subtracted from the values. */
   readonly quotas: ReadonlyMap<string, RemainingQuota>;
-  /** Tasks of arrays are placed up to this number; a gang that is reached before it is placed whole. */
+  /** Placing stops at this number of tasks, but a gang whose turn comes before that is placed whole. */
   readonly maxAssignments: number;
   readonly reserve?: ImageReserve;
 }
 
-/** A decision of the placer: the task of that job and index goes to the machine. */
+/** A decision of the placer: the task of `job` with `index` goes to `machine`. */
 export interface Assignment {
   readonly job: JobId;
   readonly index: number;
