--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -1,7 +1,7 @@
 /**
- * The autoscaler of the leader: rents machines for waiting tasks, follows the cloud's list, and gives
- * machines back that are lost or idle. What to call is decided here; what a call means is decided in the
- * modules beside this one.
+ * The autoscaler of the leader: rents machines for waiting tasks, tracks the cloud's machine list, and deletes
+ * machines that are lost or idle. This module decides which request to send next; the other modules of this
+ * directory decide what the request contains and how its response is applied.
  */
 import type { Logger } from 'pino';
 import {
@@ -41,29 +41,29 @@
 import { currentSupply } from './supply.js';
 import type { Offer, PlannedScaleOut } from './types.js';
 
-/** What the autoscaler sees of the cluster, and reports to it. */
+/** The part of the cluster that the autoscaler reads and notifies. */
 export interface ClusterView {
-  /** The autoscaler adds the machines it rents, and marks those it gives back. */
+  /** The autoscaler adds the machines that it rents and marks those that it deletes. */
   readonly fleet: Fleet;
-  /** Since when heartbeats have been answered without a break. */
+  /** Since when this controller has responded to heartbeats without interruption. */
   respondingSince(): SteadyMs;
-  /** When each other node was last known not to answer this one. */
+  /** When each peer was last known not to respond to this controller. */
   readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
-  /** The jobs with waiting tasks, in the order in which they are to be served. */
+  /** The jobs with waiting tasks, in the order in which they get machines. */
   queue(): readonly QueueEntry[];
   /** The spec of an unfinished job. */
   specOf(job: JobId): JobSpec | undefined;
-  /** Tasks that may be submitted next and should find machines on standby. */
+  /** Tasks that may be submitted next and for which machines are kept on standby. */
   anticipatedWork(): readonly AnticipatedTasks[];
-  /** The cloud has confirmed that a machine is gone, with all tasks on it. */
+  /** Called when the cloud has confirmed that a machine is gone, with all tasks on it. */
   onMachineRemoved(machine: Machine, reason: string): void;
 }
 
-/** What an autoscaler works with. */
+/** What an autoscaler depends on. */
 export interface AutoscalerDependencies {
   readonly cloud: CloudClient;
   readonly catalog: MachineCatalog;
-  /** The epoch of the leader: prefixes the ids of scale-out requests, which are never used again. */
+  /** The epoch of the leader. It prefixes the ids of scale-out requests, so that no id is ever reused. */
   readonly epoch: Epoch;
   readonly settings: Settings;
   readonly operator: OperatorSettings;
@@ -72,27 +72,27 @@
   readonly log: Logger;
 }
 
-/** A call to the cloud with all that follows from its answer; false if it was not answered. */
+/** Sends a request to the cloud and applies its response; false if the cloud did not respond. */
 type CloudRequest = () => Promise<boolean>;
 
 const MACHINE_TYPES_INTERVAL = seconds(60);
 const MIN_LIST_INTERVAL = seconds(4);
 const PLAN_INTERVAL = seconds(1);
-/** The pause between a call that was answered and the next one. */
+/** The delay between a response and the next request. */
 const NEXT_REQUEST_DELAY = ms(1);
 const MIN_FAILURE_BACKOFF = ms(500);
 const MAX_FAILURE_BACKOFF = seconds(5);
-/** The usual boot of a machine whose type is unknown. */
+/** The expected boot time of a machine whose type is unknown. */
 const DEFAULT_BOOT_TIME = seconds(60);
-/** The most machines that are rented by one plan. */
+/** The maximum number of machines that one plan rents. */
 const MAX_MACHINES_PER_PLAN = 100;
 
 /**
- * Makes one cloud call at a time, the most useful one first. A scale-out request that was not answered is
- * repeated under the same id until it is, so that no machine is rented unnoticed.
+ * Sends one cloud request at a time, the most useful one first. A scale-out request without a response is
+ * retried under the same id until the cloud responds, so that no machine is rented unnoticed.
  */
 export class Autoscaler {
-  /** Called when the machine types were read and differ from those known by more than prices. */
+  /** Called when the machine types read from the cloud differ from the known ones by more than prices. */
   onMachineTypesChanged: (() => void) | undefined;
   private isClosed = false;
   private hasRequestInFlight = false;
@@ -114,20 +114,20 @@
     this.backoff = new Backoff(deps.clock, deps.random, MIN_FAILURE_BACKOFF, MAX_FAILURE_BACKOFF);
   }
 
-  /** Makes no further calls. One that is in flight is carried out, and its result is noted. */
+  /** Sends no further requests. A request in flight completes, and its response is still applied. */
   close(): void {
     this.isClosed = true;
     this.nextTick?.cancel();
   }
 
-  /** Makes the next call if one is due and the last one is over. */
+  /** Sends the next request if one is due and none is in flight. */
   tick(): void {
     if (this.isClosed || this.hasRequestInFlight) return;
     if (this.backoff.remaining() > 0 || !this.deps.cloud.canSendRequest()) return;
     const request = this.nextRequest(this.deps.clock.steady());
     if (!request) return;
     this.hasRequestInFlight = true;
-    detach(this.executeRequest(request), this.deps.log, 'cloud call');
+    detach(this.executeRequest(request), this.deps.log, 'cloud request');
   }
 
   private async executeRequest(sendRequest: CloudRequest): Promise<void> {
@@ -135,7 +135,10 @@
     try {
       hasResponse = await sendRequest();
     } catch (error) {
-      this.deps.log.error({ err: error }, 'cloud step failed');
+      this.deps.log.error(
+        { err: error },
+        'autoscaler failed during a cloud request; retrying after a backoff',
+      );
     }
     this.hasRequestInFlight = false;
     if (hasResponse) {
@@ -145,7 +148,7 @@
     } else this.backoff.noteFailure();
   }
 
-  /** The most useful call that is due. */
+  /** Returns the most useful request that is due. */
   private nextRequest(now: SteadyMs): CloudRequest | undefined {
     if (!this.deps.catalog.isKnown) return () => this.readMachineTypes(now);
     const lost = this.lostMachines(now);
@@ -183,7 +186,7 @@
 
   // --- scale-out ----------------------------------------------------------------------------------
 
-  /** The request that was not answered yet, or the next one of the plan. */
+  /** Returns the request that has no response yet, or the next one of the plan. */
   private nextScaleOutRequest(now: SteadyMs): ScaleOutRequest | undefined {
     if (this.pendingRequest) return this.pendingRequest;
     if (isDue(this.plannedAt, PLAN_INTERVAL, now)) {
@@ -212,7 +215,7 @@
       isFleetEmpty: fleet.machines.size === 0,
       now: clock.wall(),
     });
-    // Anticipated work comes last: jobs that wait already are served first.
+    // Anticipated work comes last, since jobs that already wait get machines first.
     const demands = [...queued, ...anticipatedDemand(this.view.anticipatedWork())];
     if (demands.length === 0) return [];
     const specOf = (job: JobId): JobSpec | undefined => this.view.specOf(job);
@@ -220,7 +223,7 @@
       ...currentSupply({ fleet, catalog, epoch, now, specOf }),
       demands,
       machineTypes,
-      refusedOffers: this.offerBackoff.pausedOffers(now),
+      refusedOffers: this.offerBackoff.offersInBackoff(now),
       maxMachines: MAX_MACHINES_PER_PLAN,
     });
   }
@@ -233,24 +236,30 @@
     const offer: Offer = { machineType, zone, spot };
     const context = { request: requestId, ...offer };
     if (result.kind === 'retry') {
-      log.info({ request: requestId, reason: result.reason }, 'rental not answered');
+      log.info(
+        { request: requestId, reason: result.reason },
+        'cloud did not complete a scale-out request; retrying it under the same id',
+      );
       return false;
     }
     this.pendingRequest = undefined;
     switch (result.kind) {
       case 'rented':
-        log.info({ ...context, count: result.machines.length }, 'rented');
+        log.info({ ...context, count: result.machines.length }, 'cloud rented machines');
         this.recordRented(result.machines, offer, now);
         if (result.machines.length < request.count) this.offerBackoff.recordRefusal(offer, now);
         else this.offerBackoff.recordGrant(offer);
         break;
       case 'noCapacity':
         this.offerBackoff.recordRefusal(offer, now);
-        log.info(context, 'no capacity');
+        log.info(context, 'cloud has no capacity for this offer; trying other offers meanwhile');
         break;
       case 'malformed':
         this.offerBackoff.recordRefusal(offer, now);
-        log.error(context, 'rental refused as malformed');
+        log.error(
+          context,
+          'cloud refused a scale-out request as malformed; trying other offers meanwhile',
+        );
         break;
     }
     return true;
@@ -259,7 +268,7 @@
   private recordRented(machines: readonly MachineId[], offer: Offer, now: SteadyMs): void {
     const { fleet } = this.view;
     for (const id of machines) {
-      // A late answer may name machines that have come and gone since.
+      // A late response may name machines that have already gone again.
       if (fleet.isGone(id)) continue;
       const machine = fleet.observe(id, offer, '');
       machine.rentedAt ??= now;
@@ -297,7 +306,7 @@
   private async deleteMachines(machines: readonly Machine[]): Promise<boolean> {
     for (const machine of machines) {
       machine.isDecommissioning = true;
-      // From here on it may go at any time, however late the request is carried out.
+      // From here on the machine may be deleted at any time, since the request may be executed late.
       machine.isDeleteSent = true;
     }
     const isConfirmed = await this.deps.cloud.deleteMachines(machines.map(({ id }) => id));
@@ -307,7 +316,7 @@
   }
 }
 
-/** Whether something last done at a time, if ever, is due again. */
+/** Whether something that was last done at `last`, if ever, is due again. */
 const isDue = (last: SteadyMs | undefined, interval: number, now: SteadyMs): boolean =>
   last === undefined || durationBetween(last, now) >= interval;
 
--- a/src/capacity/bin-packing.ts
+++ b/src/capacity/bin-packing.ts
@@ -1,8 +1,8 @@
-/** Bins for the scale-out planner: machines, existing or planned, into which tasks are packed. */
+/** Bins for the scale-out planner: existing or planned machines into which tasks are packed. */
 import { RESOURCE_TOLERANCE, type Resources } from '../fleet/resources.js';
 import type { Offer } from './types.js';
 
-/** A machine with the resources that are left on it. */
+/** A machine and the resources that are left on it. */
 export interface Bin {
   readonly offer: Offer;
   cpus: number;
@@ -10,7 +10,7 @@
   memoryGb: number;
 }
 
-/** A bin with that much free. */
+/** Creates a bin with the given free resources. */
 export const createBin = (offer: Offer, free: Resources): Bin => ({
   offer,
   cpus: free.cpus,
@@ -18,7 +18,7 @@
   memoryGb: free.memoryGb,
 });
 
-/** How many tasks of a size fit into free resources. */
+/** How many tasks of the given size fit into the free resources. */
 export const slotCount = (free: Resources, task: Resources): number =>
   Math.floor(
     Math.min(
@@ -28,7 +28,7 @@
     ) + RESOURCE_TOLERANCE,
   );
 
-/** Packs at most `maxTasks` tasks of a size into a bin; returns how many were packed. */
+/** Packs at most `maxTasks` tasks of the given size into a bin; returns how many were packed. */
 export function packTasks(bin: Bin, task: Resources, maxTasks: number): number {
   if (bin.cpus < task.cpus - RESOURCE_TOLERANCE) return 0;
   const count = Math.min(maxTasks, slotCount(bin, task));
--- a/src/capacity/cheapest-offer.ts
+++ b/src/capacity/cheapest-offer.ts
@@ -1,4 +1,4 @@
-/** The choice of the offer from which a machine is rented for a task: the one of the least cost. */
+/** Chooses the offer from which to rent a machine for a task: the one with the lowest cost. */
 import { fits, machineResources } from '../fleet/resources.js';
 import { isAllowed } from '../placer/placer.js';
 import { seconds } from '../units/index.js';
@@ -6,36 +6,36 @@
 import { slotCount } from './bin-packing.js';
 import { offerKey, type Demand, type Offer } from './types.js';
 
-/** The cost of a machine that boots too slowly for tasks that must not wait is multiplied by this. */
+/** Multiplies the cost of a machine that boots too slowly for tasks that would be late. */
 const SLOW_BOOT_COST_FACTOR = 4;
-/** What a slot counts that is left for other tasks, where one that is used counts 1. */
+/** The value of a slot that is left for other tasks, relative to a used slot, which counts 1. */
 const SPARE_SLOT_VALUE = 0.7;
-/** Costs that differ by less are equal: the offer that was found first is kept. */
+/** Costs that differ by less than this are equal, and the offer that was found first is kept. */
 const COST_EPSILON = 1e-9;
 
-/** What can be rented now. */
+/** The offers that can be rented now. */
 export interface Market {
   readonly machineTypes: readonly MachineType[];
-  /** Keys of the offers that the cloud refused lately. */
+  /** Keys of the offers that the cloud recently refused. */
   readonly refusedOffers: ReadonlySet<string>;
 }
 
-/** Tasks that a machine is sought for. */
+/** Tasks that need another machine. */
 export interface OfferRequest {
   readonly demand: Demand;
-  /** How many of its tasks have no machine yet. */
+  /** How many tasks of the demand have no machine yet. */
   readonly taskCount: number;
-  /** Some of them would be late: on-demand machines are candidates too, and slow boots count. */
+  /** Whether some of them would be late: on-demand machines are then candidates too, and slow boots cost more. */
   readonly hasLateTasks: boolean;
 }
 
-/** An offer with the type of its machine. */
+/** An offer and its machine type. */
 export interface TypedOffer {
   readonly offer: Offer;
   readonly type: MachineType;
 }
 
-/** The offer that serves the tasks at the least cost for each; undefined if nothing suits them. */
+/** Returns the offer with the lowest cost per task; undefined if no offer suits the tasks. */
 export function findCheapestOffer(request: OfferRequest, market: Market): TypedOffer | undefined {
   let best: TypedOffer | undefined;
   let lowestCost = Infinity;
--- a/src/capacity/demand.ts
+++ b/src/capacity/demand.ts
@@ -1,4 +1,4 @@
-/** The demand for machines: which tasks wait, and how long they may before machines are worth their price. */
+/** The demand for machines: which tasks wait, and how long they may wait before renting machines pays off. */
 import type { Objective } from '../config/settings.js';
 import { fits, machineResources, taskResources, type Resources } from '../fleet/resources.js';
 import { isGang } from '../ledger/job.js';
@@ -7,40 +7,40 @@
 import type { JobSpec, MachineType } from '../wire/index.js';
 import { UNLIMITED_WAIT, NO_WAIT, type Demand } from './types.js';
 
-/** A machine is rented for tasks that would wait longer than this many boot times. */
+/** Machines are rented for tasks that would wait longer than this many boot times. */
 const ACCEPTABLE_WAIT_BOOT_TIMES = 0.7;
-/** Urgent tasks wait only this share of it. */
+/** The acceptable wait of urgent tasks, as a share of that of other tasks. */
 const URGENT_WAIT_SHARE = 0.25;
-/** A job that has waited this long must not wait any longer, whatever its deadline. */
+/** A job that has waited longer than this must not wait any longer, whatever its deadline. */
 const MAX_JOB_WAIT = seconds(180);
-/** While there are no machines at all, on-demand ones are rented only for jobs that have waited this long. */
+/** While there are no machines at all, on-demand machines are rented only for jobs that have waited this long. */
 const EMPTY_FLEET_SPOT_ONLY_TIME = seconds(5);
-/** Tasks are planned to run for this many times as long as expected. */
+/** Plans assume that a task runs for this many times its expected runtime. */
 const RUNTIME_MARGIN_FACTOR = 1.2;
 
-/** Tasks like those of a spec that may be submitted next. */
+/** Tasks that may be submitted next, all with the same spec. */
 export interface AnticipatedTasks {
   readonly spec: JobSpec;
   readonly count: number;
 }
 
-/** What the demand of queued jobs depends on. */
+/** What the demand of queued jobs is computed from. */
 export interface DemandContext {
   readonly objectives: readonly Objective[];
   readonly machineTypes: readonly MachineType[];
-  /** There are no machines, not even booting ones. */
+  /** Whether there are no machines, not even booting ones. */
   readonly isFleetEmpty: boolean;
   readonly now: WallMs;
 }
 
-/** The demand of the waiting tasks of queued jobs, in the order of the queue. */
+/** The demand of the waiting tasks of queued jobs, in queue order. */
 export function queuedDemand(queue: readonly QueueEntry[], context: DemandContext): Demand[] {
   return queue.map((entry) => demandOfJob(entry, context));
 }
 
 /**
- * Demand for machines on standby, so that anticipated tasks need not wait. On-demand machines are not
- * rented for tasks that may run on spot ones.
+ * The demand for standby machines, so that anticipated tasks need not wait. On-demand machines are not
+ * rented for tasks that may run on spot machines.
  */
 export function anticipatedDemand(anticipated: readonly AnticipatedTasks[]): Demand[] {
   return anticipated.map(({ spec, count }) => ({
@@ -51,7 +51,7 @@
   }));
 }
 
-/** All that a demand takes from the spec alone. */
+/** The part of a demand that depends on the job's spec alone. */
 const constraintsOf = (
   spec: JobSpec,
 ): Omit<Demand, 'taskCount' | 'acceptableWait' | 'maxWait'> => ({
@@ -77,7 +77,7 @@
   };
 }
 
-/** How long tasks of a job may wait and still be in time. */
+/** How long tasks of a job may wait and still finish in time. */
 function maxWaitOf(
   job: QueueEntry['job'],
   runtime: DurationMs,
@@ -86,7 +86,7 @@
 ): DurationMs {
   const waited = now - job.submittedAt;
   if (waited > MAX_JOB_WAIT) return NO_WAIT;
-  // Into an empty fleet spot machines are rented first; their answers show what is missing.
+  // An empty fleet rents spot machines first; the cloud's responses show which capacity is missing.
   if (isFleetEmpty && waited < EMPTY_FLEET_SPOT_ONLY_TIME) return UNLIMITED_WAIT;
   const { dueAt: due, isLate: late } = nextDeadline(job, objectives, now, runtime);
   const slack = due - now - runtime * RUNTIME_MARGIN_FACTOR;
@@ -94,7 +94,7 @@
   return isDeadlineUnreachable ? UNLIMITED_WAIT : ms(Math.max(0, slack));
 }
 
-/** The shortest boot of a machine that a task fits; 0 if there is none. */
+/** The shortest boot time of any machine type that can hold the task; 0 if there is none. */
 function shortestBootTime(task: Resources, machineTypes: readonly MachineType[]): DurationMs {
   let shortest = Infinity;
   for (const type of machineTypes) {
--- a/src/capacity/lost-machines.ts
+++ b/src/capacity/lost-machines.ts
@@ -1,73 +1,73 @@
 /**
- * Which machines are to be deleted because they are gone, or of no use any more: those that never booted,
- * that the cloud no longer lists, that are silent, or that receive nothing for too long.
+ * Finds machines to delete because they are gone or no longer usable: machines that did not boot, that the cloud
+ * no longer lists, that send no heartbeats, or that have received nothing for too long.
  */
 import type { Machine } from '../fleet/machine.js';
 import { SteadyMs, ms, durationBetween, type DurationMs, type NodeId } from '../units/index.js';
 
-/** A boot has failed after this many times its usual duration. */
+/** A boot counts as failed after this many times its usual duration. */
 const FAILED_BOOT_FACTOR = 4;
-/** Silence, in heartbeat intervals, that shows a machine to be gone: if the cloud no longer lists it. */
+/** Heartbeat intervals of silence after which a machine that the cloud no longer lists counts as gone. */
 const UNLISTED_SILENCE_INTERVALS = 1.5;
-/** Of any other machine. */
+/** Heartbeat intervals of silence after which any other machine counts as silent. */
 const MAX_SILENCE_INTERVALS = 2.75;
-/** Where something else than the end of the machine may explain its silence. */
+/** The same for a machine whose silence may have a cause other than the loss of the machine. */
 const EXPLAINED_SILENCE_INTERVALS = 7;
 /**
- * While most machines of a zone have not reconnected, none of them is given up for this many worker leases:
- * their tasks are over after one, and a machine that works is worth more than a new one.
+ * While most machines of a zone have not reconnected, none of them is given up for this many worker leases.
+ * Their tasks end after one lease, but a working machine is worth more than a new one.
  */
 const ZONE_RECONNECT_LEASES = 2;
 /** A machine that receives nothing is deleted after this many worker leases. */
 const NOT_RECEIVING_LEASES = 1.2;
 
-/** What the silence of machines is judged by. */
+/** What the liveness of machines is determined from. */
 export interface LivenessView {
   readonly now: SteadyMs;
-  /** Since when this process has answered heartbeats without a break. */
+  /** Since when this controller has responded to heartbeats without interruption. */
   readonly respondingSince: SteadyMs;
   readonly heartbeatInterval: DurationMs;
-  /** The lease of a worker. */
+  /** The length of a worker's lease. */
   readonly lease: DurationMs;
-  /** How long a machine of that type usually takes to boot. */
+  /** How long a machine of a type usually takes to boot. */
   readonly bootTime: (machineType: string) => DurationMs;
-  /** When another node was last known not to answer this one. */
+  /** When each peer was last known not to respond to this controller. */
   readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
 }
 
 type Liveness =
-  /** Its delete was sent before, or its boot has failed. */
+  /** A delete request was already sent for it, or its boot has failed. */
   | 'abandoned'
-  /** It has sent no heartbeat and is not listed as running: its silence means nothing yet. */
+  /** It has sent no heartbeat and is not listed as running, so its silence means nothing yet. */
   | 'notStarted'
-  /** Silent, and not listed any more. */
+  /** Silent and no longer listed. */
   | 'vanished'
-  /** Silent, but perhaps only until it has found another way to the leader. */
+  /** Silent, possibly only until it has found another route to the leader. */
   | 'reconnecting'
   | 'silent'
   | 'alive';
 
-/** Machines by what is known of them. */
+/** Machines grouped by their liveness. */
 interface LivenessSummary {
   readonly machineCount: number;
-  /** Gone for certain, or abandoned. */
+  /** Abandoned or vanished. */
   readonly gone: readonly Machine[];
   readonly silent: readonly Machine[];
   readonly notReceiving: readonly Machine[];
   readonly zones: ZoneLiveness;
 }
 
-/** The machines to delete: those that are certainly gone come first. */
+/** Returns the machines to delete. Those that are certainly gone come first. */
 export function findLostMachines(machines: Iterable<Machine>, view: LivenessView): Machine[] {
   const { machineCount, gone, silent, notReceiving, zones } = summarizeLiveness(machines, view);
   const lost = [...gone];
-  // Where most machines of a zone are alive, a silent one is dead. Otherwise this node may be cut off from
-  // the zone: its tasks run on, and its workers may yet reach the leader through another node.
+  // If most machines of a zone are alive, a silent one is lost. Otherwise this controller may be partitioned from
+  // the zone: the zone's tasks keep running, and its workers may still reach the leader through another controller.
   for (const machine of silent) {
     if (zones.isMostlyAlive(machine) || isGivenUp(machine, view)) lost.push(machine);
   }
-  // The tasks of a machine that receives nothing end with its lease. If most receive nothing, the fault
-  // may be on this side, and none is deleted for it.
+  // The tasks of a machine that receives nothing end with its lease. If most machines receive nothing, the fault
+  // may be in this controller, so none of them is deleted.
   if (2 * notReceiving.length < machineCount) {
     for (const machine of notReceiving) if (!lost.includes(machine)) lost.push(machine);
   }
@@ -112,14 +112,14 @@
   return durationBetween(machine.bootingSince, now) > maxBootTime;
 }
 
-/** How long a machine has been silent; undefined if no heartbeat of it was to be expected yet. */
+/** How long a machine has been silent; undefined if no heartbeat of it was expected yet. */
 function silenceOf(
   machine: Machine,
   { now, respondingSince: listeningSince }: LivenessView,
 ): DurationMs | undefined {
   const last = machine.lastStatusAt ?? machine.listedRunningSince;
   if (last === undefined) return undefined;
-  // Silence counts only while heartbeats were answered: not before this term, nor while they got a 503.
+  // Silence counts only while heartbeats got responses: neither before this term nor while they got status 503.
   return durationBetween(SteadyMs(Math.max(last, listeningSince)), now);
 }
 
@@ -130,9 +130,9 @@
 }
 
 /**
- * Whether the worker may be looking for another way to the leader. Hundreds may do so at once after a
- * failover, or after the end of the node that relayed their heartbeats; that some have got through says
- * nothing about the others. The worker's lease decides in the end.
+ * Whether the worker may be looking for another route to the leader. Hundreds of workers may do so at once after
+ * a failover or after the controller that relayed their heartbeats has stopped, and that some have succeeded says
+ * nothing about the others. The worker's lease limits how long this lasts.
  */
 function isReconnecting(machine: Machine, { unreachableAt }: LivenessView): boolean {
   if (machine.lastStatusAt === undefined) return true;
@@ -141,14 +141,14 @@
   return relayLostAt !== undefined && relayLostAt >= machine.lastStatusAt;
 }
 
-/** Whether a machine is silent for too long even if its whole zone is silent. */
+/** Whether a machine has been silent for too long even if its whole zone is silent. */
 function isGivenUp(machine: Machine, view: LivenessView): boolean {
   const silence = silenceOf(machine, view) ?? 0;
   if (isReconnecting(machine, view)) return silence > view.lease * ZONE_RECONNECT_LEASES;
   return !machine.isUp || silence > view.heartbeatInterval * EXPLAINED_SILENCE_INTERVALS;
 }
 
-/** How many machines of each zone are alive. */
+/** Counts how many machines of each zone are alive. */
 class ZoneLiveness {
   private readonly total = new Map<string, number>();
   private readonly alive = new Map<string, number>();
@@ -163,6 +163,6 @@
   }
 }
 
-/** How long a machine may be silent before that needs an explanation. */
+/** How long a machine may be silent before it counts as silent rather than alive. */
 export const silenceThreshold = (heartbeatInterval: DurationMs): DurationMs =>
   ms(heartbeatInterval * MAX_SILENCE_INTERVALS);
--- a/src/capacity/machine-list.ts
+++ b/src/capacity/machine-list.ts
@@ -1,4 +1,4 @@
-/** Takes the cloud's list of machines, which lags behind, into the fleet. */
+/** Applies the cloud's machine list, which lags behind, to the fleet. */
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
 import {
@@ -11,16 +11,16 @@
 } from '../units/index.js';
 import type { ListedMachine } from '../wire/index.js';
 
-/** Where and when a list is taken in. */
+/** What a machine list is applied to, and when it was requested. */
 export interface MachineListContext {
   readonly fleet: Fleet;
-  /** How far the cloud's list may lag behind. */
+  /** The maximum lag of the cloud's list. */
   readonly listLag: DurationMs;
   /** When the list was requested. */
   readonly now: SteadyMs;
 }
 
-/** Notes what the list says of each machine, and which machines it lacks. */
+/** Records what the list says about each machine, and which machines it does not contain. */
 export function recordMachineList(
   listed: readonly ListedMachine[],
   { fleet, listLag, now }: MachineListContext,
@@ -37,7 +37,7 @@
   }
 }
 
-/** Whether it means anything that the list lacks a machine. */
+/** Whether the absence of a machine from the list is significant. */
 function isMissing(machine: Machine, listLag: DurationMs, now: SteadyMs): boolean {
   if (machine.listedAt === undefined) return machine.bootingSince === undefined && !machine.isUp;
   // A list may be older than the one before, but not older than twice the lag.
@@ -51,12 +51,12 @@
   machine.listedAt ??= now;
   machine.rentedAt ??= requestedAt;
   if (status === 'failed') {
-    // It stopped on its own: its tasks are gone. The delete only takes it off the list.
+    // The machine stopped on its own and its tasks are gone. The delete only removes it from the list.
     machine.isDecommissioning = true;
     machine.isDeleteSent = true;
   } else if (!machine.isUp && machine.lastStatusAt === undefined) {
-    // A running machine has booted long ago, and only this leader has had no heartbeat of it yet. After a
-    // failover that is the whole fleet, and none of it may be given up for a boot that took too long.
+    // A running machine has booted, and only this leader has not received a heartbeat from it yet. After a failover
+    // this applies to the whole fleet, and no machine may be given up because of a boot that took too long.
     if (status === 'running') {
       machine.bootingSince = undefined;
       machine.listedRunningSince ??= now;
--- a/src/capacity/offer-backoff.ts
+++ b/src/capacity/offer-backoff.ts
@@ -1,40 +1,40 @@
-/** Back-off from offers that the cloud refused: others are tried in the meantime. */
+/** Backoff from offers that the cloud refused: others are tried in the meantime. */
 import { later, ms, seconds, type Random, type SteadyMs } from '../units/index.js';
 import { offerKey, type Offer } from './types.js';
 
 const MIN_OFFER_BACKOFF = seconds(8);
 const MAX_OFFER_BACKOFF = seconds(60);
-/** Pauses are spread by this share up and down. */
+/** Each backoff is randomised by up to this share in both directions. */
 const JITTER_SHARE = 0.2;
 
 interface Refusal {
   readonly pausedUntil: SteadyMs;
-  /** Refusals in a row. */
+  /** Number of refusals in a row. */
   readonly count: number;
 }
 
-/** The pause of each refused offer, which doubles with each refusal in a row. */
+/** The backoff of each refused offer, which doubles with each refusal in a row. */
 export class OfferBackoff {
   private readonly refusals = new Map<string, Refusal>();
 
   constructor(private readonly random: Random) {}
 
-  /** An offer was refused, wholly or in part. */
+  /** Records that an offer was refused, wholly or in part. */
   recordRefusal(offer: Offer, now: SteadyMs): void {
     const key = offerKey(offer);
     const count = (this.refusals.get(key)?.count ?? 0) + 1;
-    const pause = Math.min(MAX_OFFER_BACKOFF, MIN_OFFER_BACKOFF * 2 ** (count - 1));
+    const backoff = Math.min(MAX_OFFER_BACKOFF, MIN_OFFER_BACKOFF * 2 ** (count - 1));
     const jitter = 1 - JITTER_SHARE + 2 * JITTER_SHARE * this.random();
-    this.refusals.set(key, { count, pausedUntil: later(now, ms(pause * jitter)) });
+    this.refusals.set(key, { count, pausedUntil: later(now, ms(backoff * jitter)) });
   }
 
-  /** An offer was granted in full: its next refusal counts as the first. */
+  /** Records that an offer was granted in full: its next refusal counts as the first. */
   recordGrant(offer: Offer): void {
     this.refusals.delete(offerKey(offer));
   }
 
-  /** The keys of the offers whose pause is not over. */
-  pausedOffers(now: SteadyMs): ReadonlySet<string> {
+  /** The keys of the offers whose backoff is not over. */
+  offersInBackoff(now: SteadyMs): ReadonlySet<string> {
     const paused = new Set<string>();
     for (const [key, { pausedUntil }] of this.refusals) if (pausedUntil > now) paused.add(key);
     return paused;
--- a/src/capacity/planner.ts
+++ b/src/capacity/planner.ts
@@ -1,7 +1,7 @@
 /**
- * Plans which machines to rent, as a bin packing. Pure: waiting tasks are packed into the machines that
- * are up or boot; of the rest, a part is left to machines whose tasks end before a new machine could be
- * up, and for what then remains bins are opened, each of the offer that serves the tasks at the least cost.
+ * Plans which machines to rent, as a pure bin-packing function. Waiting tasks are first packed into machines that
+ * are up or booting. Some of the remaining tasks wait for machines whose tasks end before a new machine could be
+ * up. For the rest, bins are opened, each for the offer with the lowest cost per task.
  */
 import { fits, machineResources } from '../fleet/resources.js';
 import { isAllowed } from '../placer/placer.js';
@@ -16,27 +16,27 @@
 } from './types.js';
 import { WaitEstimator } from './wait-estimator.js';
 
-/** What a plan is made from. */
+/** What a plan is computed from. */
 export interface PlanningInput extends Market {
-  /** Served in this order. */
+  /** In the order in which they get machines. */
   readonly demands: readonly Demand[];
   readonly available: readonly AvailableCapacity[];
   readonly turnover: readonly Turnover[];
-  /** The most machines to rent. */
+  /** The maximum number of machines to rent. */
   readonly maxMachines: number;
 }
 
-/** A plan while it is being made. */
+/** The state of a plan under construction. */
 interface Plan {
   readonly input: PlanningInput;
-  /** The machines that are available, and after them the opened ones. */
+  /** The available machines, followed by the opened bins. */
   readonly bins: Bin[];
-  /** The bins of machines to rent. */
+  /** The bins for machines to rent. */
   readonly opened: Bin[];
   readonly waits: WaitEstimator;
 }
 
-/** The machines to rent, by offer, in the order in which they are needed. */
+/** Returns the machines to rent, by offer, in the order in which they are needed. */
 export function planScaleOut(input: PlanningInput): PlannedScaleOut[] {
   const plan: Plan = {
     input,
@@ -45,7 +45,7 @@
     waits: new WaitEstimator(input.turnover),
   };
   for (const demand of input.demands) {
-    for (const part of splitByZone(demand, plan)) packDemand(part, plan);
+    for (const zoneDemand of splitByZone(demand, plan)) packDemand(zoneDemand, plan);
   }
   return countByOffer(plan.opened);
 }
@@ -60,7 +60,7 @@
   openBins(demand, { total: Math.max(waiting, late), late }, plan);
 }
 
-/** Packs tasks into the bins that there are; returns how many found no place. */
+/** Packs tasks into existing bins; returns how many did not fit. */
 function packAvailable(demand: Demand, bins: readonly Bin[]): number {
   let remaining = demand.taskCount;
   for (const bin of bins) {
@@ -71,7 +71,7 @@
   return remaining;
 }
 
-/** Opens bins for tasks that wait too long otherwise, `late` of them so long that they would be late. */
+/** Opens bins for tasks that would otherwise wait too long; `late` of them would miss their deadline. */
 function openBins(
   demand: Demand,
   tasks: { readonly total: number; readonly late: number },
@@ -101,13 +101,13 @@
   return [...counts.values()];
 }
 
-/** Binds a gang with a zone rule to zones: as a whole, or in parts that each may be in one zone. */
+/** Assigns a gang with a zone constraint to zones: as a whole, or in parts that fit the limit per zone. */
 function splitByZone(demand: Demand, { input, bins }: Plan): Demand[] {
   const isZoned = demand.isGang && (demand.singleZone || demand.spreadZones);
   if (!isZoned || demand.requiredZone !== null) return [demand];
   const maxPerZone = demand.singleZone ? demand.taskCount : Math.ceil(demand.taskCount / 2);
   const zones = zonesByFreeSlots(demand, bins, input);
-  // A zone without enough free slots is of use only if machines can be rented there.
+  // A zone without enough free slots is usable only if machines can be rented there.
   const usableZones = zones.filter(
     ({ zone, slots }) => slots >= maxPerZone || canRentIn(zone, demand, maxPerZone, input),
   );
@@ -127,7 +127,7 @@
   return findCheapestOffer({ demand: inZone, taskCount, hasLateTasks: true }, market) !== undefined;
 }
 
-/** The zones with a machine type that suits a gang and how many of its tasks fit there, most first. */
+/** The zones with a machine type that suits a gang, and how many of its tasks fit there now, most first. */
 function zonesByFreeSlots(
   demand: Demand,
   bins: readonly Bin[],
--- a/src/capacity/scale-in.ts
+++ b/src/capacity/scale-in.ts
@@ -1,27 +1,27 @@
-/** Scale-in: which machines have had no tasks for so long that they are given back. */
+/** Scale-in: finds machines to delete because they have had no tasks for too long. */
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
 import { seconds, durationBetween, type SteadyMs } from '../units/index.js';
 import type { AnticipatedTasks } from './demand.js';
 
-/** An idle on-demand machine is kept for this share of the time: it costs a multiple of a spot one. */
+/** How long an idle on-demand machine is kept, as a share of the time for a spot one, since it costs a multiple. */
 const ON_DEMAND_IDLE_SHARE = 0.25;
 /** The cloud charges each machine for at least this long. */
 const MIN_CHARGE = seconds(60);
 
-/** What scale-in is decided by. */
+/** What scale-in decisions are based on. */
 export interface ScaleInView {
   readonly fleet: Fleet;
   readonly catalog: MachineCatalog;
   /** How long an idle spot machine is kept, in boot times of its type. */
   readonly idleBootTimes: number;
-  /** Tasks that machines are kept on standby for. */
+  /** Tasks for which machines are kept on standby. */
   readonly anticipatedWork: readonly AnticipatedTasks[];
   readonly now: SteadyMs;
 }
 
-/** The machines to give back, on-demand ones first. */
+/** Returns the machines to delete, on-demand machines first. */
 export function findIdleMachines(view: ScaleInView): Machine[] {
   const spare = new SpareCpus(view);
   const onDemandFirst = [...view.fleet.machines.values()].sort(
@@ -33,7 +33,7 @@
   );
 }
 
-/** Whether a machine has been idle for so long that to keep it costs more than to boot another one. */
+/** Whether a machine has been idle for so long that keeping it costs more than booting another one. */
 function isIdleTooLong(machine: Machine, { catalog, idleBootTimes, now }: ScaleInView): boolean {
   if (!machine.isUp || machine.assignments.size > 0 || machine.idleSince === undefined)
     return false;
@@ -43,16 +43,16 @@
   return machine.rentedAt === undefined || durationBetween(machine.rentedAt, now) >= MIN_CHARGE;
 }
 
-/** Whether nothing runs on a machine that no record accounts for either. */
+/** Whether a machine runs nothing at all, including tasks that no record accounts for. */
 function hasNoTasks(machine: Machine, fleet: Fleet): boolean {
   const load = fleet.load(machine);
   return !load.hasUnknownTasks && load.used.cpus <= 0;
 }
 
 /**
- * The free CPUs on machines of the smallest type, which anticipated tasks are expected to run on, beyond
- * what these tasks would take. On-demand machines are also counted apart, for tasks that may not run on
- * spot ones.
+ * The free CPUs on machines of the smallest type, on which anticipated tasks are expected to run, beyond
+ * what these tasks would use. CPUs of on-demand machines are also counted separately, for tasks that may not
+ * run on spot machines.
  */
 class SpareCpus {
   private total = 0;
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Takes all CPUs of a machine off, if enough remain for anticipated tasks without it. */
+  /** Subtracts all CPUs of a machine if enough remain for anticipated tasks without it. */
   tryTake(machine: Machine): boolean {
     const cpus = this.cpusOf(machine);
     if (cpus > this.smallestCpus) return true;
--- a/src/capacity/supply.ts
+++ b/src/capacity/supply.ts
@@ -1,4 +1,4 @@
-/** The supply of machines: what is free on them, now or after their boot, and how soon their tasks end. */
+/** The supply of machines: their free resources, now or after booting, and how soon their tasks end. */
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
@@ -8,10 +8,10 @@
 import type { JobSpec, MachineType } from '../wire/index.js';
 import { offerKey, type AvailableCapacity, type Offer, type Turnover } from './types.js';
 
-/** A booting machine counts as supply for this many times its type's usual boot. */
+/** A booting machine counts as supply for this many times the usual boot time of its type. */
 const LATE_BOOT_FACTOR = 2;
 
-/** What the supply is read from. */
+/** What the supply is computed from. */
 export interface SupplyView {
   readonly fleet: Fleet;
   readonly catalog: MachineCatalog;
@@ -20,13 +20,13 @@
   readonly specOf: (job: JobId) => JobSpec | undefined;
 }
 
-/** The machines that waiting tasks may go to without any being rented. */
+/** The capacity for waiting tasks without renting any machine. */
 export interface Supply {
   readonly available: readonly AvailableCapacity[];
   readonly turnover: readonly Turnover[];
 }
 
-/** The supply of all machines that take tasks, or will once they are up. */
+/** Computes the supply of all machines that can take tasks now or once they are up. */
 export function currentSupply(view: SupplyView): Supply {
   const available: AvailableCapacity[] = [];
   const turnover = new TurnoverByOffer(view);
@@ -56,12 +56,12 @@
   return durationBetween(machine.bootingSince, now) < type.bootSeconds * 1000 * LATE_BOOT_FACTOR;
 }
 
-/** Sums of the tasks on the machines of one offer. */
+/** Totals of the tasks on the machines of one offer. */
 interface TaskTotals {
   readonly offer: Offer;
   readonly capacity: Resources;
   busyCpus: number;
-  /** CPUs times milliseconds. */
+  /** CPU count times runtime in milliseconds, summed over the tasks. */
   cpuTime: number;
 }
 
@@ -77,7 +77,7 @@
     this.totals.set(key, totals);
     for (const { job, placedAt } of machine.assignments.values()) {
       const spec = this.view.specOf(job);
-      // What urgent tasks leave is taken by further urgent tasks.
+      // Capacity that urgent tasks free is taken by other urgent tasks.
       if (!spec || isUrgent(spec.priority)) continue;
       totals.busyCpus += spec.cpus;
       // A task that has run for longer than estimated shows that the estimate was too low.
--- a/src/capacity/wait-estimator.ts
+++ b/src/capacity/wait-estimator.ts
@@ -1,22 +1,22 @@
-/** Estimates how many waiting tasks the machines that are up will serve in time, without new ones. */
+/** Estimates how many waiting tasks the machines that are up can start in time, without new machines. */
 import { fits } from '../fleet/resources.js';
 import { isAllowed } from '../placer/placer.js';
 import { seconds, type DurationMs } from '../units/index.js';
 import type { Demand, Turnover } from './types.js';
 
-/** The share of freed CPUs that counts: they come free in pieces, of which a large task can't use all. */
+/** The usable share of freed CPUs. They become free in fragments, of which a large task can't use all. */
 const USABLE_FREED_CPU_SHARE = 0.8;
 
-/** The tasks that wait for the machines of one offer. */
+/** The tasks that wait for machines of one offer. */
 interface WaitQueue {
   readonly turnover: Turnover;
-  /** CPUs that come free a second. */
+  /** CPUs that become free per second. */
   readonly freedCpusPerSecond: number;
   /** CPUs that the tasks queued so far need. */
   queuedCpus: number;
 }
 
-/** One queue for each offer whose machines run tasks: those queued first are served first. */
+/** Keeps a first-in, first-out queue for each offer whose machines run tasks. */
 export class WaitEstimator {
   private readonly queues: readonly WaitQueue[];
 
@@ -31,7 +31,7 @@
       }));
   }
 
-  /** Queues tasks; returns for each of the waits how many of them will still wait after it. */
+  /** Queues tasks; returns for each of `waits` how many of the tasks still wait after that time. */
   enqueue(demand: Demand, taskCount: number, waits: readonly DurationMs[]): number[] {
     const eligible = this.queues.filter(
       ({ turnover }) => isAllowed(demand, turnover) && fits(demand.resources, turnover.capacity),
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,6 +1,6 @@
 /**
- * The client of the cloud API, which rents machines and takes them back. A call reports by the type of
- * its result whether the cloud carried it out; it throws for no answer of the cloud.
+ * The client of the cloud API, which rents and deletes machines. The result of each method tells whether the
+ * cloud carried out the request; no response of the cloud makes a method throw.
  */
 import type { HttpClient, Outcome, Request } from '../net/http.js';
 import { TokenBucket } from '../store/token-bucket.js';
@@ -16,36 +16,36 @@
   type ScaleOutRequest,
 } from '../wire/index.js';
 
-/** The most machines that one scale-out request may ask for. */
+/** The maximum number of machines in one scale-out request. */
 export const MAX_MACHINES_PER_REQUEST = 50;
-/** The most machines that one delete request may name. */
+/** The maximum number of machines in one delete request. */
 export const MAX_MACHINES_PER_DELETE = 100;
 const MACHINE_PAGE_SIZE = 500;
 const REQUEST_TIMEOUT: DurationMs = ms(5000);
-/** Calls stay below the cloud's rate limit by the rest of this share. */
+/** The share of the cloud's rate limit that the client uses. */
 const USED_RATE_LIMIT_SHARE = 0.95;
-/** How many seconds' worth of calls may leave at once after a pause. */
+/** The size of a burst after an idle period, in seconds of requests at the rate limit. */
 const BURST_SECONDS = 1.8;
 
-/** How the cloud answered a request for machines. */
+/** The result of a scale-out request. */
 export type ScaleOutResult =
-  /** Carried out; possibly with fewer machines than requested. */
+  /** Carried out, possibly with fewer machines than requested. */
   | { readonly kind: 'rented'; readonly machines: readonly MachineId[] }
-  /** Refused: it has no machine of this type, zone and kind now. */
+  /** Refused: the cloud currently has no machine of this type, zone and price model. */
   | { readonly kind: 'noCapacity' }
-  /** Refused as invalid: repeating it is of no use. */
+  /** Refused as invalid, so a retry can't succeed. */
   | { readonly kind: 'malformed' }
-  /** Not carried out, or unknown whether it was: to be repeated under the same request id. */
+  /** Not carried out, or unknown: to be retried under the same request id. */
   | { readonly kind: 'retry'; readonly reason: string };
 
 /**
- * Calls the cloud over HTTP, within its rate limit: callers ask `isReady` first and come back later
- * if it is not. Every call ends within its timeout.
+ * Sends requests to the cloud over HTTP, within its rate limit: callers check `canSendRequest` first and try
+ * again later if it is false. Every request ends within its timeout.
  */
 export class CloudClient {
   private readonly bucket: TokenBucket;
 
-  /** `callsPerSecond`: the rate limit of the cloud for all calls together. */
+  /** `requestsPerSecond`: the rate limit of the cloud for all requests together. */
   constructor(
     private readonly http: HttpClient,
     private readonly endpoint: Endpoint,
@@ -56,19 +56,19 @@
     this.bucket = new TokenBucket(clock, requestsPerSecond * USED_RATE_LIMIT_SHARE, burst);
   }
 
-  /** Whether the rate limit allows a call now. */
+  /** Whether the rate limit allows a request now. */
   canSendRequest(): boolean {
     return this.bucket.waitFor(1) <= 0;
   }
 
-  /** The machine types that can be rented; undefined if the cloud did not answer with them. */
+  /** The machine types that can be rented; undefined if the request failed. */
   async listMachineTypes(): Promise<readonly MachineType[] | undefined> {
     const outcome = await this.send({ method: 'GET', path: '/flavors' });
     if (outcome.kind !== 'answer' || outcome.status !== 200) return undefined;
     return decodeMachineTypes(outcome.body);
   }
 
-  /** Rents machines. Idempotent: a repeat of a request id that was carried out rents nothing more. */
+  /** Rents machines. Idempotent: a retry under a request id that was carried out rents nothing more. */
   async scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
     const outcome = await this.send({
       method: 'POST',
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Gives machines back; true once the cloud has confirmed that they are gone. After false they may
-   * still go at any time, since the request may have arrived.
+   * Deletes machines. Returns true if the cloud has confirmed that they are gone. After false they may still be
+   * deleted at any time, since the request may have arrived.
    */
   async deleteMachines(machines: readonly MachineId[]): Promise<boolean> {
     const outcome = await this.send({
@@ -100,7 +100,7 @@
     return outcome.kind === 'answer' && outcome.status === 200;
   }
 
-  /** All pages of the cloud's list, which lags behind; undefined unless every page was read. */
+  /** Reads all pages of the cloud's machine list, which lags behind; undefined unless every page was read. */
   async listMachines(): Promise<readonly ListedMachine[] | undefined> {
     const machines: ListedMachine[] = [];
     let from: string | undefined;
@@ -126,7 +126,7 @@
       endpoint: this.endpoint,
       timeout: REQUEST_TIMEOUT,
     });
-    // Too many requests: the cloud has counted more calls than we have.
+    // Status 429 (too many requests): the cloud has counted more requests than this client.
     if (outcome.kind === 'answer' && outcome.status === 429) this.bucket.drain();
     return outcome;
   }
--- a/src/cloud/machine-catalog.ts
+++ b/src/cloud/machine-catalog.ts
@@ -1,4 +1,4 @@
-/** The catalog of machine types: what the cloud offers, at which price and in which zones. */
+/** The catalog of the machine types that the cloud offers, with prices and zones. */
 import type { Team } from '../config/settings.js';
 import {
   decodeMachineTypes,
@@ -10,7 +10,7 @@
 
 /**
  * The machine types, their prices and zones, as last read from the cloud. The leader also keeps them in
- * the state service, so that a node that starts while the cloud is unavailable can judge submissions.
+ * the state store, so that a controller that starts while the cloud is unavailable can check submissions.
  */
 export class MachineCatalog {
   private types = new Map<string, MachineType>();
@@ -20,31 +20,31 @@
     return this.types.size > 0;
   }
 
-  /** The type of that name; undefined if the cloud does not offer it, or nothing was read yet. */
+  /** The type with that name; undefined if the cloud does not offer it or nothing has been read yet. */
   machineType(name: string): MachineType | undefined {
     return this.types.get(name);
   }
 
-  /** All types, in the order of the cloud. */
+  /** All types, in the order in which the cloud lists them. */
   all(): MachineType[] {
     return [...this.types.values()];
   }
 
-  /** Replaces all types; true if anything but prices changed, so that they are worth storing again. */
+  /** Replaces all types. Returns true if more than prices changed, so that they should be stored again. */
   update(machineTypes: readonly MachineType[]): boolean {
     const before = JSON.stringify(this.all().map(withoutPrices));
     this.types = new Map(machineTypes.map((type) => [type.name, type]));
     return JSON.stringify(this.all().map(withoutPrices)) !== before;
   }
 
-  /** Takes the types from the state service, unless some were read already; ignores unreadable data. */
+  /** Takes the types from the state store, unless types were already read; ignores unreadable data. */
   restore(data: unknown): void {
     if (this.isKnown) return;
     const types = decodeMachineTypes(data);
     if (types) this.update(types);
   }
 
-  /** The form in which the types are stored. */
+  /** Encodes the types for the state store. */
   encode(): object {
     return encodeMachineTypes(this.all());
   }
@@ -55,7 +55,7 @@
   }
 }
 
-/** A machine type without its prices, which change all the time. */
+/** A machine type without its prices, which change often. */
 const withoutPrices = (type: MachineType): MachineType => ({
   ...type,
   onDemandPrice: 0,
