--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -286,7 +286,7 @@
       respondingSince: this.view.respondingSince(),
       heartbeatInterval,
       lease,
-      bootTime: (name) => bootTimeOf(name, catalog),
+      bootTimeOf: (name) => bootTimeOf(name, catalog),
       unreachableAt: this.view.unreachableAt,
     });
     return lost.slice(0, MAX_MACHINES_PER_DELETE);
--- a/src/capacity/bin-packing.ts
+++ b/src/capacity/bin-packing.ts
@@ -19,7 +19,7 @@
 });
 
 /** How many tasks of the given size fit into the free resources. */
-export const slotCount = (free: Resources, task: Resources): number =>
+export const countTaskSlots = (free: Resources, task: Resources): number =>
   Math.floor(
     Math.min(
       free.cpus / task.cpus,
@@ -31,7 +31,7 @@
 /** Packs at most `maxTasks` tasks of the given size into a bin; returns how many were packed. */
 export function packTasks(bin: Bin, task: Resources, maxTasks: number): number {
   if (bin.cpus < task.cpus - RESOURCE_TOLERANCE) return 0;
-  const count = Math.min(maxTasks, slotCount(bin, task));
+  const count = Math.min(maxTasks, countTaskSlots(bin, task));
   bin.cpus -= count * task.cpus;
   bin.gpus -= count * task.gpus;
   bin.memoryGb -= count * task.memoryGb;
--- a/src/capacity/cheapest-offer.ts
+++ b/src/capacity/cheapest-offer.ts
@@ -3,7 +3,7 @@
 import { isAllowed } from '../placer/placer.js';
 import { seconds } from '../units/index.js';
 import type { MachineType } from '../wire/index.js';
-import { slotCount } from './bin-packing.js';
+import { countTaskSlots } from './bin-packing.js';
 import { offerKey, type Demand, type Offer } from './types.js';
 
 /** Multiplies the cost of a machine that boots too slowly for tasks that would be late. */
@@ -72,7 +72,7 @@
 ): number {
   const isSlow = hasLateTasks && type.bootSeconds * seconds(1) > demand.maxWait;
   const price = spot ? type.spotPrice : type.onDemandPrice;
-  const slots = slotCount(machineResources(type), demand.resources);
+  const slots = countTaskSlots(machineResources(type), demand.resources);
   const value = Math.min(slots, taskCount) + SPARE_SLOT_VALUE * Math.max(0, slots - taskCount);
   return ((isSlow ? SLOW_BOOT_COST_FACTOR : 1) * price) / value;
 }
--- a/src/capacity/demand.ts
+++ b/src/capacity/demand.ts
@@ -88,9 +88,9 @@
   if (waited > MAX_JOB_WAIT) return NO_WAIT;
   // An empty fleet rents spot machines first; the cloud's responses show which capacity is missing.
   if (isFleetEmpty && waited < EMPTY_FLEET_SPOT_ONLY_TIME) return UNLIMITED_WAIT;
-  const { dueAt: due, isLate: late } = nextDeadline(job, objectives, now, runtime);
-  const slack = due - now - runtime * RUNTIME_MARGIN_FACTOR;
-  const isDeadlineUnreachable = late && slack + runtime + bootTime < 0;
+  const { dueAt, isLate } = nextDeadline(job, objectives, now, runtime);
+  const slack = dueAt - now - runtime * RUNTIME_MARGIN_FACTOR;
+  const isDeadlineUnreachable = isLate && slack + runtime + bootTime < 0;
   return isDeadlineUnreachable ? UNLIMITED_WAIT : ms(Math.max(0, slack));
 }
 
--- a/src/capacity/lost-machines.ts
+++ b/src/capacity/lost-machines.ts
@@ -30,7 +30,7 @@
   /** The length of a worker's lease. */
   readonly lease: DurationMs;
   /** How long a machine of a type usually takes to boot. */
-  readonly bootTime: (machineType: string) => DurationMs;
+  readonly bootTimeOf: (machineType: string) => DurationMs;
   /** When each peer was last known not to respond to this controller. */
   readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
 }
@@ -64,7 +64,7 @@
   // If most machines of a zone are alive, a silent one is lost. Otherwise this controller may be partitioned from
   // the zone: the zone's tasks keep running, and its workers may still reach the leader through another controller.
   for (const machine of silent) {
-    if (zones.isMostlyAlive(machine) || isGivenUp(machine, view)) lost.push(machine);
+    if (zones.isMostlyAlive(machine) || isSilentTooLong(machine, view)) lost.push(machine);
   }
   // The tasks of a machine that receives nothing end with its lease. If most machines receive nothing, the fault
   // may be in this controller, so none of them is deleted.
@@ -106,21 +106,21 @@
   return silence > heartbeatInterval * MAX_SILENCE_INTERVALS ? 'silent' : 'alive';
 }
 
-function isBootOverdue(machine: Machine, { now, bootTime }: LivenessView): boolean {
+function isBootOverdue(machine: Machine, { now, bootTimeOf }: LivenessView): boolean {
   if (machine.bootingSince === undefined) return false;
-  const maxBootTime = bootTime(machine.kind.machineType) * FAILED_BOOT_FACTOR;
+  const maxBootTime = bootTimeOf(machine.kind.machineType) * FAILED_BOOT_FACTOR;
   return durationBetween(machine.bootingSince, now) > maxBootTime;
 }
 
 /** How long a machine has been silent; undefined if no heartbeat of it was expected yet. */
 function silenceOf(
   machine: Machine,
-  { now, respondingSince: listeningSince }: LivenessView,
+  { now, respondingSince }: LivenessView,
 ): DurationMs | undefined {
   const last = machine.lastStatusAt ?? machine.listedRunningSince;
   if (last === undefined) return undefined;
   // Silence counts only while heartbeats got responses: neither before this term nor while they got status 503.
-  return durationBetween(SteadyMs(Math.max(last, listeningSince)), now);
+  return durationBetween(SteadyMs(Math.max(last, respondingSince)), now);
 }
 
 /** Whether a machine sends heartbeats but has received nothing for too long. */
@@ -142,7 +142,7 @@
 }
 
 /** Whether a machine has been silent for too long even if its whole zone is silent. */
-function isGivenUp(machine: Machine, view: LivenessView): boolean {
+function isSilentTooLong(machine: Machine, view: LivenessView): boolean {
   const silence = silenceOf(machine, view) ?? 0;
   if (isReconnecting(machine, view)) return silence > view.lease * ZONE_RECONNECT_LEASES;
   return !machine.isUp || silence > view.heartbeatInterval * EXPLAINED_SILENCE_INTERVALS;
--- a/src/capacity/machine-list.ts
+++ b/src/capacity/machine-list.ts
@@ -33,12 +33,12 @@
   }
   for (const machine of fleet.machines.values()) {
     if (listedIds.has(machine.id)) machine.missedListCount = 0;
-    else if (isMissing(machine, listLag, now)) machine.missedListCount++;
+    else if (isAbsenceSignificant(machine, listLag, now)) machine.missedListCount++;
   }
 }
 
 /** Whether the absence of a machine from the list is significant. */
-function isMissing(machine: Machine, listLag: DurationMs, now: SteadyMs): boolean {
+function isAbsenceSignificant(machine: Machine, listLag: DurationMs, now: SteadyMs): boolean {
   if (machine.listedAt === undefined) return machine.bootingSince === undefined && !machine.isUp;
   // A list may be older than the one before, but not older than twice the lag.
   return durationBetween(machine.listedAt, now) > 2 * listLag;
--- a/src/capacity/planner.ts
+++ b/src/capacity/planner.ts
@@ -5,7 +5,7 @@
  */
 import { fits, machineResources } from '../fleet/resources.js';
 import { isAllowed } from '../placer/placer.js';
-import { createBin, packTasks, slotCount, type Bin } from './bin-packing.js';
+import { createBin, packTasks, countTaskSlots, type Bin } from './bin-packing.js';
 import { findCheapestOffer, type Market } from './cheapest-offer.js';
 import {
   offerKey,
@@ -51,7 +51,7 @@
 }
 
 function packDemand(demand: Demand, plan: Plan): void {
-  const unpacked = packAvailable(demand, plan.bins);
+  const unpacked = packIntoBins(demand, plan.bins);
   if (unpacked === 0) return;
   const [waiting = 0, late = 0] = plan.waits.enqueue(demand, unpacked, [
     demand.acceptableWait,
@@ -61,7 +61,7 @@
 }
 
 /** Packs tasks into existing bins; returns how many did not fit. */
-function packAvailable(demand: Demand, bins: readonly Bin[]): number {
+function packIntoBins(demand: Demand, bins: readonly Bin[]): number {
   let remaining = demand.taskCount;
   for (const bin of bins) {
     if (remaining === 0) break;
@@ -71,22 +71,22 @@
   return remaining;
 }
 
-/** Opens bins for tasks that would otherwise wait too long; `late` of them would miss their deadline. */
+/** Opens bins for tasks that would otherwise wait too long; `tasks.late` of them would be late. */
 function openBins(
   demand: Demand,
   tasks: { readonly total: number; readonly late: number },
   { input, bins, opened }: Plan,
 ): void {
   let remaining = tasks.total;
-  let late = tasks.late;
+  let lateRemaining = tasks.late;
   while (remaining > 0 && opened.length < input.maxMachines) {
-    const request = { demand, taskCount: remaining, hasLateTasks: late > 0 };
+    const request = { demand, taskCount: remaining, hasLateTasks: lateRemaining > 0 };
     const best = findCheapestOffer(request, input);
     if (!best) return;
     const bin = createBin(best.offer, machineResources(best.type));
     const packed = packTasks(bin, demand.resources, remaining);
     remaining -= packed;
-    late -= packed;
+    lateRemaining -= packed;
     bins.push(bin);
     opened.push(bin);
   }
@@ -144,7 +144,7 @@
   for (const bin of bins) {
     if (!isAllowed(demand, bin.offer)) continue;
     const { zone } = bin.offer;
-    const slots = Math.max(0, slotCount(bin, demand.resources));
+    const slots = Math.max(0, countTaskSlots(bin, demand.resources));
     slotsByZone.set(zone, (slotsByZone.get(zone) ?? 0) + slots);
   }
   return Array.from(slotsByZone, ([zone, slots]) => ({ zone, slots })).sort(
--- a/test/unit/lost-machines.test.ts
+++ b/test/unit/lost-machines.test.ts
@@ -28,7 +28,7 @@
   respondingSince: at(0),
   heartbeatInterval: seconds(3),
   lease: seconds(24),
-  bootTime: () => seconds(10),
+  bootTimeOf: () => seconds(10),
   unreachableAt: new Map(),
 };
 
