--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -1,7 +1,7 @@
 /**
- * The autoscaler of the leader: rents machines for waiting tasks, follows the cloud's list, and gives
- * machines back that are lost or idle. What to call is decided here; what a call means is decided in the
- * modules beside this one.
+ * The autoscaler of the leader: rents machines for waiting tasks, tracks the cloud's machine list, and deletes
+ * machines that are lost or idle. This module decides which request to send next; the other modules of this
+ * directory decide what the request contains and how its response is applied.
  */
 import type { Logger } from 'pino';
 import {
@@ -33,37 +33,37 @@
 } from '../units/index.js';
 import type { JobSpec, ScaleOutRequest } from '../wire/index.js';
 import { anticipatedDemand, queuedDemand, type AnticipatedTasks } from './demand.js';
-import { lostMachines } from './lost-machines.js';
+import { findLostMachines } from './lost-machines.js';
 import { recordMachineList } from './machine-list.js';
 import { planScaleOut } from './planner.js';
-import { OfferRefusals } from './refusals.js';
-import { idleMachines } from './scale-in.js';
+import { OfferBackoff } from './offer-backoff.js';
+import { findIdleMachines } from './scale-in.js';
 import { currentSupply } from './supply.js';
 import type { Offer, PlannedScaleOut } from './types.js';
 
-/** What the autoscaler sees of the cluster, and reports to it. */
+/** The part of the cluster that the autoscaler reads and notifies. */
 export interface ClusterView {
-  /** The autoscaler adds the machines it rents, and marks those it gives back. */
+  /** The autoscaler adds the machines that it rents and marks those that it deletes. */
   readonly fleet: Fleet;
-  /** Since when heartbeats have been answered without a break. */
-  answeringSince(): SteadyMs;
-  /** When each other node was last known not to answer this one. */
+  /** Since when this controller has responded to heartbeats without interruption. */
+  respondingSince(): SteadyMs;
+  /** When each peer was last known not to respond to this controller. */
   readonly unreachableAt: ReadonlyMap<NodeId, SteadyMs>;
-  /** The jobs with waiting tasks, in the order in which they are to be served. */
+  /** The jobs with waiting tasks, in the order in which they get machines. */
   queue(): readonly QueueEntry[];
   /** The spec of an unfinished job. */
   specOf(job: JobId): JobSpec | undefined;
-  /** Tasks that may be submitted next and should find machines on standby. */
+  /** Tasks that may be submitted next and for which machines are kept on standby. */
   anticipatedWork(): readonly AnticipatedTasks[];
-  /** The cloud has confirmed that a machine is gone, with all tasks on it. */
-  noteRemoved(machine: Machine, reason: string): void;
+  /** Called when the cloud has confirmed that a machine is gone, with all tasks on it. */
+  onMachineRemoved(machine: Machine, reason: string): void;
 }
 
-/** What an autoscaler works with. */
+/** What an autoscaler depends on. */
 export interface AutoscalerDependencies {
   readonly cloud: CloudClient;
   readonly catalog: MachineCatalog;
-  /** The epoch of the leader: prefixes the ids of scale-out requests, which are never used again. */
+  /** The epoch of the leader. It prefixes the ids of scale-out requests, so that no id is ever reused. */
   readonly epoch: Epoch;
   readonly settings: Settings;
   readonly operator: OperatorSettings;
@@ -72,35 +72,35 @@
   readonly log: Logger;
 }
 
-/** A call to the cloud with all that follows from its answer; false if it was not answered. */
-type CloudCall = () => Promise<boolean>;
+/** Sends a request to the cloud and applies its response; false if the cloud did not respond. */
+type CloudRequest = () => Promise<boolean>;
 
 const MACHINE_TYPES_INTERVAL = seconds(60);
 const MIN_LIST_INTERVAL = seconds(4);
 const PLAN_INTERVAL = seconds(1);
-/** The pause between a call that was answered and the next one. */
-const NEXT_CALL_DELAY = ms(1);
-const MIN_FAILURE_PAUSE = ms(500);
-const MAX_FAILURE_PAUSE = seconds(5);
-/** The usual boot of a machine whose type is unknown. */
+/** The delay between a response and the next request. */
+const NEXT_REQUEST_DELAY = ms(1);
+const MIN_FAILURE_BACKOFF = ms(500);
+const MAX_FAILURE_BACKOFF = seconds(5);
+/** The expected boot time of a machine whose type is unknown. */
 const DEFAULT_BOOT_TIME = seconds(60);
-/** The most machines that are rented by one plan. */
-const MAX_NEW_MACHINES = 100;
+/** The maximum number of machines that one plan rents. */
+const MAX_MACHINES_PER_PLAN = 100;
 
 /**
- * Makes one cloud call at a time, the most useful one first. A scale-out request that was not answered is
- * repeated under the same id until it is, so that no machine is rented unnoticed.
+ * Sends one cloud request at a time, the most useful one first. A scale-out request without a response is
+ * retried under the same id until the cloud responds, so that no machine is rented unnoticed.
  */
 export class Autoscaler {
-  /** Called when the machine types were read and differ from those known by more than prices. */
+  /** Called when the machine types read from the cloud differ from the known ones by more than prices. */
   onMachineTypesChanged: (() => void) | undefined;
-  private closed = false;
-  private callInFlight = false;
+  private isClosed = false;
+  private hasRequestInFlight = false;
   private nextTick: Timer | undefined;
   private pendingRequest: ScaleOutRequest | undefined;
   private plannedRequests: PlannedScaleOut[] = [];
   private requestCounter = 0;
-  private readonly refusals: OfferRefusals;
+  private readonly offerBackoff: OfferBackoff;
   private readonly backoff: Backoff;
   private machineTypesReadAt: SteadyMs | undefined;
   private listReadAt: SteadyMs | undefined;
@@ -110,49 +110,53 @@
     private readonly view: ClusterView,
     private readonly deps: AutoscalerDependencies,
   ) {
-    this.refusals = new OfferRefusals(deps.random);
-    this.backoff = new Backoff(deps.clock, deps.random, MIN_FAILURE_PAUSE, MAX_FAILURE_PAUSE);
+    this.offerBackoff = new OfferBackoff(deps.random);
+    this.backoff = new Backoff(deps.clock, deps.random, MIN_FAILURE_BACKOFF, MAX_FAILURE_BACKOFF);
   }
 
-  /** Makes no further calls. One that is in flight is carried out, and its result is noted. */
+  /** Sends no further requests. A request in flight completes, and its response is still applied. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.nextTick?.cancel();
   }
 
-  /** Makes the next call if one is due and the last one is over. */
+  /** Sends the next request if one is due and none is in flight. */
   tick(): void {
-    if (this.closed || this.callInFlight) return;
-    if (this.backoff.remaining() > 0 || !this.deps.cloud.isReady()) return;
-    const call = this.nextCall(this.deps.clock.steady());
-    if (!call) return;
-    this.callInFlight = true;
-    detach(this.perform(call), this.deps.log, 'cloud call');
+    if (this.isClosed || this.hasRequestInFlight) return;
+    if (this.backoff.remaining() > 0 || !this.deps.cloud.canSendRequest()) return;
+    const request = this.nextRequest(this.deps.clock.steady());
+    if (!request) return;
+    this.hasRequestInFlight = true;
+    detach(this.executeRequest(request), this.deps.log, 'cloud request');
   }
 
-  private async perform(call: CloudCall): Promise<void> {
-    let isAnswered = false;
+  private async executeRequest(sendRequest: CloudRequest): Promise<void> {
+    let hasResponse = false;
     try {
-      isAnswered = await call();
+      hasResponse = await sendRequest();
     } catch (error) {
-      this.deps.log.error({ err: error }, 'cloud step failed');
+      this.deps.log.error(
+        { err: error },
+        'autoscaler failed during a cloud request; retrying after a backoff',
+      );
     }
-    this.callInFlight = false;
-    if (isAnswered) {
+    this.hasRequestInFlight = false;
+    if (hasResponse) {
       this.backoff.noteSuccess();
-      if (!this.closed) this.nextTick = this.deps.clock.after(NEXT_CALL_DELAY, () => this.tick());
+      if (!this.isClosed)
+        this.nextTick = this.deps.clock.after(NEXT_REQUEST_DELAY, () => this.tick());
     } else this.backoff.noteFailure();
   }
 
-  /** The most useful call that is due. */
-  private nextCall(now: SteadyMs): CloudCall | undefined {
+  /** Returns the most useful request that is due. */
+  private nextRequest(now: SteadyMs): CloudRequest | undefined {
     if (!this.deps.catalog.isKnown) return () => this.readMachineTypes(now);
     const lost = this.lostMachines(now);
     if (lost.length > 0) return () => this.deleteMachines(lost);
-    const request = this.nextRequest(now);
+    const request = this.nextScaleOutRequest(now);
     if (request) return () => this.scaleOut(request);
     const listInterval = Math.max(MIN_LIST_INTERVAL, this.deps.settings.cloud.listLag);
-    if (isDue(this.listReadAt, listInterval, now)) return () => this.readList(now);
+    if (isDue(this.listReadAt, listInterval, now)) return () => this.readMachineList(now);
     const idle = this.idleMachines(now);
     if (idle.length > 0) return () => this.deleteMachines(idle);
     if (isDue(this.machineTypesReadAt, MACHINE_TYPES_INTERVAL, now)) {
@@ -164,14 +168,14 @@
   // --- machine types and the list of machines -----------------------------------------------------
 
   private async readMachineTypes(now: SteadyMs): Promise<boolean> {
-    const types = await this.deps.cloud.machineTypes();
+    const types = await this.deps.cloud.listMachineTypes();
     if (!types) return false;
     this.machineTypesReadAt = now;
     if (this.deps.catalog.update(types)) this.onMachineTypesChanged?.();
     return true;
   }
 
-  private async readList(now: SteadyMs): Promise<boolean> {
+  private async readMachineList(now: SteadyMs): Promise<boolean> {
     const listed = await this.deps.cloud.listMachines();
     if (!listed) return false;
     this.listReadAt = now;
@@ -182,8 +186,8 @@
 
   // --- scale-out ----------------------------------------------------------------------------------
 
-  /** The request that was not answered yet, or the next one of the plan. */
-  private nextRequest(now: SteadyMs): ScaleOutRequest | undefined {
+  /** Returns the request that has no response yet, or the next one of the plan. */
+  private nextScaleOutRequest(now: SteadyMs): ScaleOutRequest | undefined {
     if (this.pendingRequest) return this.pendingRequest;
     if (isDue(this.plannedAt, PLAN_INTERVAL, now)) {
       this.plannedAt = now;
@@ -211,7 +215,7 @@
       isFleetEmpty: fleet.machines.size === 0,
       now: clock.wall(),
     });
-    // Anticipated work comes last: jobs that wait already are served first.
+    // Anticipated work comes last, since jobs that already wait get machines first.
     const demands = [...queued, ...anticipatedDemand(this.view.anticipatedWork())];
     if (demands.length === 0) return [];
     const specOf = (job: JobId): JobSpec | undefined => this.view.specOf(job);
@@ -219,8 +223,8 @@
       ...currentSupply({ fleet, catalog, epoch, now, specOf }),
       demands,
       machineTypes,
-      refusedOffers: this.refusals.pausedOffers(now),
-      maxMachines: MAX_NEW_MACHINES,
+      refusedOffers: this.offerBackoff.offersInBackoff(now),
+      maxMachines: MAX_MACHINES_PER_PLAN,
     });
   }
 
@@ -232,33 +236,39 @@
     const offer: Offer = { machineType, zone, spot };
     const context = { request: requestId, ...offer };
     if (result.kind === 'retry') {
-      log.info({ request: requestId, reason: result.reason }, 'rental not answered');
+      log.info(
+        { request: requestId, reason: result.reason },
+        'cloud did not complete a scale-out request; retrying it under the same id',
+      );
       return false;
     }
     this.pendingRequest = undefined;
     switch (result.kind) {
       case 'rented':
-        log.info({ ...context, count: result.machines.length }, 'rented');
-        this.noteRented(result.machines, offer, now);
-        if (result.machines.length < request.count) this.refusals.noteRefused(offer, now);
-        else this.refusals.noteGranted(offer);
+        log.info({ ...context, count: result.machines.length }, 'cloud rented machines');
+        this.recordRented(result.machines, offer, now);
+        if (result.machines.length < request.count) this.offerBackoff.recordRefusal(offer, now);
+        else this.offerBackoff.recordGrant(offer);
         break;
       case 'noCapacity':
-        this.refusals.noteRefused(offer, now);
-        log.info(context, 'no capacity');
+        this.offerBackoff.recordRefusal(offer, now);
+        log.info(context, 'cloud has no capacity for this offer; trying other offers meanwhile');
         break;
       case 'malformed':
-        this.refusals.noteRefused(offer, now);
-        log.error(context, 'rental refused as malformed');
+        this.offerBackoff.recordRefusal(offer, now);
+        log.error(
+          context,
+          'cloud refused a scale-out request as malformed; trying other offers meanwhile',
+        );
         break;
     }
     return true;
   }
 
-  private noteRented(machines: readonly MachineId[], offer: Offer, now: SteadyMs): void {
+  private recordRented(machines: readonly MachineId[], offer: Offer, now: SteadyMs): void {
     const { fleet } = this.view;
     for (const id of machines) {
-      // A late answer may name machines that have come and gone since.
+      // A late response may name machines that have already gone again.
       if (fleet.isGone(id)) continue;
       const machine = fleet.observe(id, offer, '');
       machine.rentedAt ??= now;
@@ -271,19 +281,19 @@
   private lostMachines(now: SteadyMs): Machine[] {
     const { catalog, settings } = this.deps;
     const { heartbeatInterval, lease } = settings.workers;
-    const lost = lostMachines(this.view.fleet.machines.values(), {
+    const lost = findLostMachines(this.view.fleet.machines.values(), {
       now,
-      answeringSince: this.view.answeringSince(),
+      respondingSince: this.view.respondingSince(),
       heartbeatInterval,
       lease,
-      bootTime: (name) => bootTimeOf(name, catalog),
+      bootTimeOf: (name) => bootTimeOf(name, catalog),
       unreachableAt: this.view.unreachableAt,
     });
     return lost.slice(0, MAX_MACHINES_PER_DELETE);
   }
 
   private idleMachines(now: SteadyMs): Machine[] {
-    const idle = idleMachines({
+    const idle = findIdleMachines({
       fleet: this.view.fleet,
       catalog: this.deps.catalog,
       idleBootTimes: this.deps.operator.idleBootTimes,
@@ -296,17 +306,17 @@
   private async deleteMachines(machines: readonly Machine[]): Promise<boolean> {
     for (const machine of machines) {
       machine.isDecommissioning = true;
-      // From here on it may go at any time, however late the request is carried out.
-      machine.deleteSent = true;
+      // From here on the machine may be deleted at any time, since the request may be executed late.
+      machine.isDeleteSent = true;
     }
     const isConfirmed = await this.deps.cloud.deleteMachines(machines.map(({ id }) => id));
     if (!isConfirmed) return false;
-    for (const machine of machines) this.view.noteRemoved(machine, 'deleted');
+    for (const machine of machines) this.view.onMachineRemoved(machine, 'deleted');
     return true;
   }
 }
 
-/** Whether something last done at a time, if ever, is due again. */
+/** Whether something that was last done at `last`, if ever, is due again. */
 const isDue = (last: SteadyMs | undefined, interval: number, now: SteadyMs): boolean =>
   last === undefined || durationBetween(last, now) >= interval;
 
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -95,7 +95,7 @@
     // A stale heartbeat gets a response too, and its worker then renews the lease from when the heartbeat was sent.
     machine.extendLease(workerLeaseEnd(now, lease));
     if (!isFresh) return this.emptyResponse;
-    machine.relayNode = relayId;
+    machine.relayControllerId = relayId;
     if (!wasUp) onMachineUp();
     observer.observe(machine, status, 'heartbeat');
     return { fencingToken: epoch, commands: responseCommands.commandsForResponse(machine, status) };
--- a/src/leader/machine-loss-handler.ts
+++ b/src/leader/machine-loss-handler.ts
@@ -27,7 +27,7 @@
       machine.expireLease();
       this.placements.releaseMachine(machine, 'worker lease expired');
     }
-    this.fleet.forgetGone(now);
+    this.fleet.pruneGoneMachines(now);
   }
 
   /** Removes a machine of which the cloud responded that it is deleted or has stopped on its own. */
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -1,6 +1,6 @@
 /** Reconciles the status of a machine with the placements that the job records have there. */
-import { isProvenAbsent } from '../fleet/absence.js';
-import type { AssignedTask } from '../fleet/load.js';
+import { isProvenAbsent } from '../fleet/attempt-absence.js';
+import type { AssignedTask } from '../fleet/machine-load.js';
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey, type StatusSource, type WorkerStatus } from '../fleet/worker-status.js';
 import type { Job, Placement } from '../ledger/job.js';
@@ -38,7 +38,7 @@
       if (task.state !== TaskState.exited) hasRunningTask = true;
       this.observeTask(machine, task, now);
     }
-    this.placements.fleet.sweepOrphans(machine, status);
+    this.placements.fleet.removeEndedOrphans(machine, status);
     for (const [key, assigned] of [...machine.assignments])
       this.reconcileAssignment(machine, key, assigned, status, source);
     if (machine.assignments.size > 0 || hasRunningTask) machine.idleSince = undefined;
@@ -53,7 +53,7 @@
     const placement = placementOfAttempt(job, index, machine.id, task.attempt);
     if (task.state !== TaskState.exited) {
       if (job && placement) this.observeActiveTask(machine, job, index, placement, task);
-      else this.placements.fleet.noteOrphan(taskKey(ref.job, index), machine.id);
+      else this.placements.fleet.recordOrphan(taskKey(ref.job, index), machine.id);
     } else if (task.exitReason === ExitReason.done) {
       // The task is done no matter which of its attempts has completed.
       if (job && !job.isDone(index)) this.observeCompletion(machine, job, index);
@@ -78,11 +78,11 @@
     placement.isReported = true;
     if (task.state !== TaskState.running) return;
     if (!placement.hasRun) this.recordStart(machine, job, index, placement);
-    machine.noteImageUse(job.spec.image, job.spec.imageSizeGb);
+    machine.recordImageUse(job.spec.image, job.spec.imageSizeGb);
   }
 
   private observeCompletion(machine: Machine, job: Job, index: number): void {
-    machine.noteImageUse(job.spec.image, job.spec.imageSizeGb);
+    machine.recordImageUse(job.spec.image, job.spec.imageSizeGb);
     if (job.isGang) this.placements.completeGang(job);
     else this.placements.completeTask(job, index);
   }
@@ -107,7 +107,7 @@
       source,
       attempt,
       start: placement,
-      unacknowledgedStarts: machine.pushedStarts.unacknowledged,
+      unacknowledgedStarts: machine.directStarts.unacknowledged,
       epoch: this.epoch,
     };
     if (isProvenAbsent(evidence))
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -160,12 +160,12 @@
     const autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        answeringSince: () => this.contactHistory.respondingSince,
+        respondingSince: () => this.contactHistory.respondingSince,
         unreachableAt: this.contactHistory.unreachableAt,
         queue: () => this.scheduler.queue(),
         specOf: (id) => this.ledger.jobs.get(id)?.spec,
         anticipatedWork: () => this.scheduler.anticipatedSubmissions(),
-        noteRemoved: (machine, reason) => this.machineLossHandler.remove(machine, reason),
+        onMachineRemoved: (machine, reason) => this.machineLossHandler.remove(machine, reason),
       },
       { cloud, catalog, epoch: this.epoch, settings, operator, clock, random, log },
     );
