--- a/src/api/job-queries.ts
+++ b/src/api/job-queries.ts
@@ -40,7 +40,7 @@
 
   private async readFromStore(id: string): Promise<Reply> {
     const askedAt = this.clock.steady();
-    const stored = await this.jobRecords.lookup(JobId(id));
+    const stored = await this.jobRecords.lookUp(JobId(id));
     // What is not final may have changed while a late answer was under way, and its user may know that.
     const isLate = durationBetween(askedAt, this.clock.steady()) > STORE_ANSWER_TTL;
     return isLate && stored.kind !== 'final' ? TRY_AGAIN : storedJobReply(id, stored);
@@ -76,7 +76,7 @@
     const until = later(this.clock.steady(), CANCEL_WATCH_TIME);
     while (this.clock.steady() < until) {
       await sleep(this.clock, CANCEL_POLL_INTERVAL);
-      const stored = await this.jobRecords.lookup(JobId(id));
+      const stored = await this.jobRecords.lookUp(JobId(id));
       if (stored.kind === 'final' || (stored.kind === 'live' && stored.job.isCancelled)) {
         return storedJobReply(id, stored);
       }
--- a/src/api/job-replies.ts
+++ b/src/api/job-replies.ts
@@ -1,6 +1,6 @@
 /** Replies about a job, by what is known of it. */
 import type { StoredJob } from '../ledger/job-records.js';
-import { statusOf, type FinalState, type Job } from '../ledger/job.js';
+import { jobStatusOf, type FinalState, type Job } from '../ledger/job.js';
 import type { JobAnswer } from '../leader/job-requests.js';
 import { ms, type DurationMs } from '../units/index.js';
 import { JobStatus, encodeJobState } from '../wire/index.js';
@@ -54,7 +54,10 @@
   // Only what is committed is shown; a cancellation that a follower wrote is.
   const cancelled =
     job.committedProgress.isCancelled || (job.isCancelled && job.committedVersion >= job.version);
-  const status = statusOf({ ...job.committedProgress, isCancelled: cancelled }, job.spec.taskCount);
+  const status = jobStatusOf(
+    { ...job.committedProgress, isCancelled: cancelled },
+    job.spec.taskCount,
+  );
   return encodeJobState({
     id: job.id,
     status,
--- a/src/api/submissions.ts
+++ b/src/api/submissions.ts
@@ -3,7 +3,7 @@
  * The leader commits; a node that can't reach one writes the record itself, if there is none.
  */
 import type { Logger } from 'pino';
-import type { AdmissionControl } from '../ledger/admission.js';
+import type { AdmissionControl } from '../ledger/admission-control.js';
 import type { JobRecords } from '../ledger/job-records.js';
 import type { SubmitOutcome } from '../leader/job-requests.js';
 import type { Term } from '../leader/term.js';
@@ -74,7 +74,7 @@
     if (!parsed.ok) {
       return { kind: 'refused', refusal: { status: 400, body: { error: parsed.reason } } };
     }
-    const verdict = this.deps.admission.judge(parsed.value);
+    const verdict = this.deps.admission.check(parsed.value);
     switch (verdict.kind) {
       case 'impossible':
         return { kind: 'refused', refusal: { status: 422, body: { error: verdict.reason } } };
@@ -116,7 +116,7 @@
   /** No leader can be reached: the record is written by this node, if there is none. */
   private async writeRecord(spec: JobSpec): Promise<CommitOutcome> {
     const { clock, jobRecords } = this.deps;
-    const wait = jobRecords.createWait();
+    const wait = jobRecords.creationWait();
     if (wait > MAX_WRITE_WAIT) return { kind: 'busy', wait };
     const askedAt = clock.steady();
     const result = await jobRecords.create(spec);
--- a/src/api/user-requests.ts
+++ b/src/api/user-requests.ts
@@ -4,7 +4,7 @@
  * a leader.
  */
 import type { Logger } from 'pino';
-import type { AdmissionControl } from '../ledger/admission.js';
+import type { AdmissionControl } from '../ledger/admission-control.js';
 import type { JobRecords } from '../ledger/job-records.js';
 import type { UserPeerRequest } from '../peer/messages.js';
 import { ms, type Clock } from '../units/index.js';
--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -14,7 +14,7 @@
 import type { Settings } from '../config/settings.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
-import type { QueueEntry } from '../ledger/queue-order.js';
+import type { QueueEntry } from '../ledger/placement-order.js';
 import { Backoff } from '../store/backoff.js';
 import { detach } from '../units/detach.js';
 import {
--- a/src/capacity/demand.ts
+++ b/src/capacity/demand.ts
@@ -2,7 +2,7 @@
 import type { Objective } from '../config/settings.js';
 import { fits, machineResources, taskResources, type Resources } from '../fleet/resources.js';
 import { isGang } from '../ledger/job.js';
-import { isUrgent, nextDeadline, type QueueEntry } from '../ledger/queue-order.js';
+import { isUrgent, nextDeadline, type QueueEntry } from '../ledger/placement-order.js';
 import { ms, seconds, type DurationMs, type WallMs } from '../units/index.js';
 import type { JobSpec, MachineType } from '../wire/index.js';
 import { NEVER, NO_WAIT, type Demand } from './types.js';
@@ -71,7 +71,7 @@
   const urgencyShare = isUrgent(job.spec.priority) ? URGENT_WAIT_SHARE : 1;
   return {
     ...constraints,
-    taskCount: job.waiting.size,
+    taskCount: job.waitingTasks.size,
     acceptableWait: ms(bootTime * ACCEPTABLE_WAIT_BOOTS * urgencyShare),
     maxWait: maxWaitOf(job, constraints.expectedRuntime, bootTime, context),
   };
--- a/src/capacity/supply.ts
+++ b/src/capacity/supply.ts
@@ -3,7 +3,7 @@
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
 import { machineResources, subtract, type Resources } from '../fleet/resources.js';
-import { isUrgent } from '../ledger/queue-order.js';
+import { isUrgent } from '../ledger/placement-order.js';
 import { ms, durationBetween, type Epoch, type JobId, type SteadyMs } from '../units/index.js';
 import type { JobSpec, MachineType } from '../wire/index.js';
 import { offerKey, type AvailableCapacity, type Offer, type Turnover } from './types.js';
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -9,7 +9,7 @@
 import { MachineCatalog } from './cloud/machine-catalog.js';
 import type { OperatorSettings } from './config/operator.js';
 import type { Settings } from './config/settings.js';
-import { AdmissionControl } from './ledger/admission.js';
+import { AdmissionControl } from './ledger/admission-control.js';
 import { JobRecords } from './ledger/job-records.js';
 import { RecordLimits } from './ledger/record-limits.js';
 import { Election } from './leader/election.js';
--- a/src/fleet/absence.ts
+++ b/src/fleet/absence.ts
@@ -8,7 +8,7 @@
   /** Placed by an earlier leader, which may have pushed the start without recording that. */
   readonly isInherited: boolean;
   /** The heartbeat whose reply last carried the start; undefined if none did. */
-  readonly sentInReplyTo?: MessageOrder;
+  readonly startSentInResponseTo?: MessageOrder;
 }
 
 /** What is known of one attempt and of its machine. */
@@ -44,7 +44,7 @@
   if (reported && reported.state !== TaskState.exited) return false;
   if (unacknowledgedStarts.has(attempt)) return false;
   if (start.isInherited && status.fencingToken < epoch) return false;
-  const { sentInReplyTo } = start;
-  if (!sentInReplyTo || status.session > sentInReplyTo.session) return true;
-  return source === 'heartbeat' && status.sequence > sentInReplyTo.sequence;
+  const { startSentInResponseTo } = start;
+  if (!startSentInResponseTo || status.session > startSentInResponseTo.session) return true;
+  return source === 'heartbeat' && status.sequence > startSentInResponseTo.sequence;
 }
--- a/src/leader/anticipated-work.ts
+++ b/src/leader/anticipated-work.ts
@@ -4,7 +4,7 @@
  */
 import type { Objective } from '../config/settings.js';
 import { isGang } from '../ledger/job.js';
-import { isUrgent } from '../ledger/queue-order.js';
+import { isUrgent } from '../ledger/placement-order.js';
 import type { ImageReserve } from '../placer/placer.js';
 import { seconds, durationBetween, type SteadyMs } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
--- a/src/leader/attempt-clearance.ts
+++ b/src/leader/attempt-clearance.ts
@@ -32,7 +32,7 @@
     if (pushedStarts.isUnacknowledged(attempt)) return false;
     const isDone = status.exitReason === ExitReason.done;
     // The worker's status is the only record of a completion until the store has it.
-    if (isDone && job && !(job.isDone(ref.index) && areCompletionsStored(job))) return false;
+    if (isDone && job && !(job.isTaskDone(ref.index) && areCompletionsStored(job))) return false;
     if (!pushedStarts.isAcknowledged(attempt)) return true;
     // A completed task that is started again ends at once, which is harmless unless it must not run at all.
     if (isDone && !this.mustNotRunAgain(job, this.ledger.finalState(ref.job))) {
--- a/src/leader/command-sender.ts
+++ b/src/leader/command-sender.ts
@@ -132,7 +132,7 @@
     for (const [key, assigned] of [...machine.assignments]) {
       const job = this.jobs.get(assigned.job);
       const placement = job?.placements.get(assigned.index);
-      if (!job || !placement || placement.sentInReplyTo || placement.isReported) continue;
+      if (!job || !placement || placement.startSentInResponseTo || placement.isReported) continue;
       if (!unsent.has(attemptKey(key, assigned.attempt))) continue;
       this.placements.requeueTask(job, assigned.index, 'its start was not sent');
     }
--- a/src/leader/fleet-log.ts
+++ b/src/leader/fleet-log.ts
@@ -61,8 +61,8 @@
   private waitingTasksByClass(): Record<string, number> {
     const waiting: Record<string, number> = {};
     for (const job of this.deps.ledger.jobs.values()) {
-      if (job.isCancelled || job.waiting.size === 0) continue;
-      waiting[job.spec.jobClass] = (waiting[job.spec.jobClass] ?? 0) + job.waiting.size;
+      if (job.isCancelled || job.waitingTasks.size === 0) continue;
+      waiting[job.spec.jobClass] = (waiting[job.spec.jobClass] ?? 0) + job.waitingTasks.size;
     }
     return waiting;
   }
--- a/src/leader/gang-controller.ts
+++ b/src/leader/gang-controller.ts
@@ -82,7 +82,7 @@
   private stateOf(job: Job): GangState {
     return {
       taskCount: job.spec.taskCount,
-      waitingCount: job.waiting.size,
+      waitingCount: job.waitingTasks.size,
       doneCount: job.doneCount,
       tasks: Array.from(job.placements.values(), (placement) => this.taskOf(placement)),
       checkpointTime: canSave(job) ? seconds(job.spec.checkpointSeconds) : undefined,
--- a/src/leader/job-requests.ts
+++ b/src/leader/job-requests.ts
@@ -43,7 +43,7 @@
   readonly placements: PlacementIndex;
   readonly commands: Pick<CommandSender, 'schedulePush'>;
   readonly scheduler: Pick<Scheduler, 'forecast' | 'schedulePlacing' | 'placeWaiting'>;
-  readonly jobRecords: Pick<JobRecords, 'lookup'>;
+  readonly jobRecords: Pick<JobRecords, 'lookUp'>;
   readonly clock: Clock;
 }
 
@@ -97,7 +97,7 @@
   async find(id: JobId): Promise<JobAnswer> {
     const known = await this.latestInMemory(id);
     if (known) return known.kind === 'live' && known.job.revision === 0 ? UNKNOWN : known;
-    const stored = await this.deps.jobRecords.lookup(id);
+    const stored = await this.deps.jobRecords.lookUp(id);
     if (this.closed) return UNKNOWN;
     switch (stored.kind) {
       case 'live':
@@ -105,7 +105,7 @@
         if (!this.inMemory(id)) this.adopt(stored.job);
         return this.inMemory(id) ?? UNKNOWN;
       case 'final':
-        this.deps.ledger.rememberFinal(id, stored.final);
+        this.deps.ledger.cacheFinalState(id, stored.final);
         return stored;
       case 'absent':
       case 'unknown':
@@ -137,7 +137,7 @@
     ledger.insert(job);
     scheduler.forecast.noteSubmission(job.spec, clock.steady());
     placements.addJob(job);
-    if (job.isSettled) job.markChanged(WritePriority.jobEnd);
+    if (job.isFinished) job.markChanged(WritePriority.jobEnd);
     scheduler.schedulePlacing();
   }
 
--- a/src/leader/machine-probe.ts
+++ b/src/leader/machine-probe.ts
@@ -79,7 +79,7 @@
     // Replies that carried starts went to the machine as it was before the restart.
     for (const assigned of machine.assignments.values()) {
       const placement = jobs.get(assigned.job)?.placements.get(assigned.index);
-      if (placement) delete placement.sentInReplyTo;
+      if (placement) delete placement.startSentInResponseTo;
     }
   }
 }
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -94,7 +94,7 @@
     const { machine } = placement;
     this.log.debug({ job: job.id, index, machine, reason }, 'task is free again');
     this.releaseTask(job, index);
-    job.requeue(index);
+    job.requeueTask(index);
     this.checkGang(job);
   }
 
@@ -110,13 +110,13 @@
 
   completeTask(job: Job, index: number): void {
     this.releaseTask(job, index);
-    job.complete(index);
+    job.completeTask(index);
   }
 
   /** When one task of a gang is done, all of them are, whatever becomes of their machines. */
   completeGang(job: Job): void {
     for (let index = 0; index < job.spec.taskCount; index++) {
-      if (!job.isDone(index)) this.completeTask(job, index);
+      if (!job.isTaskDone(index)) this.completeTask(job, index);
     }
   }
 
@@ -144,7 +144,7 @@
     const { evictionGraceSeconds } = placement;
     if (evictionGraceSeconds !== undefined && evictionGraceSeconds <= graceSeconds) return;
     placement.evictionGraceSeconds = graceSeconds;
-    placement.isStopPushed = false;
+    placement.isStopSentDirectly = false;
     this.stoppingCpus.set(taskKey(job.id, index), job.spec.cpus);
   }
 
@@ -185,7 +185,8 @@
 
 /** Whether the tasks of a job are not all in the same state: placed, waiting or done. */
 const isDivided = (job: Job): boolean =>
-  [job.placements.size, job.waiting.size, job.doneCount].filter((count) => count > 0).length > 1;
+  [job.placements.size, job.waitingTasks.size, job.doneCount].filter((count) => count > 0).length >
+  1;
 
 /** Whether a task of the job can save a checkpoint when it is stopped. */
 export const canSave = (job: Job): boolean => job.spec.checkpointIntervalSeconds > 0;
--- a/src/leader/placement-state.ts
+++ b/src/leader/placement-state.ts
@@ -20,8 +20,8 @@
 export const isStartUnsent = (placement: Placement): boolean =>
   !placement.isInherited &&
   !placement.isReported &&
-  !placement.isStartPushed &&
-  !placement.sentInReplyTo;
+  !placement.isStartSentDirectly &&
+  !placement.startSentInResponseTo;
 
 /** Whether the task is to be stopped, because its job is cancelled or it has to make way. */
 export const isToBeStopped = (job: Job, placement: Placement): boolean =>
--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -1,7 +1,7 @@
 /** Stops less urgent tasks that have only just started, where urgent ones find no capacity. */
 import type { Machine } from '../fleet/machine.js';
 import type { Job } from '../ledger/job.js';
-import { isUrgent, rankOf, type QueueEntry } from '../ledger/queue-order.js';
+import { isUrgent, priorityRankOf, type QueueEntry } from '../ledger/placement-order.js';
 import { isAllowed, type Assignment, type RemainingQuota } from '../placer/placer.js';
 import { durationBetween, type DurationMs, type MachineId, type SteadyMs } from '../units/index.js';
 import { JobKind } from '../wire/index.js';
@@ -48,7 +48,7 @@
       if (budget <= 0) return;
       if (!isUrgent(job.spec.priority)) continue;
       const assigned = assignments.filter((assignment) => assignment.job === job.id).length;
-      const unplaced = job.waiting.size - assigned;
+      const unplaced = job.waitingTasks.size - assigned;
       let missingCpus = unplaced * job.spec.cpus - this.placements.cpusBeingFreed;
       if (unplaced <= 0 || missingCpus <= 0) continue;
       // Freed capacity would not help a team that has used up its quota.
@@ -92,7 +92,7 @@
 /** Only array tasks of less urgent jobs, unless they are being stopped already. */
 function isPreemptibleFor(job: Job, { job: other, placement }: RecentStart): boolean {
   return (
-    rankOf(other.spec.priority) > rankOf(job.spec.priority) &&
+    priorityRankOf(other.spec.priority) > priorityRankOf(job.spec.priority) &&
     !other.isCancelled &&
     other.spec.kind === JobKind.array &&
     placement.evictionGraceSeconds === undefined
--- a/src/leader/push-commands.ts
+++ b/src/leader/push-commands.ts
@@ -34,7 +34,7 @@
     if (!job || !placement || !isCommitted(job, placement)) continue;
     if (isToBeStopped(job, placement)) addStop(push, key, attempt, job, placement);
     else if (mayStartHere && isStartUnsent(placement)) {
-      placement.isStartPushed = true;
+      placement.isStartSentDirectly = true;
       addStart(push, machine, key, attempt);
     }
   }
@@ -48,8 +48,8 @@
   job: Job,
   placement: Placement,
 ): void {
-  if (placement.isStopPushed || isStartUnsent(placement)) return;
-  placement.isStopPushed = true;
+  if (placement.isStopSentDirectly || isStartUnsent(placement)) return;
+  placement.isStopSentDirectly = true;
   const graceSeconds = job.isCancelled ? 0 : (placement.evictionGraceSeconds ?? 0);
   commands.push(kill(key, attempt, graceSeconds));
 }
--- a/src/leader/rebuild.ts
+++ b/src/leader/rebuild.ts
@@ -1,6 +1,6 @@
 /** What a new leader does first: it reads the records of all live jobs. */
 import type { Logger } from 'pino';
-import { decodeJob } from '../ledger/codec.js';
+import { decodeJob } from '../ledger/job-codec.js';
 import { LIVE_PREFIX } from '../ledger/store-keys.js';
 import type { Job } from '../ledger/job.js';
 import type { RecordLimits } from '../ledger/record-limits.js';
@@ -15,7 +15,7 @@
 /** What a rebuild needs of the rest of the node. */
 export interface RebuildDependencies {
   readonly store: Pick<StoreClient, 'list'>;
-  readonly recordLimits: Pick<RecordLimits, 'noteRecord'>;
+  readonly recordLimits: Pick<RecordLimits, 'onRecordRead'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
@@ -47,7 +47,7 @@
         for (const item of listed.items) {
           const id = JobId(item.key.slice(LIVE_PREFIX.length));
           try {
-            this.deps.recordLimits.noteRecord(item.data);
+            this.deps.recordLimits.onRecordRead(item.data);
             this.adopt(decodeJob(id, item.data, item.revision, now));
           } catch (error) {
             const message = 'unreadable record; the job waits for repair';
--- a/src/leader/reception-check.ts
+++ b/src/leader/reception-check.ts
@@ -59,9 +59,9 @@
     let isMissing = false;
     for (const [key, assigned] of machine.assignments) {
       const placement = this.jobs.get(assigned.job)?.placements.get(assigned.index);
-      if (!placement?.sentInReplyTo || placement.isReported) continue;
+      if (!placement?.startSentInResponseTo || placement.isReported) continue;
       if (status.byAttempt.has(attemptKey(key, assigned.attempt))) return 'visible';
-      isMissing ||= isAfter(status, placement.sentInReplyTo);
+      isMissing ||= isAfter(status, placement.startSentInResponseTo);
     }
     return isMissing ? 'missing' : 'noneExpected';
   }
--- a/src/leader/reply-commands.ts
+++ b/src/leader/reply-commands.ts
@@ -73,7 +73,7 @@
         isStartable(job, placement) &&
         (!machine.isDraining || machine.pushedStarts.isUnacknowledged(attempt))
       ) {
-        placement.sentInReplyTo = { session: status.session, sequence: status.sequence };
+        placement.startSentInResponseTo = { session: status.session, sequence: status.sequence };
         commands.push(launch(key, assigned.attempt));
       }
     }
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -1,7 +1,7 @@
 /** Decides where waiting tasks go, in placing rounds, and records the placements. */
 import { silenceThreshold } from '../capacity/lost-machines.js';
 import type { Machine } from '../fleet/machine.js';
-import { compareQueueEntries, queueEntryFor, type QueueEntry } from '../ledger/queue-order.js';
+import { compareQueueEntries, queueEntryFor, type QueueEntry } from '../ledger/placement-order.js';
 import { place, type Assignment, type RemainingQuota } from '../placer/placer.js';
 import type { DurationMs, Epoch, JobId, MachineId, SteadyMs } from '../units/index.js';
 import { AnticipatedWork, type AnticipatedSubmission } from './anticipated-work.js';
@@ -58,7 +58,7 @@
     const wall = this.deps.clock.wall();
     const queue: QueueEntry[] = [];
     for (const job of this.placements.ledger.jobs.values()) {
-      if (job.isCancelled || job.waiting.size === 0 || job.backoffUntil > now) continue;
+      if (job.isCancelled || job.waitingTasks.size === 0 || job.backoffUntil > now) continue;
       queue.push(queueEntryFor(job, this.deps.settings.objectives, wall, now));
     }
     return queue.sort(compareQueueEntries);
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -56,7 +56,7 @@
       else this.placements.fleet.noteOrphan(taskKey(ref.job, index), machine.id);
     } else if (task.exitReason === ExitReason.done) {
       // Whichever attempt has completed, the task is done.
-      if (job && !job.isDone(index)) this.observeCompletion(machine, job, index);
+      if (job && !job.isTaskDone(index)) this.observeCompletion(machine, job, index);
     } else if (job && placement) {
       this.placements.requeueTask(job, index, task.exitReason ?? 'exited');
       if (task.exitReason === ExitReason.failed)
--- a/src/leader/task-requests.ts
+++ b/src/leader/task-requests.ts
@@ -1,7 +1,7 @@
 /** Describes the waiting tasks of a job to the placer: how many may start now, and where. */
 import { taskResources } from '../fleet/resources.js';
 import type { Job } from '../ledger/job.js';
-import { isUrgent, type QueueEntry } from '../ledger/queue-order.js';
+import { isUrgent, type QueueEntry } from '../ledger/placement-order.js';
 import type { RecordLimits } from '../ledger/record-limits.js';
 import type { TaskRequest } from '../placer/placer.js';
 import { parseTaskKey, taskKey, type MachineId, type SteadyMs } from '../units/index.js';
@@ -36,7 +36,7 @@
     const hasPlacements = job.placements.size > 0;
     // The next attempt of a gang begins only when the one before is gone.
     const isGangHeld = job.isGang && hasPlacements;
-    const count = job.isGang ? job.waiting.size : taskCount;
+    const count = job.isGang ? job.waitingTasks.size : taskCount;
     const limits = { maxTasks: count, maxNewlyOpened: this.maxNewlyOpened(job), hasZoneRule };
     return {
       id: job.id,
@@ -74,7 +74,10 @@
   }
 
   private maxNewlyOpened(job: Job): number {
-    const maxOpen = this.recordLimits.openTasks(job.spec, this.placements.fleet.longestOtherName);
+    const maxOpen = this.recordLimits.maxOpenTasks(
+      job.spec,
+      this.placements.fleet.longestOtherName,
+    );
     return Math.max(0, maxOpen - job.openTaskCount);
   }
 
@@ -87,13 +90,13 @@
     { maxTasks, maxNewlyOpened, hasZoneRule }: PlaceableLimits,
   ): IterableIterator<number> {
     const { fleet } = this.placements;
-    const tail = job.waiting.last();
+    const tail = job.waitingTasks.lastRange();
     const tailStart = tail?.[1] === job.spec.taskCount ? tail[0] : Infinity;
     // An orphaned attempt counts for the zones too, but its zone is not known here; it is gone soon.
     if (hasZoneRule && this.hasOrphanedTask(job)) return;
     let tasksLeft = maxTasks;
     let newlyOpenedLeft = maxNewlyOpened;
-    for (const index of job.waiting.indexes()) {
+    for (const index of job.waitingTasks.indexes()) {
       if (tasksLeft <= 0) return;
       if (fleet.isOrphaned(taskKey(job.id, index))) continue;
       // Only tasks of the tail, of which none was ever placed, make the record grow; the others are counted already.
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -94,7 +94,7 @@
       onFinished: (job, final) => {
         log.info({ job: job.id, team: final.team, status: final.status }, 'job over');
       },
-      onDeposed: () => onDeposed(this.epoch),
+      onLeadershipLost: () => onDeposed(this.epoch),
     };
     return new Ledger({
       store,
@@ -232,7 +232,7 @@
   /** Placements are committed: their starts may leave. */
   private pushStarts(job: Job): void {
     for (const placement of job.placements.values()) {
-      const isStartDue = !placement.isReported && !placement.isStartPushed;
+      const isStartDue = !placement.isReported && !placement.isStartSentDirectly;
       if (isStartDue && placement.version <= job.committedVersion) {
         this.commands.schedulePush(placement.machine);
       }
--- a/src/ledger/admission.ts
+++ b/src/ledger/admission-control.ts
@@ -14,10 +14,10 @@
     private readonly recordLimits: RecordLimits,
   ) {}
 
-  judge(spec: JobSpec): Verdict {
+  check(spec: JobSpec): Verdict {
     // A gang is placed in one transaction, so all of it has to fit one record.
     const openTasks = isGang(spec) ? spec.taskCount : 1;
-    if (!this.recordLimits.canRecord(spec, openTasks)) {
+    if (!this.recordLimits.canStoreRecord(spec, openTasks)) {
       return {
         kind: 'impossible',
         reason: `${TASK_COUNT_FIELD}: its record would exceed the limits of the state service`,
--- a/src/ledger/batch.ts
+++ b/src/ledger/batch.ts
@@ -2,7 +2,7 @@
 import type { Epoch } from '../units/index.js';
 import type { Condition, Write } from '../wire/index.js';
 import { encodeFinal } from './final-record.js';
-import { WritePriority, type CommittedProgress, type FinalState, type Job } from './job.js';
+import { WritePriority, type JobProgress, type FinalState, type Job } from './job.js';
 import type { RecordLimits } from './record-limits.js';
 import { encodedSize } from './record-size.js';
 import { LEADER_KEY, finalKey, liveKey } from './store-keys.js';
@@ -16,7 +16,7 @@
 export interface PendingRecord {
   readonly job: Job;
   readonly version: number;
-  readonly progress: CommittedProgress;
+  readonly progress: JobProgress;
   /** Why it is written. */
   readonly writePriority: WritePriority;
   /** Set if the job ends with it. */
@@ -29,28 +29,28 @@
   readonly conditions: readonly Condition[];
   readonly writes: readonly Write[];
   /** Keys of notices that it deletes. */
-  readonly noticeKeys: readonly string[];
+  readonly inboxKeys: readonly string[];
 }
 
 /** What remains of a job once it is over. One that was never written can't be: nothing of it ran. */
 const finalStateOf = (job: Job): FinalState | undefined =>
-  job.isSettled && job.revision > 0 ? job.finalState() : undefined;
+  job.isFinished && job.revision > 0 ? job.finalState() : undefined;
 
 /** How many changes of a transaction the next record of a job takes. */
-export const changeCountOf = (job: Job): number => (finalStateOf(job) ? 2 : 1);
+export const operationCountOf = (job: Job): number => (finalStateOf(job) ? 2 : 1);
 
 /** Puts a transaction together. It holds at most `maxChanges` changes. */
 export class BatchBuilder {
   private readonly records: PendingRecord[] = [];
   private readonly conditions: Condition[];
   private readonly writes: Write[] = [];
-  private readonly noticeKeys: string[] = [];
+  private readonly inboxKeys: string[] = [];
   private bytes = 0;
 
   constructor(
     private readonly epoch: Epoch,
     private readonly limits: RecordLimits,
-    private readonly maxChanges: number,
+    private readonly maxOperations: number,
   ) {
     // Nothing that a deposed leader sends can apply.
     this.conditions = [{ key: LEADER_KEY, revision: epoch }];
@@ -61,15 +61,15 @@
   }
 
   /** Whether so many more changes fit. */
-  canHold(changes: number): boolean {
-    return this.writes.length + changes <= this.maxChanges;
+  hasRoomFor(operations: number): boolean {
+    return this.writes.length + operations <= this.maxOperations;
   }
 
   /** Adds the present record of a job; false if it is too large to go with the others. */
   add(job: Job): boolean {
     const finalState = finalStateOf(job);
     const { record, bytes } = finalState
-      ? sized(encodeFinal(finalState))
+      ? withEncodedSize(encodeFinal(finalState))
       : this.limits.encode(job, this.epoch);
     const size = bytes + KEY_BYTES;
     if (this.bytes > 0 && this.bytes + size > MAX_TRANSACTION_BYTES) return false;
@@ -102,18 +102,18 @@
   }
 
   /** Deletes a notice that was dealt with. */
-  deleteNotice(key: string): void {
+  deleteInboxEntry(key: string): void {
     this.writes.push({ delete: key });
-    this.noticeKeys.push(key);
+    this.inboxKeys.push(key);
   }
 
   build(): Batch {
-    const { records, conditions, writes, noticeKeys } = this;
-    return { records, conditions, writes, noticeKeys };
+    const { records, conditions, writes, inboxKeys } = this;
+    return { records, conditions, writes, inboxKeys };
   }
 }
 
-const sized = (record: unknown): { record: unknown; bytes: number } => ({
+const withEncodedSize = (record: unknown): { record: unknown; bytes: number } => ({
   record,
   bytes: encodedSize(record),
 });
--- a/src/ledger/commit-loop.ts
+++ b/src/ledger/commit-loop.ts
@@ -10,9 +10,9 @@
 import type { TransactionWriter } from './transaction-writer.js';
 
 /** Transactions under way at once: a slow one must not delay the others. */
-const MAX_IN_FLIGHT = 3;
+const MAX_TRANSACTIONS_IN_FLIGHT = 3;
 /** The pause after an error in the loop itself. */
-const ERROR_PAUSE = ms(200);
+const ERROR_RETRY_DELAY = ms(200);
 
 /** What the loop works with. */
 export interface CommitLoopOptions {
@@ -31,8 +31,8 @@
   private inFlight = 0;
   private isRunning = false;
   /** Asked for while it was running: it looks once more. */
-  private isRequested = false;
-  private closed = false;
+  private isRerunRequested = false;
+  private isClosed = false;
   /** When the timer is due, on the steady clock; `Infinity` if there is none. */
   private timerAt = Infinity;
   private timer: Timer | undefined;
@@ -40,28 +40,28 @@
   constructor(private readonly options: CommitLoopOptions) {}
 
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.timer?.cancel();
   }
 
   /** Looks for something to write, now or when the budgets allow. */
   schedule(): void {
-    if (this.closed) return;
+    if (this.isClosed) return;
     if (this.isRunning) {
-      this.isRequested = true;
+      this.isRerunRequested = true;
       return;
     }
     this.isRunning = true;
     this.run().catch((error: unknown) => {
       this.isRunning = false;
       this.options.log.error({ err: error }, 'commit loop failed');
-      this.scheduleAfter(ERROR_PAUSE);
+      this.scheduleAfter(ERROR_RETRY_DELAY);
     });
   }
 
   /** Looks again after a while; the earliest of several such requests counts. */
   private scheduleAfter(delay: DurationMs): void {
-    if (this.closed || delay === NEVER) return;
+    if (this.isClosed || delay === NEVER) return;
     const { clock } = this.options;
     // Whole steps of the clock: after a rest too small for it to advance, the same rest would be left for ever.
     const pause = ms(Math.max(1, Math.ceil(delay)));
@@ -79,8 +79,8 @@
     // All changes that are made in this turn go into one transaction.
     await Promise.resolve();
     do {
-      this.isRequested = false;
-      while (!this.closed && this.inFlight < MAX_IN_FLIGHT) {
+      this.isRerunRequested = false;
+      while (!this.isClosed && this.inFlight < MAX_TRANSACTIONS_IN_FLIGHT) {
         const pause = this.options.backoff.remaining();
         if (pause > 0) {
           this.scheduleAfter(pause);
@@ -90,7 +90,7 @@
         if (!batch) break;
         this.send(batch);
       }
-    } while (this.isRequested);
+    } while (this.isRerunRequested);
     this.isRunning = false;
   }
 
--- a/src/ledger/commit-queue.ts
+++ b/src/ledger/commit-queue.ts
@@ -8,15 +8,15 @@
   type SteadyMs,
 } from '../units/index.js';
 import { WritePriority, type Job } from './job.js';
-import { isUrgent } from './queue-order.js';
+import { isUrgent } from './placement-order.js';
 
 /** Progress that only saves repeated work after a failover is written at most this often for one job. */
-const PROGRESS_INTERVAL = ms(2000);
+const MIN_PROGRESS_INTERVAL = ms(2000);
 /**
  * How long each kind of change may be delayed by others when writes are scarce: changes are written in the order
  * of when they were made plus this. Admissions and cancellations go before all.
  */
-const MAX_DELAY: Record<Exclude<WritePriority, typeof WritePriority.none>, DurationMs> = {
+const MAX_WRITE_DELAY: Record<Exclude<WritePriority, typeof WritePriority.none>, DurationMs> = {
   [WritePriority.userRequest]: ms(0),
   [WritePriority.placement]: ms(400),
   [WritePriority.jobEnd]: ms(1000),
@@ -43,7 +43,7 @@
   const priority = priorityOf(job);
   if (priority === WritePriority.userRequest) return -Infinity;
   const isUrgentPlacement = priority === WritePriority.placement && isUrgent(job.spec.priority);
-  return changedAt + (isUrgentPlacement ? 0 : MAX_DELAY[priority]);
+  return changedAt + (isUrgentPlacement ? 0 : MAX_WRITE_DELAY[priority]);
 }
 
 /** The changes of one ledger that wait to be written. */
@@ -51,10 +51,10 @@
   /** Jobs with changes that no transaction has taken, and since when. */
   private readonly changedSince = new Map<Job, SteadyMs>();
   /** Jobs of a transaction that was refused as too large: each is tried by itself, and not before then. */
-  private readonly ownTransactionAt = new Map<Job, SteadyMs>();
+  private readonly ownTransactionNotBefore = new Map<Job, SteadyMs>();
   private readonly lastCommit = new Map<JobId, SteadyMs>();
   /** Keys of notices that were dealt with: they are deleted along with other changes. */
-  private readonly noticeKeys = new Set<string>();
+  private readonly handledInboxKeys = new Set<string>();
 
   /** `onChange` is called after each change of a tracked job. */
   constructor(
@@ -74,7 +74,7 @@
   /** Nothing more of this job is written. */
   untrack(job: Job): void {
     job.onChange = undefined;
-    this.ownTransactionAt.delete(job);
+    this.ownTransactionNotBefore.delete(job);
     this.changedSince.delete(job);
   }
 
@@ -92,8 +92,8 @@
     if (!this.changedSince.has(job)) this.changedSince.set(job, this.clock.steady());
   }
 
-  noteCommitted(job: Job): void {
-    this.ownTransactionAt.delete(job);
+  recordCommit(job: Job): void {
+    this.ownTransactionNotBefore.delete(job);
     this.lastCommit.set(job.id, this.clock.steady());
   }
 
@@ -105,28 +105,28 @@
 
   /** The job is written in a transaction by itself, and not before `time`. */
   retryInOwnTransaction(job: Job, time: SteadyMs): void {
-    this.ownTransactionAt.set(job, time);
+    this.ownTransactionNotBefore.set(job, time);
   }
 
   needsOwnTransaction(job: Job): boolean {
-    return this.ownTransactionAt.has(job);
+    return this.ownTransactionNotBefore.has(job);
   }
 
-  addNotice(key: string): void {
-    this.noticeKeys.add(key);
+  addHandledInboxKey(key: string): void {
+    this.handledInboxKeys.add(key);
   }
 
-  takeNotice(key: string): void {
-    this.noticeKeys.delete(key);
+  takeInboxKey(key: string): void {
+    this.handledInboxKeys.delete(key);
   }
 
   /** Keys of the notices that are to be deleted, oldest first. */
-  get notices(): ReadonlySet<string> {
-    return this.noticeKeys;
+  get inboxKeysToDelete(): ReadonlySet<string> {
+    return this.handledInboxKeys;
   }
 
   /** How many admissions and cancellations no transaction has taken yet. */
-  get pendingAdmissions(): number {
+  get pendingUserRequests(): number {
     let count = 0;
     for (const job of this.changedSince.keys())
       if (job.writePriority === WritePriority.userRequest && !job.hasWriteInFlight) count++;
@@ -153,9 +153,10 @@
 
   /** How long a job may not be written yet; 0 or less if it may. */
   private waitOf(job: Job, now: SteadyMs): DurationMs {
-    const hold = durationBetween(now, this.ownTransactionAt.get(job) ?? now);
-    if (hold > 0 || priorityOf(job) !== WritePriority.progress) return hold;
+    const ownTransactionWait = durationBetween(now, this.ownTransactionNotBefore.get(job) ?? now);
+    if (ownTransactionWait > 0 || priorityOf(job) !== WritePriority.progress)
+      return ownTransactionWait;
     const last = this.lastCommit.get(job.id);
-    return ms(last === undefined ? 0 : PROGRESS_INTERVAL - durationBetween(last, now));
+    return ms(last === undefined ? 0 : MIN_PROGRESS_INTERVAL - durationBetween(last, now));
   }
 }
--- a/src/ledger/commit-waiters.ts
+++ b/src/ledger/commit-waiters.ts
@@ -9,11 +9,11 @@
 /** Waiters by job. Each is answered exactly once: by `settle`, or with false by `close`. */
 export class CommitWaiters {
   private readonly waiters = new Map<JobId, Waiter[]>();
-  private closed = false;
+  private isClosed = false;
 
   /** Resolves to true once this version is in the store, to false if it is not known to be. */
   wait(id: JobId, version: number): Promise<boolean> {
-    if (this.closed) return Promise.resolve(false);
+    if (this.isClosed) return Promise.resolve(false);
     return new Promise((resolve) => {
       const list = this.waiters.get(id) ?? [];
       list.push({ version, resolve });
@@ -26,7 +26,7 @@
   }
 
   /** Answers those who wait for this version of a job or an earlier one. */
-  settle(id: JobId, version: number, isCommitted: boolean): void {
+  resolveUpTo(id: JobId, version: number, isCommitted: boolean): void {
     const list = this.waiters.get(id);
     if (!list) return;
     const rest: Waiter[] = [];
@@ -39,12 +39,12 @@
   }
 
   /** Answers all who wait for a version of a job. */
-  settleAll(id: JobId, isCommitted: boolean): void {
-    this.settle(id, Infinity, isCommitted);
+  resolveAll(id: JobId, isCommitted: boolean): void {
+    this.resolveUpTo(id, Infinity, isCommitted);
   }
 
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     for (const list of this.waiters.values()) for (const waiter of list) waiter.resolve(false);
     this.waiters.clear();
   }
--- a/src/ledger/compact-record.ts
+++ b/src/ledger/compact-record.ts
@@ -7,12 +7,12 @@
 import { Attempt, WallMs, type JobId } from '../units/index.js';
 import { decodeJobSpecValues, encodeJobSpecValues } from '../wire/index.js';
 import {
-  MachineNumbers,
+  MachineNumbering,
   decodeRanges,
   decodeRuns,
   encodeRanges,
   encodeRuns,
-} from './compact-runs.js';
+} from './compact-task-states.js';
 import type { JobRecord } from './record.js';
 
 const COMPACT_FORMAT = 2;
@@ -60,10 +60,10 @@
 
 /** The record in format 2. */
 export function encodeCompactRecord(record: JobRecord): CompactRecord {
-  const machines = MachineNumbers.for(record.placements.map((run) => run.machine));
+  const machines = MachineNumbering.forNames(record.placements.map((run) => run.machine));
   // Before the names that are not of the pattern are read: it collects them.
   const placed = encodeRuns(record.placements, machines);
-  const { pattern, otherNames } = machines;
+  const { pattern, namesOutsidePattern } = machines;
   return {
     f: COMPACT_FORMAT,
     s: encodeJobSpecValues(record.spec),
@@ -74,18 +74,18 @@
     d: record.doneCount,
     k: pattern.prefix,
     g: pattern.digits,
-    ...(otherNames.length > 0 ? { m: [...otherNames] } : {}),
-    w: encodeRanges(record.waiting),
+    ...(namesOutsidePattern.length > 0 ? { m: [...namesOutsidePattern] } : {}),
+    w: encodeRanges(record.waitingTasks),
     p: placed,
-    e: record.writer.epoch,
-    v: record.writer.version,
+    e: record.writeId.epoch,
+    v: record.writeId.version,
   };
 }
 
 /** Reads a record of format 2; throws `ZodError` or `RecordError` if it is none. */
 export function decodeCompactRecord(id: JobId, data: unknown): JobRecord {
   const stored = CompactRecord.parse(data);
-  const machines = new MachineNumbers({ prefix: stored.k, digits: stored.g }, stored.m);
+  const machines = new MachineNumbering({ prefix: stored.k, digits: stored.g }, stored.m);
   return {
     spec: decodeJobSpecValues(id, stored.s),
     submittedAt: WallMs(stored.t),
@@ -93,8 +93,8 @@
     boundZone: stored.z,
     nextAttempt: Attempt(stored.n),
     doneCount: stored.d,
-    waiting: decodeRanges(stored.w),
+    waitingTasks: decodeRanges(stored.w),
     placements: decodeRuns(stored.p, machines),
-    writer: { epoch: stored.e, version: stored.v },
+    writeId: { epoch: stored.e, version: stored.v },
   };
 }
--- a/src/ledger/compact-runs.ts
+++ b/src/ledger/compact-task-states.ts
@@ -10,7 +10,7 @@
 const NUMBERED_NAME = /^(.*?)(\d{1,9})$/;
 
 /** What the names of the machines of one record have in common. */
-export interface NamePattern {
+export interface MachineNamePattern {
   /** What numbered names begin with. */
   readonly prefix: string;
   /** How many digits follow at least; 0 if no name is numbered. */
@@ -18,58 +18,58 @@
 }
 
 /** Names of machines as numbers: those of the pattern by their number, others by their place in a list, from -1 down. */
-export class MachineNumbers {
+export class MachineNumbering {
   /** Names that are not of the pattern, in the order in which they were first seen. */
-  private readonly others: string[];
+  private readonly unnumberedNames: string[];
 
   constructor(
-    readonly pattern: NamePattern,
+    readonly pattern: MachineNamePattern,
     others: readonly string[] = [],
   ) {
-    this.others = [...others];
+    this.unnumberedNames = [...others];
   }
 
   /** With the pattern of the first name that ends in a number. */
-  static for(names: Iterable<string>): MachineNumbers {
+  static forNames(names: Iterable<string>): MachineNumbering {
     for (const name of names) {
       const match = NUMBERED_NAME.exec(name);
       if (match?.[2] !== undefined) {
-        return new MachineNumbers({ prefix: match[1] ?? '', digits: match[2].length });
+        return new MachineNumbering({ prefix: match[1] ?? '', digits: match[2].length });
       }
     }
-    return new MachineNumbers({ prefix: '', digits: 0 });
+    return new MachineNumbering({ prefix: '', digits: 0 });
   }
 
   /** Names that were numbered and are not of the pattern. */
-  get otherNames(): readonly string[] {
-    return this.others;
+  get namesOutsidePattern(): readonly string[] {
+    return this.unnumberedNames;
   }
 
   numberOf(name: string): number {
     const { prefix, digits } = this.pattern;
     const number = Number(name.slice(prefix.length));
     if (digits > 0 && name.startsWith(prefix) && this.nameOf(number) === name) return number;
-    let position = this.others.indexOf(name);
-    if (position < 0) position = this.others.push(name) - 1;
+    let position = this.unnumberedNames.indexOf(name);
+    if (position < 0) position = this.unnumberedNames.push(name) - 1;
     return -1 - position;
   }
 
   /** Undefined if no name has this number. */
   nameOf(number: number): string | undefined {
-    if (number < 0) return this.others[-1 - number];
+    if (number < 0) return this.unnumberedNames[-1 - number];
     return this.pattern.prefix + String(number).padStart(this.pattern.digits, '0');
   }
 }
 
 const HAS_GAP = 1;
 const HAS_ATTEMPT = 2;
-const FLAG_BITS = 4;
+const FLAG_COMBINATIONS = 4;
 
 /**
  * A run is its length with two flags, then what the flags announce (its distance from the end of the run
  * before, the difference of its attempt), then the difference of its machine's number.
  */
-export function encodeRuns(runs: readonly PlacedRun[], machines: MachineNumbers): string {
+export function encodeRuns(runs: readonly PlacedRun[], machines: MachineNumbering): string {
   const numbers: number[] = [];
   let end = 0;
   let attempt = 0;
@@ -79,7 +79,7 @@
     const attemptChange = run.attempt - attempt;
     const number = machines.numberOf(run.machine);
     const flags = (gap === 0 ? 0 : HAS_GAP) + (attemptChange === 0 ? 0 : HAS_ATTEMPT);
-    numbers.push((run.to - run.from) * FLAG_BITS + flags);
+    numbers.push((run.to - run.from) * FLAG_COMBINATIONS + flags);
     if (gap !== 0) numbers.push(gap);
     if (attemptChange !== 0) numbers.push(attemptChange);
     numbers.push(number - machine);
@@ -91,7 +91,7 @@
 }
 
 /** Reads what `encodeRuns` wrote; throws `RecordError` if it ends too early or names an unknown machine. */
-export function decodeRuns(text: string, machines: MachineNumbers): PlacedRun[] {
+export function decodeRuns(text: string, machines: MachineNumbering): PlacedRun[] {
   const numbers = decode(text).values();
   const next = (): number => {
     const item = numbers.next();
@@ -102,14 +102,14 @@
   let end = 0;
   let attempt = 0;
   let machine = 0;
-  for (const head of numbers) {
-    const flags = head % FLAG_BITS;
+  for (const lengthAndFlags of numbers) {
+    const flags = lengthAndFlags % FLAG_COMBINATIONS;
     const from = end + (flags & HAS_GAP ? next() : 0);
     attempt += flags & HAS_ATTEMPT ? next() : 0;
     machine += next();
     const name = machines.nameOf(machine);
     if (name === undefined) throw new RecordError('p: no machine has this number');
-    end = from + Math.floor(head / FLAG_BITS);
+    end = from + Math.floor(lengthAndFlags / FLAG_COMBINATIONS);
     runs.push({ from, to: end, attempt: Attempt(attempt), machine: MachineId(name) });
   }
   return runs;
--- a/src/ledger/final-record.ts
+++ b/src/ledger/final-record.ts
@@ -38,6 +38,6 @@
 export function decodeFinal(data: unknown): FinalState {
   const parsed = FinalRecord.safeParse(data);
   if (!parsed.success) throw new RecordError('unreadable final record', { cause: parsed.error });
-  const { s: status, n: taskCount, d: done, [TEAM_FIELD]: team, why: reason } = parsed.data;
-  return { status, taskCount, doneCount: done, team, reason };
+  const { s: status, n: taskCount, d: doneCount, [TEAM_FIELD]: team, why: reason } = parsed.data;
+  return { status, taskCount, doneCount, team, reason };
 }
--- a/src/ledger/index-ranges.ts
+++ b/src/ledger/index-ranges.ts
@@ -9,9 +9,9 @@
   private count = 0;
 
   static of(ranges: Iterable<IndexRange>): IndexRanges {
-    const made = new IndexRanges();
-    for (const [from, to] of ranges) made.addRange(from, to);
-    return made;
+    const result = new IndexRanges();
+    for (const [from, to] of ranges) result.addRange(from, to);
+    return result;
   }
 
   /** How many indexes are in it. */
@@ -20,7 +20,7 @@
   }
 
   /** The position of the first range that ends after `index`. */
-  private seek(index: number): number {
+  private findRangeEndingAfter(index: number): number {
     let low = 0;
     let high = this.ranges.length;
     while (low < high) {
@@ -32,7 +32,7 @@
   }
 
   has(index: number): boolean {
-    const range = this.ranges[this.seek(index)];
+    const range = this.ranges[this.findRangeEndingAfter(index)];
     return range !== undefined && range[0] <= index;
   }
 
@@ -43,7 +43,7 @@
   /** Adds a range, and merges it with those that it overlaps or touches. */
   addRange(from: number, to: number): void {
     if (from >= to) return;
-    const position = this.seek(from - 1);
+    const position = this.findRangeEndingAfter(from - 1);
     let start = from;
     let end = to;
     let merged = 0;
@@ -61,7 +61,7 @@
 
   /** Removes one index; false if it was not in the set. */
   remove(index: number): boolean {
-    const position = this.seek(index);
+    const position = this.findRangeEndingAfter(index);
     const range = this.ranges[position];
     if (range === undefined || range[0] > index) return false;
     const [from, to] = range;
@@ -81,12 +81,12 @@
   }
 
   /** The lowest index; undefined if the set is empty. */
-  lowest(): number | undefined {
+  lowestIndex(): number | undefined {
     return this.ranges[0]?.[0];
   }
 
   /** The highest range; undefined if the set is empty. */
-  last(): IndexRange | undefined {
+  lastRange(): IndexRange | undefined {
     return this.ranges.at(-1);
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** A copy of its ranges, lowest first. */
-  list(): [from: number, to: number][] {
+  toArray(): [from: number, to: number][] {
     return this.ranges.map(([from, to]) => [from, to]);
   }
 }
--- a/src/ledger/codec.ts
+++ b/src/ledger/job-codec.ts
@@ -12,7 +12,7 @@
 } from './compact-record.js';
 import { Job, newPlacement } from './job.js';
 import { decodeRecordV1, encodeRecordV1, type RecordV1 } from './record-v1.js';
-import { RecordError, recordOf, type JobRecord, type WriterMark } from './record.js';
+import { RecordError, recordOf, type JobRecord, type WriteId } from './record.js';
 
 /** A live record as the state service holds it. */
 export type LiveRecord = RecordV1 | CompactRecord;
@@ -25,11 +25,11 @@
   encodeCompactRecord(recordOf(job, epoch));
 
 const count = z.number().int().nonnegative();
-const StoredMark = z.object({ e: count, v: count });
+const StoredWriteId = z.object({ e: count, v: count });
 
 /** Who wrote a record, whatever else is in it; undefined if it does not say. */
-export function writerMarkOf(data: unknown): WriterMark | undefined {
-  const parsed = StoredMark.safeParse(data);
+export function writeIdOf(data: unknown): WriteId | undefined {
+  const parsed = StoredWriteId.safeParse(data);
   return parsed.success ? { epoch: parsed.data.e, version: parsed.data.v } : undefined;
 }
 
@@ -39,11 +39,11 @@
     const record = isCompact(data) ? decodeCompactRecord(id, data) : decodeRecordV1(data);
     return restoreJob(id, record, revision, now);
   } catch (error) {
-    throw new RecordError(`record of ${id}: ${reasonOf(error)}`, { cause: error });
+    throw new RecordError(`record of ${id}: ${describeError(error)}`, { cause: error });
   }
 }
 
-function reasonOf(error: unknown): string {
+function describeError(error: unknown): string {
   const issue = error instanceof z.ZodError ? error.issues[0] : undefined;
   if (issue) return `${issue.path.join('.')}: ${issue.message}`;
   return error instanceof Error ? error.message : String(error);
@@ -51,13 +51,13 @@
 
 function restoreJob(id: JobId, record: JobRecord, revision: Revision, now: SteadyMs): Job {
   const job = new Job(id, record.spec, record.submittedAt, revision);
-  job.waiting.replaceWith(record.waiting);
+  job.waitingTasks.replaceWith(record.waitingTasks);
   job.isCancelled = record.isCancelled;
   job.boundZone = record.boundZone;
   job.nextAttempt = record.nextAttempt;
   for (const { from, to, attempt, machine } of record.placements) {
     for (let index = from; index < to; index++) {
-      if (job.waiting.has(index) || job.placements.has(index)) {
+      if (job.waitingTasks.has(index) || job.placements.has(index)) {
         throw new RecordError(`task ${index} is in two states`);
       }
       job.placements.set(
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -6,27 +6,27 @@
 import type { CommitResult } from '../store/results.js';
 import { Epoch, JobId, Revision, ms, type Clock, type DurationMs } from '../units/index.js';
 import type { Condition, JobSpec, Write } from '../wire/index.js';
-import { decodeJob } from './codec.js';
+import { decodeJob } from './job-codec.js';
 import { FinalStateCache } from './final-state-cache.js';
 import { decodeFinal, encodeFinal } from './final-record.js';
 import { Job, type FinalState } from './job.js';
 import type { RecordLimits } from './record-limits.js';
 import {
   LEADER_KEY,
-  NOTICE_PREFIX,
-  cancellationNoticeKey,
-  creationNoticeKey,
+  INBOX_PREFIX,
+  cancellationInboxKey,
+  creationInboxKey,
   finalKey,
   liveKey,
-  parseNoticeKey,
-  type NoticeContents,
+  parseInboxKey,
+  type InboxEntryContents,
 } from './store-keys.js';
 
 const STORE_TIMEOUT = ms(1500);
 const WATCH_TIMEOUT = ms(10_000);
 /** The longest wait of a user's request for its turn at the store; past it the request is refused at once. */
 const MAX_QUEUE_WAIT = ms(1000);
-const USER_CALL = { queueTimeout: MAX_QUEUE_WAIT };
+const USER_REQUEST_OPTIONS = { queueTimeout: MAX_QUEUE_WAIT };
 /** How many final states are kept in memory. */
 const MAX_FINAL_STATES = 2000;
 /** What records name as their writer's epoch if no leader wrote them. */
@@ -42,13 +42,13 @@
   | { kind: 'unknown' };
 
 /** A message to the leader in the store: what another node did, or asks for, while it can't reach the leader. */
-export interface Notice extends NoticeContents {
+export interface InboxEntry extends InboxEntryContents {
   readonly key: string;
 }
 
 /** All notices at one revision of the store. */
-export interface NoticeList {
-  readonly notices: Notice[];
+export interface InboxSnapshot {
+  readonly entries: InboxEntry[];
   readonly revision: Revision;
 }
 
@@ -66,16 +66,16 @@
    * Reads a job. A live record only ever moves to a final one, which stays, so what is found absent in this
    * order was in neither place when the first answer was given. Throws `RecordError` if a record can't be read.
    */
-  async lookup(id: JobId): Promise<StoredJob> {
+  async lookUp(id: JobId): Promise<StoredJob> {
     const known = this.finalStates.get(id);
     if (known) return { kind: 'final', final: known };
-    const live = await this.store.get(liveKey(id), STORE_TIMEOUT, USER_CALL);
+    const live = await this.store.get(liveKey(id), STORE_TIMEOUT, USER_REQUEST_OPTIONS);
     if (live.kind === 'failed') return { kind: 'unknown' };
     if (live.kind === 'found') {
-      this.limits.noteRecord(live.data);
+      this.limits.onRecordRead(live.data);
       return { kind: 'live', job: decodeJob(id, live.data, live.revision, this.clock.steady()) };
     }
-    const stored = await this.store.get(finalKey(id), STORE_TIMEOUT, USER_CALL);
+    const stored = await this.store.get(finalKey(id), STORE_TIMEOUT, USER_REQUEST_OPTIONS);
     if (stored.kind === 'failed') return { kind: 'unknown' };
     if (stored.kind === 'absent') return { kind: 'absent' };
     const final = decodeFinal(stored.data);
@@ -84,7 +84,7 @@
   }
 
   /** How long a creation would wait for its turn. */
-  createWait(): DurationMs {
+  creationWait(): DurationMs {
     return this.store.writeWait(2);
   }
 
@@ -102,11 +102,11 @@
       ],
       [
         { put: liveKey(id), data: this.limits.encode(job, NO_EPOCH).record },
-        { put: creationNoticeKey(id), data: {} },
+        { put: creationInboxKey(id), data: {} },
       ],
     );
     if (result.kind === 'committed') return 'created';
-    if (result.kind === 'tooLarge') this.limits.noteRefusal();
+    if (result.kind === 'tooLarge') this.limits.recordSizeRefusal();
     return result.kind === 'conflict' ? 'exists' : 'unknown';
   }
 
@@ -115,7 +115,7 @@
    * a leader answers from memory, and must never call running what a user was told is cancelled.
    */
   async cancel(id: JobId): Promise<StoredJob> {
-    const found = await this.lookup(id);
+    const found = await this.lookUp(id);
     if (found.kind !== 'live' || found.job.isCancelled) return found;
     const { job } = found;
     job.cancel();
@@ -123,7 +123,7 @@
       { key: LEADER_KEY, revision: 0 },
       { key: liveKey(id), revision: job.revision },
     ];
-    const result = job.isSettled
+    const result = job.isFinished
       ? await this.transact(
           [...conditions, { key: finalKey(id), revision: 0 }],
           [{ put: finalKey(id), data: encodeFinal(job.finalState()) }, { delete: liveKey(id) }],
@@ -131,16 +131,16 @@
       : await this.transact(conditions, [
           { put: liveKey(id), data: this.limits.encode(job, NO_EPOCH).record },
         ]);
-    if (result.kind === 'tooLarge') this.limits.noteRefusal();
+    if (result.kind === 'tooLarge') this.limits.recordSizeRefusal();
     if (result.kind !== 'committed') return { kind: 'unknown' };
-    return job.isSettled ? { kind: 'final', final: job.finalState() } : found;
+    return job.isFinished ? { kind: 'final', final: job.finalState() } : found;
   }
 
   /** Leaves a notice that a user cancels the job, for a leader that can't be reached; false if that failed. */
   async requestCancellation(id: JobId): Promise<boolean> {
     const result = await this.transact(
       [{ key: finalKey(id), revision: 0 }],
-      [{ put: cancellationNoticeKey(id), data: {} }],
+      [{ put: cancellationInboxKey(id), data: {} }],
     );
     return result.kind === 'committed';
   }
@@ -149,19 +149,19 @@
     conditions: readonly Condition[],
     writes: readonly Write[],
   ): Promise<CommitResult> {
-    return this.store.transact(conditions, writes, STORE_TIMEOUT, USER_CALL);
+    return this.store.transact(conditions, writes, STORE_TIMEOUT, USER_REQUEST_OPTIONS);
   }
 
   /** All notices for the leader; undefined if they could not be read. */
-  async notices(): Promise<NoticeList | undefined> {
-    const listed = await this.store.list(NOTICE_PREFIX, STORE_TIMEOUT);
+  async readInbox(): Promise<InboxSnapshot | undefined> {
+    const listed = await this.store.list(INBOX_PREFIX, STORE_TIMEOUT);
     if (!listed) return undefined;
-    const notices = listed.items.map(({ key }) => ({ key, ...parseNoticeKey(key) }));
-    return { notices, revision: listed.revision };
+    const entries = listed.items.map(({ key }) => ({ key, ...parseInboxKey(key) }));
+    return { entries, revision: listed.revision };
   }
 
   /** Waits for a notice that is later than `from`, or for some seconds; false if that could not be done. */
-  async watchNotices(from: Revision): Promise<boolean> {
-    return (await this.store.watch(NOTICE_PREFIX, from, WATCH_TIMEOUT)) !== 'failed';
+  async watchInbox(from: Revision): Promise<boolean> {
+    return (await this.store.watch(INBOX_PREFIX, from, WATCH_TIMEOUT)) !== 'failed';
   }
 }
--- a/src/ledger/job.ts
+++ b/src/ledger/job.ts
@@ -24,13 +24,13 @@
 /** Where a task is, or may be. It stays until there is proof that the task is not there any more. */
 export interface Placement extends PlacementOrigin {
   /** The heartbeat whose reply last carried the start. */
-  sentInReplyTo?: { readonly session: number; readonly sequence: number };
+  startSentInResponseTo?: { readonly session: number; readonly sequence: number };
   /** A heartbeat has shown it. */
   isReported: boolean;
   /** Its start was sent straight to the worker. */
-  isStartPushed: boolean;
+  isStartSentDirectly: boolean;
   /** Its stop was sent straight to the worker. */
-  isStopPushed: boolean;
+  isStopSentDirectly: boolean;
   /** Set if it is to be stopped so that it can run elsewhere or later: the seconds that it has to save its state. */
   evictionGraceSeconds?: number;
   /** A heartbeat has shown it running. */
@@ -47,12 +47,12 @@
   isInherited: origin.isInherited,
   placedAt: origin.placedAt,
   isReported: false,
-  isStartPushed: false,
-  isStopPushed: false,
+  isStartSentDirectly: false,
+  isStopSentDirectly: false,
 });
 
 /** What users are shown of a job: that of a version which is in the store. */
-export interface CommittedProgress {
+export interface JobProgress {
   readonly isCancelled: boolean;
   /** How many tasks are done. */
   readonly doneCount: number;
@@ -95,7 +95,7 @@
 
   isCancelled = false;
   /** Indexes of the tasks that wait to be placed. */
-  readonly waiting: IndexRanges;
+  readonly waitingTasks: IndexRanges;
   /** Placed tasks by index. */
   readonly placements = new Map<number, Placement>();
   /** The number that the next placing of tasks gives them: no two placements of a task share one. */
@@ -112,7 +112,7 @@
   /** The revision of the record in the store; 0 if there is none. The next write replaces just this one. */
   revision: Revision;
   /** The progress at the version that is in the store. */
-  committedProgress: CommittedProgress = { isCancelled: false, doneCount: 0, placedCount: 0 };
+  committedProgress: JobProgress = { isCancelled: false, doneCount: 0, placedCount: 0 };
 
   // --- writing ----------------------------------------------------------------------------------
 
@@ -151,7 +151,7 @@
     revision: Revision,
   ) {
     this.revision = revision;
-    this.waiting = IndexRanges.of([[0, spec.taskCount]]);
+    this.waitingTasks = IndexRanges.of([[0, spec.taskCount]]);
   }
 
   /** Its tasks run all at the same time or not at all. */
@@ -160,23 +160,25 @@
   }
 
   get doneCount(): number {
-    return this.spec.taskCount - this.waiting.size - this.placements.size;
+    return this.spec.taskCount - this.waitingTasks.size - this.placements.size;
   }
 
   /** No task waits or may run, so it can be moved to its final record. */
-  get isSettled(): boolean {
-    return this.placements.size === 0 && (this.isCancelled || this.waiting.size === 0);
+  get isFinished(): boolean {
+    return this.placements.size === 0 && (this.isCancelled || this.waitingTasks.size === 0);
   }
 
   /** Tasks that are not done below the highest placed one: they decide how large its record is. */
   get openTaskCount(): number {
-    const highest = this.waiting.last();
+    const highest = this.waitingTasks.lastRange();
     const behind = highest?.[1] === this.spec.taskCount ? highest[1] - highest[0] : 0;
-    return this.placements.size + this.waiting.size - behind;
+    return this.placements.size + this.waitingTasks.size - behind;
   }
 
-  isDone(index: number): boolean {
-    return index < this.spec.taskCount && !this.waiting.has(index) && !this.placements.has(index);
+  isTaskDone(index: number): boolean {
+    return (
+      index < this.spec.taskCount && !this.waitingTasks.has(index) && !this.placements.has(index)
+    );
   }
 
   /** Begins a new version, which is to be written with this priority at least. */
@@ -194,7 +196,7 @@
     this.lastPlacedAt = now;
     const { version } = this;
     for (const { index, machine } of tasks) {
-      if (!this.waiting.remove(index)) throw new Error(`${this.id}/${index} is not waiting`);
+      if (!this.waitingTasks.remove(index)) throw new Error(`${this.id}/${index} is not waiting`);
       this.placements.set(
         index,
         newPlacement({ machine, attempt, version, isInherited: false, placedAt: now }),
@@ -203,17 +205,17 @@
   }
 
   /** The task is proven to be on no machine: it waits again. */
-  requeue(index: number): void {
+  requeueTask(index: number): void {
     if (!this.placements.delete(index)) return;
-    this.waiting.add(index);
+    this.waitingTasks.add(index);
     this.markChanged(this.isCancelled ? WritePriority.jobEnd : WritePriority.progress);
   }
 
   /** The task is done, wherever it was thought to be. */
-  complete(index: number): void {
-    if (!this.placements.delete(index)) this.waiting.remove(index);
+  completeTask(index: number): void {
+    if (!this.placements.delete(index)) this.waitingTasks.remove(index);
     this.markChanged(
-      this.waiting.size + this.placements.size === 0
+      this.waitingTasks.size + this.placements.size === 0
         ? WritePriority.jobEnd
         : WritePriority.progress,
     );
@@ -231,24 +233,25 @@
    * it still holds; as an inherited one it would count as absent while its start is on the way. Versions go
    * on from those used, so that no later record can pass for an earlier one of the same epoch.
    */
-  inheritFrom(before: Job): void {
-    this.version = before.version + 1;
+  inheritFrom(previous: Job): void {
+    this.version = previous.version + 1;
     this.committedVersion = this.version;
-    this.nextAttempt = Attempt(Math.max(this.nextAttempt, before.nextAttempt));
+    this.nextAttempt = Attempt(Math.max(this.nextAttempt, previous.nextAttempt));
     for (const [index, { machine, attempt }] of this.placements) {
-      const known = before.placements.get(index);
+      const known = previous.placements.get(index);
       if (known?.machine === machine && known.attempt === attempt && !known.isInherited) {
         this.placements.set(index, { ...known, version: this.committedVersion });
       }
     }
-    this.lastPlacedAt = before.lastPlacedAt ?? this.lastPlacedAt;
-    this.backoffUntil = before.backoffUntil;
-    this.backoffCount = before.backoffCount;
-    for (const [machine, until] of before.avoidedMachines) this.avoidedMachines.set(machine, until);
+    this.lastPlacedAt = previous.lastPlacedAt ?? this.lastPlacedAt;
+    this.backoffUntil = previous.backoffUntil;
+    this.backoffCount = previous.backoffCount;
+    for (const [machine, until] of previous.avoidedMachines)
+      this.avoidedMachines.set(machine, until);
   }
 
   /** How far it is in memory; users are shown `committedProgress`. */
-  progress(): CommittedProgress {
+  progress(): JobProgress {
     return {
       isCancelled: this.isCancelled,
       doneCount: this.doneCount,
@@ -269,7 +272,7 @@
 }
 
 /** The status of a job with `taskCount` tasks that has got so far. */
-export function statusOf(progress: CommittedProgress, taskCount: number): JobStatus {
+export function jobStatusOf(progress: JobProgress, taskCount: number): JobStatus {
   if (progress.isCancelled) return JobStatus.cancelled;
   if (progress.doneCount >= taskCount) return JobStatus.done;
   return progress.placedCount > 0 ? JobStatus.running : JobStatus.pending;
--- a/src/ledger/ledger-events.ts
+++ b/src/ledger/ledger-events.ts
@@ -12,5 +12,5 @@
   /** The job's creation was certainly not carried out, and its user is to repeat it: it does not exist. */
   onDropped(job: Job): void;
   /** Another leader wrote the leader key: this epoch has ended. */
-  onDeposed(): void;
+  onLeadershipLost(): void;
 }
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -20,11 +20,11 @@
 import type { LedgerEvents } from './ledger-events.js';
 import { OutcomeResolver } from './outcome-resolver.js';
 import type { RecordLimits } from './record-limits.js';
-import { RecordOutcomes } from './record-outcomes.js';
+import { WriteOutcomeHandler } from './write-outcome-handler.js';
 import { TransactionWriter } from './transaction-writer.js';
 
-const MIN_FAILURE_PAUSE = ms(150);
-const MAX_FAILURE_PAUSE = ms(1000);
+const MIN_FAILURE_BACKOFF = ms(150);
+const MAX_FAILURE_BACKOFF = ms(1000);
 
 /** What a ledger works with. */
 export interface LedgerOptions {
@@ -55,12 +55,20 @@
   constructor({ store, epoch, limits, clock, random, log, events }: LedgerOptions) {
     const { table, waiters } = this;
     const lock = new Mutex();
-    const backoff = new Backoff(clock, random, MIN_FAILURE_PAUSE, MAX_FAILURE_PAUSE);
+    const backoff = new Backoff(clock, random, MIN_FAILURE_BACKOFF, MAX_FAILURE_BACKOFF);
     const queue = new CommitQueue(clock, () => this.scheduleCommit());
-    const outcomes = new RecordOutcomes({ table, queue, waiters, limits, events, clock, log });
-    const resolver = new OutcomeResolver({ store, epoch, outcomes, clock, log });
+    const outcomeHandler = new WriteOutcomeHandler({
+      table,
+      queue,
+      waiters,
+      limits,
+      events,
+      clock,
+      log,
+    });
+    const resolver = new OutcomeResolver({ store, epoch, outcomeHandler, clock, log });
     const context = { store, limits, queue, waiters, lock, backoff, clock, log };
-    this.writer = new TransactionWriter({ ...context, outcomes, resolver, events });
+    this.writer = new TransactionWriter({ ...context, outcomeHandler, resolver, events });
     const assembler = new BatchAssembler({ store, epoch, limits, queue, clock });
     this.loop = new CommitLoop({ assembler, writer: this.writer, lock, backoff, clock, log });
     this.store = store;
@@ -81,7 +89,7 @@
   }
 
   /** Keeps a final state that was read from the store. */
-  rememberFinal(id: JobId, final: FinalState): void {
+  cacheFinalState(id: JobId, final: FinalState): void {
     this.table.finalStates.set(id, final);
   }
 
@@ -97,12 +105,12 @@
   /** About how long a job that is submitted now will wait for its turn to be written. */
   admissionWait(): DurationMs {
     const pause = this.backoff.remaining();
-    return pause > 0 ? pause : this.store.writeBacklog(this.queue.pendingAdmissions + 1);
+    return pause > 0 ? pause : this.store.writeBacklog(this.queue.pendingUserRequests + 1);
   }
 
   /** Deletes a notice that was dealt with, along with other changes. */
-  deleteNotice(key: string): void {
-    this.queue.addNotice(key);
+  deleteInboxEntry(key: string): void {
+    this.queue.addHandledInboxKey(key);
     this.scheduleCommit();
   }
 
--- a/src/ledger/outcome-resolver.ts
+++ b/src/ledger/outcome-resolver.ts
@@ -4,9 +4,9 @@
 import type { ReadResult } from '../store/results.js';
 import { ms, sleep, type Clock, type Epoch } from '../units/index.js';
 import type { PendingRecord } from './batch.js';
-import { writerMarkOf } from './codec.js';
+import { writeIdOf } from './job-codec.js';
 import { decodeFinal } from './final-record.js';
-import type { RecordOutcomes } from './record-outcomes.js';
+import type { WriteOutcomeHandler } from './write-outcome-handler.js';
 import { finalKey, liveKey } from './store-keys.js';
 
 const READ_TIMEOUT = ms(2000);
@@ -17,19 +17,19 @@
 export interface OutcomeResolverOptions {
   readonly store: Pick<StoreClient, 'get'>;
   readonly epoch: Epoch;
-  readonly outcomes: RecordOutcomes;
+  readonly outcomeHandler: WriteOutcomeHandler;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
 /** Reads until the outcome of a record is known, or until `close`. */
 export class OutcomeResolver {
-  private closed = false;
+  private isClosed = false;
 
   constructor(private readonly options: OutcomeResolverOptions) {}
 
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
   }
 
   /**
@@ -38,12 +38,12 @@
    * the late one is carried out, and the other ends in a conflict and is resolved here again.
    */
   async resolve(record: PendingRecord): Promise<void> {
-    const { store, outcomes, clock } = this.options;
+    const { store, outcomeHandler, clock } = this.options;
     const { job } = record;
     for (;;) {
-      if (this.closed) return;
+      if (this.isClosed) return;
       const live = await store.get(liveKey(job.id), READ_TIMEOUT);
-      if (this.closed) return;
+      if (this.isClosed) return;
       if (live.kind === 'found') {
         this.resolveLive(record, live);
         return;
@@ -51,7 +51,7 @@
       if (live.kind === 'absent') {
         const final = await store.get(finalKey(job.id), READ_TIMEOUT);
         if (final.kind === 'found') {
-          outcomes.committed(record, final.revision, decodeFinal(final.data));
+          outcomeHandler.onCommitted(record, final.revision, decodeFinal(final.data));
           return;
         }
         if (final.kind === 'absent' && this.resolveAbsent(record)) return;
@@ -61,24 +61,24 @@
   }
 
   private resolveLive(record: PendingRecord, live: ReadResult & { kind: 'found' }): void {
-    const { epoch, outcomes } = this.options;
+    const { epoch, outcomeHandler } = this.options;
     const { job } = record;
-    const writer = writerMarkOf(live.data);
-    if (live.revision === job.revision) outcomes.notCommitted(record);
-    else if (writer?.epoch === epoch && writer.version === record.version) {
-      outcomes.committed(record, live.revision, undefined);
-    } else outcomes.replaced(job, live.data, live.revision);
+    const writeId = writeIdOf(live.data);
+    if (live.revision === job.revision) outcomeHandler.onNotCommitted(record);
+    else if (writeId?.epoch === epoch && writeId.version === record.version) {
+      outcomeHandler.onCommitted(record, live.revision, undefined);
+    } else outcomeHandler.onReplaced(job, live.data, live.revision);
   }
 
   /** The store has neither a live nor a final record; false if that can't be, and is to be read again. */
   private resolveAbsent(record: PendingRecord): boolean {
-    const { outcomes, log } = this.options;
+    const { outcomeHandler, log } = this.options;
     const { job } = record;
     if (job.revision > 0) {
       log.error({ job: job.id }, 'record of a live job is missing; reading again');
       return false;
     }
-    outcomes.notCommitted(record);
+    outcomeHandler.onNotCommitted(record);
     return true;
   }
 }
--- a/src/ledger/queue-order.ts
+++ b/src/ledger/placement-order.ts
@@ -128,7 +128,7 @@
       isLate: false,
       dueAt: job.submittedAt,
       job,
-      taskCount: Math.min(job.waiting.size, share),
+      taskCount: Math.min(job.waitingTasks.size, share),
       mustStart,
     };
   }
@@ -139,7 +139,7 @@
     isLate: late,
     dueAt: due,
     job,
-    taskCount: job.waiting.size,
+    taskCount: job.waitingTasks.size,
     mustStart,
   };
 }
@@ -149,4 +149,4 @@
   PRIORITY_RANK[priority] <= PRIORITY_RANK.high;
 
 /** The rank of a priority: the most urgent one has 0. */
-export const rankOf = (priority: Priority): number => PRIORITY_RANK[priority];
+export const priorityRankOf = (priority: Priority): number => PRIORITY_RANK[priority];
--- a/src/ledger/record-limits.ts
+++ b/src/ledger/record-limits.ts
@@ -9,11 +9,11 @@
 import type { StoreLimits } from '../config/settings.js';
 import type { Epoch } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
-import type { LiveRecord } from './codec.js';
+import type { LiveRecord } from './job-codec.js';
 import { encodeCompactRecord, isCompact } from './compact-record.js';
 import type { Job } from './job.js';
 import { encodeRecordV1 } from './record-v1.js';
-import { compactOpenTaskLimit, encodedSize, openTaskLimit } from './record-size.js';
+import { maxOpenTasksInCompact, encodedSize, maxOpenTasksInV1 } from './record-size.js';
 import { recordOf } from './record.js';
 
 /** A live record, and its size as the state service counts it. */
@@ -48,7 +48,7 @@
    * Something was refused as too large. Returns true if this shows that the announced limits are in force, and what
    * is written next will be smaller; false if they were known to be, or none are announced.
    */
-  noteRefusal(): boolean {
+  recordSizeRefusal(): boolean {
     if (this.lowered || this.limits.next === undefined) return false;
     this.lowered = true;
     this.onLowered();
@@ -56,8 +56,8 @@
   }
 
   /** A record was read: one in format 2 shows that another node has seen the lower limits. */
-  noteRecord(data: unknown): void {
-    if (!this.lowered && isCompact(data)) this.noteRefusal();
+  onRecordRead(data: unknown): void {
+    if (!this.lowered && isCompact(data)) this.recordSizeRefusal();
   }
 
   /** The record of a job in the format that is to be written now. */
@@ -74,23 +74,23 @@
    * How many tasks of a job may be open at once, so that its record fits however they end; at least one.
    * `longestOtherName`: the length of the longest name of a machine that is not numbered.
    */
-  openTasks(spec: JobSpec, longestOtherName: number): number {
+  maxOpenTasks(spec: JobSpec, maxUnnumberedNameLength: number): number {
     const limit = this.lowered
-      ? this.openTasksLowered(spec, longestOtherName)
-      : openTaskLimit(spec, this.limits.valueBytes);
+      ? this.maxOpenTasksOnceLowered(spec, maxUnnumberedNameLength)
+      : maxOpenTasksInV1(spec, this.limits.valueBytes);
     return Math.max(1, limit);
   }
 
-  private openTasksLowered(spec: JobSpec, longestOtherName: number): number {
+  private maxOpenTasksOnceLowered(spec: JobSpec, maxUnnumberedNameLength: number): number {
     return Math.max(
-      openTaskLimit(spec, this.minValueBytes),
-      compactOpenTaskLimit(spec, this.minValueBytes, longestOtherName),
+      maxOpenTasksInV1(spec, this.minValueBytes),
+      maxOpenTasksInCompact(spec, this.minValueBytes, maxUnnumberedNameLength),
     );
   }
 
   /** Whether a job of which at least `openTasks` are open at once can be recorded, now and later. */
-  canRecord(spec: JobSpec, openTasks: number): boolean {
-    if (openTasks > openTaskLimit(spec, this.limits.valueBytes)) return false;
-    return this.limits.next === undefined || openTasks <= this.openTasksLowered(spec, 0);
+  canStoreRecord(spec: JobSpec, openTasks: number): boolean {
+    if (openTasks > maxOpenTasksInV1(spec, this.limits.valueBytes)) return false;
+    return this.limits.next === undefined || openTasks <= this.maxOpenTasksOnceLowered(spec, 0);
   }
 }
--- a/src/ledger/record-size.ts
+++ b/src/ledger/record-size.ts
@@ -10,20 +10,20 @@
 /** In a compact record: a run of its own, with a distance, a difference of attempts and of machines. */
 const COMPACT_BYTES_PER_OPEN_TASK = 9;
 /** The share of a value that is planned with. */
-const PLANNED_SHARE = 0.95;
+const USABLE_VALUE_SHARE = 0.95;
 /** What a record takes beside specification and tasks. */
-const ENVELOPE_BYTES = 160;
+const RECORD_OVERHEAD_BYTES = 160;
 
 /** The bytes that are left for tasks in a value of `valueBytes` with a specification of `specBytes`. */
-const taskBytes = (valueBytes: number, specBytes: number): number =>
-  valueBytes * PLANNED_SHARE - specBytes - ENVELOPE_BYTES;
+const bytesLeftForTasks = (valueBytes: number, specBytes: number): number =>
+  valueBytes * USABLE_VALUE_SHARE - specBytes - RECORD_OVERHEAD_BYTES;
 
 /**
  * How many tasks of a job may be open below its highest placed one, so that its record of format 1 fits a value
  * however they end. Placing lowest indexes first keeps everything above in a single range.
  */
-export function openTaskLimit(spec: JobSpec, valueBytes: number): number {
-  const available = taskBytes(valueBytes, encodedSize(encodeJobSpec(spec)));
+export function maxOpenTasksInV1(spec: JobSpec, valueBytes: number): number {
+  const available = bytesLeftForTasks(valueBytes, encodedSize(encodeJobSpec(spec)));
   // A machine's name is stored once for all its tasks: one is planned for every two of them.
   return Math.max(0, Math.floor(available / (BYTES_PER_OPEN_TASK + BYTES_PER_MACHINE_NAME / 2)));
 }
@@ -32,11 +32,17 @@
  * The same for a compact record, where a machine is a number unless its name is not numbered; `longestOtherName`
  * is the length of the longest such name.
  */
-export function compactOpenTaskLimit(
+export function maxOpenTasksInCompact(
   spec: JobSpec,
   valueBytes: number,
-  longestOtherName: number,
+  maxUnnumberedNameLength: number,
 ): number {
-  const available = taskBytes(valueBytes, encodedSize([null, ...encodeJobSpecValues(spec)]));
-  return Math.max(0, Math.floor(available / (COMPACT_BYTES_PER_OPEN_TASK + longestOtherName)));
+  const available = bytesLeftForTasks(
+    valueBytes,
+    encodedSize([null, ...encodeJobSpecValues(spec)]),
+  );
+  return Math.max(
+    0,
+    Math.floor(available / (COMPACT_BYTES_PER_OPEN_TASK + maxUnnumberedNameLength)),
+  );
 }
--- a/src/ledger/record-v1.ts
+++ b/src/ledger/record-v1.ts
@@ -48,7 +48,7 @@
 
 /** The record in format 1. */
 export function encodeRecordV1(record: JobRecord): RecordV1 {
-  const { machines, runs } = numberMachines(record.placements);
+  const { machines, runs } = indexMachines(record.placements);
   return {
     f: FORMAT_V1,
     s: encodeJobSpec(record.spec),
@@ -57,16 +57,16 @@
     ...(record.boundZone === undefined ? {} : { z: record.boundZone }),
     n: record.nextAttempt,
     d: record.doneCount,
-    w: record.waiting.map(([from, to]) => [from, to]),
+    w: record.waitingTasks.map(([from, to]) => [from, to]),
     m: machines,
     p: runs,
-    e: record.writer.epoch,
-    v: record.writer.version,
+    e: record.writeId.epoch,
+    v: record.writeId.version,
   };
 }
 
 /** Each machine's name is stored once, in the order in which the runs name them. */
-function numberMachines(placements: readonly PlacedRun[]): {
+function indexMachines(placements: readonly PlacedRun[]): {
   machines: string[];
   runs: StoredRun[];
 } {
@@ -93,12 +93,12 @@
     boundZone: stored.z,
     nextAttempt: Attempt(stored.n),
     doneCount: stored.d,
-    waiting: stored.w,
+    waitingTasks: stored.w,
     placements: stored.p.map(([from, to, attempt, position]) => {
       const machine = stored.m[position];
       if (machine === undefined) throw new RecordError('p: no machine has this position');
       return { from, to, attempt: Attempt(attempt), machine: MachineId(machine) };
     }),
-    writer: { epoch: stored.e, version: stored.v },
+    writeId: { epoch: stored.e, version: stored.v },
   };
 }
--- a/src/ledger/record.ts
+++ b/src/ledger/record.ts
@@ -19,7 +19,7 @@
 }
 
 /** Which version of a job under which epoch a record is: tells our own late write from another's. */
-export interface WriterMark {
+export interface WriteId {
   readonly epoch: number;
   readonly version: number;
 }
@@ -37,10 +37,10 @@
    * stored beside them so that a range that was lost can't pass for finished work.
    */
   readonly doneCount: number;
-  readonly waiting: readonly IndexRange[];
+  readonly waitingTasks: readonly IndexRange[];
   /** Lowest index first. */
   readonly placements: readonly PlacedRun[];
-  readonly writer: WriterMark;
+  readonly writeId: WriteId;
 }
 
 /** The record of a job as it is now. */
@@ -51,9 +51,9 @@
   boundZone: job.boundZone,
   nextAttempt: job.nextAttempt,
   doneCount: job.doneCount,
-  waiting: job.waiting.list(),
+  waitingTasks: job.waitingTasks.toArray(),
   placements: placedRuns(job),
-  writer: { epoch, version: job.version },
+  writeId: { epoch, version: job.version },
 });
 
 function placedRuns(job: Job): PlacedRun[] {
--- a/src/ledger/store-keys.ts
+++ b/src/ledger/store-keys.ts
@@ -9,7 +9,7 @@
 const FINAL_PREFIX = 'done/';
 
 /** What the keys of all notices begin with. */
-export const NOTICE_PREFIX = 'inbox/';
+export const INBOX_PREFIX = 'inbox/';
 const CANCELLATION_SUFFIX = '/abort';
 
 /** The key of a job's live record. */
@@ -19,22 +19,22 @@
 export const finalKey = (id: JobId): string => `${FINAL_PREFIX}${id}`;
 
 /** The key of the notice that another node committed the job. */
-export const creationNoticeKey = (id: JobId): string => `${NOTICE_PREFIX}${id}`;
+export const creationInboxKey = (id: JobId): string => `${INBOX_PREFIX}${id}`;
 
 /** The key of the notice that a user cancels the job. */
-export const cancellationNoticeKey = (id: JobId): string =>
-  `${creationNoticeKey(id)}${CANCELLATION_SUFFIX}`;
+export const cancellationInboxKey = (id: JobId): string =>
+  `${creationInboxKey(id)}${CANCELLATION_SUFFIX}`;
 
 /** What a notice says. */
-export interface NoticeContents {
+export interface InboxEntryContents {
   readonly id: JobId;
   /** The job is to be cancelled; otherwise another node has created it. */
   readonly isCancellation: boolean;
 }
 
 /** What the notice with this key says; its value is empty. */
-export function parseNoticeKey(key: string): NoticeContents {
-  const cancels = key.endsWith(CANCELLATION_SUFFIX);
-  const end = cancels ? -CANCELLATION_SUFFIX.length : undefined;
-  return { id: JobId(key.slice(NOTICE_PREFIX.length, end)), isCancellation: cancels };
+export function parseInboxKey(key: string): InboxEntryContents {
+  const isCancellation = key.endsWith(CANCELLATION_SUFFIX);
+  const end = isCancellation ? -CANCELLATION_SUFFIX.length : undefined;
+  return { id: JobId(key.slice(INBOX_PREFIX.length, end)), isCancellation };
 }
--- a/src/ledger/transaction-writer.ts
+++ b/src/ledger/transaction-writer.ts
@@ -11,12 +11,12 @@
 import type { LedgerEvents } from './ledger-events.js';
 import type { OutcomeResolver } from './outcome-resolver.js';
 import type { RecordLimits } from './record-limits.js';
-import type { RecordOutcomes } from './record-outcomes.js';
+import type { WriteOutcomeHandler } from './write-outcome-handler.js';
 import { LEADER_KEY, finalKey, liveKey } from './store-keys.js';
 
 const TRANSACTION_TIMEOUT = ms(2000);
 /** How long a record that is too large even by itself is not tried again: as its tasks end, it shrinks. */
-const OVERSIZE_HOLD = ms(2000);
+const OVERSIZE_RETRY_DELAY = ms(2000);
 
 /** What a writer works with. */
 export interface TransactionWriterOptions {
@@ -24,9 +24,9 @@
   readonly limits: RecordLimits;
   readonly queue: CommitQueue;
   readonly waiters: CommitWaiters;
-  readonly outcomes: RecordOutcomes;
+  readonly outcomeHandler: WriteOutcomeHandler;
   readonly resolver: OutcomeResolver;
-  readonly events: Pick<LedgerEvents, 'onDeposed'>;
+  readonly events: Pick<LedgerEvents, 'onLeadershipLost'>;
   /** While commits are taken in, no transaction is assembled. */
   readonly lock: Mutex;
   /** Pauses all writing after failures. */
@@ -37,12 +37,12 @@
 
 /** Writes transactions until `close`; the outcome of one that is under way then is dropped. */
 export class TransactionWriter {
-  private closed = false;
+  private isClosed = false;
 
   constructor(private readonly options: TransactionWriterOptions) {}
 
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.options.resolver.close();
   }
 
@@ -55,50 +55,50 @@
     } catch (error) {
       result = { kind: 'unknown', reason: (error as Error).message };
     }
-    if (this.closed) return;
-    if (result.kind !== 'committed') this.putBackNotices(batch);
+    if (this.isClosed) return;
+    if (result.kind !== 'committed') this.putBackInboxKeys(batch);
     switch (result.kind) {
       case 'committed': {
         backoff.noteSuccess();
         const { revision } = result;
-        await lock.runExclusive(() => this.noteCommitted(batch, revision));
+        await lock.runExclusive(() => this.onCommitted(batch, revision));
         return;
       }
       case 'conflict':
-        if (result.failed.includes(LEADER_KEY)) events.onDeposed();
+        if (result.failed.includes(LEADER_KEY)) events.onLeadershipLost();
         else await this.resolveConflict(batch, new Set(result.failed));
         return;
       case 'unknown':
         await this.resolveUnknown(batch, result.reason);
         return;
       case 'tooLarge':
-        this.noteTooLarge(batch.records);
+        this.onTooLarge(batch.records);
         return;
       case 'leaseExpired':
       case 'refused':
-        this.noteRefused(batch, result.kind === 'refused' ? result.reason : '');
+        this.onRefused(batch, result.kind === 'refused' ? result.reason : '');
     }
   }
 
   /** Notices that were not deleted, as far as is known, are deleted with a later transaction. */
-  private putBackNotices(batch: Batch): void {
-    for (const key of batch.noticeKeys) this.options.queue.addNotice(key);
+  private putBackInboxKeys(batch: Batch): void {
+    for (const key of batch.inboxKeys) this.options.queue.addHandledInboxKey(key);
   }
 
-  private noteCommitted(batch: Batch, revision: Revision): void {
+  private onCommitted(batch: Batch, revision: Revision): void {
     for (const record of batch.records) {
-      this.options.outcomes.committed(record, revision, record.finalState);
+      this.options.outcomeHandler.onCommitted(record, revision, record.finalState);
     }
   }
 
   /** Nothing of the transaction was carried out: records whose own conditions held are just written again. */
   private resolveConflict(batch: Batch, failed: ReadonlySet<string>): Promise<unknown> {
-    const { outcomes, resolver } = this.options;
+    const { outcomeHandler, resolver } = this.options;
     return Promise.all(
       batch.records.map(async (record) => {
         const { id } = record.job;
         if (failed.has(liveKey(id)) || failed.has(finalKey(id))) await resolver.resolve(record);
-        else outcomes.notCommitted(record);
+        else outcomeHandler.onNotCommitted(record);
       }),
     );
   }
@@ -112,7 +112,7 @@
       // It may still be carried out, and others read the job's end in the store, until a later write is.
       if (job.hasTerminalWriteInFlight) job.isTerminalOutcomeUnknown = true;
       // Those who wait are answered now: it may take long to find out the outcome.
-      waiters.settle(job.id, version, false);
+      waiters.resolveUpTo(job.id, version, false);
     }
     return Promise.all(batch.records.map((record) => resolver.resolve(record)));
   }
@@ -121,29 +121,32 @@
    * The limits of the state service may have been lowered since this was made: then all is written anew,
    * smaller. Otherwise one record is at fault, and must not delay the others until it has shrunk.
    */
-  private noteTooLarge(records: readonly PendingRecord[]): void {
-    const { limits, queue, waiters, outcomes, clock, log } = this.options;
-    const isNews = limits.noteRefusal();
-    log.warn({ jobs: records.length, isNews }, 'commit refused as too large');
+  private onTooLarge(records: readonly PendingRecord[]): void {
+    const { limits, queue, waiters, outcomeHandler, clock, log } = this.options;
+    const areLimitsNewlyLowered = limits.recordSizeRefusal();
+    log.warn(
+      { jobs: records.length, isNews: areLimitsNewlyLowered },
+      'commit refused as too large',
+    );
     const now = clock.steady();
     const isSingle = records.length === 1;
     for (const record of records) {
       const { job, version } = record;
-      if (!isNews) {
-        queue.retryInOwnTransaction(job, isSingle ? later(now, OVERSIZE_HOLD) : now);
-        if (isSingle) waiters.settle(job.id, version, false);
+      if (!areLimitsNewlyLowered) {
+        queue.retryInOwnTransaction(job, isSingle ? later(now, OVERSIZE_RETRY_DELAY) : now);
+        if (isSingle) waiters.resolveUpTo(job.id, version, false);
       }
-      outcomes.notCommitted(record);
+      outcomeHandler.onNotCommitted(record);
     }
   }
 
-  private noteRefused(batch: Batch, reason: string): void {
-    const { waiters, outcomes, backoff, log } = this.options;
+  private onRefused(batch: Batch, reason: string): void {
+    const { waiters, outcomeHandler, backoff, log } = this.options;
     log.info({ reason }, 'commit refused');
     backoff.noteFailure();
     for (const record of batch.records) {
-      waiters.settle(record.job.id, record.version, false);
-      outcomes.notCommitted(record);
+      waiters.resolveUpTo(record.job.id, record.version, false);
+      outcomeHandler.onNotCommitted(record);
     }
   }
 }
--- a/src/ledger/record-outcomes.ts
+++ b/src/ledger/write-outcome-handler.ts
@@ -2,7 +2,7 @@
 import type { Logger } from 'pino';
 import type { Clock, Revision } from '../units/index.js';
 import type { PendingRecord } from './batch.js';
-import { decodeJob } from './codec.js';
+import { decodeJob } from './job-codec.js';
 import type { CommitQueue } from './commit-queue.js';
 import type { CommitWaiters } from './commit-waiters.js';
 import type { JobTable } from './job-table.js';
@@ -11,7 +11,7 @@
 import type { RecordLimits } from './record-limits.js';
 
 /** What the outcomes of records change. */
-export interface RecordOutcomesOptions {
+export interface WriteOutcomeHandlerOptions {
   readonly table: JobTable;
   readonly queue: CommitQueue;
   readonly waiters: CommitWaiters;
@@ -22,11 +22,11 @@
 }
 
 /** The three outcomes: in the store, to be written again, or replaced by what the store holds. */
-export class RecordOutcomes {
-  constructor(private readonly options: RecordOutcomesOptions) {}
+export class WriteOutcomeHandler {
+  constructor(private readonly options: WriteOutcomeHandlerOptions) {}
 
   /** The record is in the store, as the final record of its job if `finalState` is given. */
-  committed(record: PendingRecord, revision: Revision, finalState: FinalState | undefined): void {
+  onCommitted(record: PendingRecord, revision: Revision, finalState: FinalState | undefined): void {
     const { queue, waiters, events } = this.options;
     const { job } = record;
     job.hasWriteInFlight = false;
@@ -36,12 +36,12 @@
     job.revision = revision;
     job.committedVersion = Math.max(job.committedVersion, record.version);
     job.committedProgress = record.progress;
-    queue.noteCommitted(job);
+    queue.recordCommit(job);
     if (finalState) {
       this.finish(job, finalState);
       return;
     }
-    waiters.settle(job.id, record.version, true);
+    waiters.resolveUpTo(job.id, record.version, true);
     events.onCommitted(job);
   }
 
@@ -49,12 +49,12 @@
     const { table, queue, waiters, events } = this.options;
     queue.forget(job);
     table.finish(job, finalState);
-    waiters.settleAll(job.id, true);
+    waiters.resolveAll(job.id, true);
     events.onFinished(job, finalState);
   }
 
   /** The record is certainly not in the store: it is written again, or its job is dropped. */
-  notCommitted({ job, writePriority }: PendingRecord): void {
+  onNotCommitted({ job, writePriority }: PendingRecord): void {
     const { table, queue, waiters, events } = this.options;
     job.hasWriteInFlight = false;
     job.hasTerminalWriteInFlight = job.isTerminalOutcomeUnknown;
@@ -70,16 +70,16 @@
   }
 
   /** The store holds a record that we did not write: it counts, and the job in memory is given up. */
-  replaced(job: Job, data: unknown, revision: Revision): void {
+  onReplaced(job: Job, data: unknown, revision: Revision): void {
     const { table, queue, waiters, limits, events, clock, log } = this.options;
     log.warn({ job: job.id }, 'record changed under us; taking what the store holds');
-    limits.noteRecord(data);
+    limits.onRecordRead(data);
     const stored = decodeJob(job.id, data, revision, clock.steady());
     stored.inheritFrom(job);
     queue.untrack(job);
     table.set(stored);
     queue.track(stored);
-    waiters.settleAll(job.id, false);
+    waiters.resolveAll(job.id, false);
     events.onReplaced(stored);
   }
 }
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -5,7 +5,7 @@
 import { WorkerHeartbeats } from '../../src/api/worker-heartbeats.js';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
 import { parseSettings } from '../../src/config/settings.js';
-import { AdmissionControl } from '../../src/ledger/admission.js';
+import { AdmissionControl } from '../../src/ledger/admission-control.js';
 import type { JobRecords } from '../../src/ledger/job-records.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
 import type { JobAnswer } from '../../src/leader/job-requests.js';
--- a/test/support/job-moves.ts
+++ b/test/support/job-moves.ts
@@ -25,14 +25,14 @@
     const chosen = placed[pick % Math.max(1, placed.length)];
     if (kind === 0) {
       const tasks: { index: number; machine: MachineId }[] = [];
-      for (const index of job.waiting.indexes()) {
+      for (const index of job.waitingTasks.indexes()) {
         if (tasks.length > pick % batch || job.openTaskCount + tasks.length >= maxOpen) break;
         tasks.push({ index, machine: machineOf(pick, index) });
       }
       if (tasks.length > 0) job.placeTasks(tasks, SteadyMs(0));
     } else if (chosen !== undefined) {
-      if (kind === 1) job.complete(chosen);
-      else job.requeue(chosen);
+      if (kind === 1) job.completeTask(chosen);
+      else job.requeueTask(chosen);
     }
   }
 }
--- a/test/unit/attempt-clearance.test.ts
+++ b/test/unit/attempt-clearance.test.ts
@@ -38,8 +38,8 @@
   const clock = new ProcessClock(time, 0, 0);
   const fleet = emptyFleet(lease);
   const { job, placement, key } = placedTask(fleet, id, clock.steady(), attempt.spec);
-  if (attempt.exitReason === 'done') job.complete(0);
-  else job.requeue(0);
+  if (attempt.exitReason === 'done') job.completeTask(0);
+  else job.requeueTask(0);
   if (attempt.job !== 'completionUnstored') job.committedVersion = job.version;
   const machine = fleet.machines.get(id);
   assert.ok(machine);
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -8,7 +8,7 @@
 import { defaultOperator } from '../../src/config/operator.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { Job } from '../../src/ledger/job.js';
-import type { QueueEntry } from '../../src/ledger/queue-order.js';
+import type { QueueEntry } from '../../src/ledger/placement-order.js';
 import type { Outcome, Request } from '../../src/net/http.js';
 import { Endpoint, Epoch, JobId, Revision, SteadyMs, ms } from '../../src/units/index.js';
 import { encodeMachineTypes, type JobSpec } from '../../src/wire/index.js';
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -126,7 +126,7 @@
     ['placed', true, () => undefined, ['launch']],
     ['placed, but starts are left to replies', false, () => undefined, []],
     ['not committed', true, ({ job }) => (job.committedVersion = 0), []],
-    ['sent in a reply', true, ({ placement }) => (placement.sentInReplyTo = heartbeat), []],
+    ['sent in a reply', true, ({ placement }) => (placement.startSentInResponseTo = heartbeat), []],
     ['reported', true, ({ placement }) => (placement.isReported = true), []],
     ['the machine is draining', true, (_, machine) => (machine.isDecommissioning = true), []],
     ['cancelled, not sent', true, ({ job }) => (job.isCancelled = true), []],
@@ -135,7 +135,7 @@
       false,
       ({ job, placement }) => {
         job.isCancelled = true;
-        placement.sentInReplyTo = heartbeat;
+        placement.startSentInResponseTo = heartbeat;
       },
       ['kill 0'],
     ],
--- a/test/unit/commit-queue.test.ts
+++ b/test/unit/commit-queue.test.ts
@@ -59,13 +59,13 @@
   first.markChanged(WritePriority.progress);
   assert.deepEqual(due().jobs, [1]);
   queue.take(first);
-  queue.noteCommitted(first);
+  queue.recordCommit(first);
   await time.run(500);
   first.markChanged(WritePriority.progress);
   assert.deepEqual(due(), { jobs: [], checkAfter: 1500 });
   await time.run(2000);
   assert.deepEqual(due(), { jobs: [1], checkAfter: Infinity });
-  queue.noteCommitted(first);
+  queue.recordCommit(first);
   first.markChanged(WritePriority.jobEnd);
   assert.deepEqual(due(), { jobs: [1], checkAfter: Infinity });
   queue.untrack(first);
@@ -82,7 +82,7 @@
   await time.run(2000);
   assert.deepEqual(due(), { jobs: [1], checkAfter: Infinity });
   assert.ok(queue.needsOwnTransaction(large));
-  queue.noteCommitted(large);
+  queue.recordCommit(large);
   assert.ok(!queue.needsOwnTransaction(large));
 });
 
@@ -92,10 +92,10 @@
   const early = waiters.wait(id, 2);
   const late = waiters.wait(id, 3);
   const elsewhere = waiters.wait(other, 1);
-  waiters.settle(id, 2, true);
+  waiters.resolveUpTo(id, 2, true);
   assert.equal(await early, true);
   assert.ok(waiters.has(id));
-  waiters.settleAll(id, false);
+  waiters.resolveAll(id, false);
   assert.equal(await late, false);
   assert.ok(!waiters.has(id));
   waiters.close();
--- a/test/unit/compatibility.test.ts
+++ b/test/unit/compatibility.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { decodeJob, encodeJob, encodeJobCompactly, writerMarkOf } from '../../src/ledger/codec.js';
+import { decodeJob, encodeJob, encodeJobCompactly, writeIdOf } from '../../src/ledger/job-codec.js';
 import { encodeFinal } from '../../src/ledger/final-record.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
 import {
@@ -118,7 +118,7 @@
   };
   const limits = new RecordLimits(falling);
   const lowered = new RecordLimits(falling);
-  lowered.noteRefusal();
+  lowered.recordSizeRefusal();
   assert.equal(production.records.length, 7);
   for (const { name, live, final } of production.records) {
     const id = JobId('run-000412');
@@ -127,7 +127,7 @@
     assert.deepEqual(asJson(encodeJob(job, Epoch(live.e))), live, name);
     assert.deepEqual(asJson(limits.encode(job, Epoch(live.e)).record), live, `${name}: no change`);
     if (final !== null) assert.deepEqual(asJson(encodeFinal(job.finalState())), final, name);
-    assert.deepEqual(writerMarkOf(live), { epoch: live.e, version: live.v });
+    assert.deepEqual(writeIdOf(live), { epoch: live.e, version: live.v });
     // The same state in the next format, and within the limits to come.
     const compact = asJson(encodeJobCompactly(job, Epoch(live.e)));
     const back = decodeJob(id, compact, Revision(9), SteadyMs(0));
--- a/test/unit/failure-backoff.test.ts
+++ b/test/unit/failure-backoff.test.ts
@@ -19,7 +19,7 @@
   const placements = {
     fleet,
     ledger: { jobs: new Map([[job.id, job]]) },
-    requeueTask: (requeued: Job, index: number) => requeued.requeue(index),
+    requeueTask: (requeued: Job, index: number) => requeued.requeueTask(index),
   };
   const reconciler = new StatusReconciler(Epoch(5), placements as unknown as PlacementIndex, {
     clock,
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -84,7 +84,7 @@
     isProven: boolean,
   ];
   const unsent = { isInherited: false };
-  const sent = { isInherited: false, sentInReplyTo: { session: 1, sequence: 9 } };
+  const sent = { isInherited: false, startSentInResponseTo: { session: 1, sequence: 9 } };
   const inherited = { isInherited: true };
   const heartbeat = 'heartbeat';
   const cases: Case[] = [
--- a/test/unit/gangs.test.ts
+++ b/test/unit/gangs.test.ts
@@ -125,8 +125,8 @@
     [0, 1, 2].map((index) => ({ index, machine })),
     SteadyMs(0),
   );
-  job.requeue(2);
-  job.complete(0);
+  job.requeueTask(2);
+  job.completeTask(0);
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const ledger = { jobs: new Map([[job.id, job]]) };
@@ -140,9 +140,9 @@
   const unreachable = { canReach: () => false, schedulePush: () => assert.fail('stops a task') };
   const gangs = new GangController(placements, unreachable, clock);
   gangs.noteBroken(job);
-  const wasSettledAtOnce = job.isSettled;
+  const wasFinishedAtOnce = job.isFinished;
   await time.run(1);
-  assert.equal(wasSettledAtOnce, false, 'it is reviewed in a later turn');
-  assert.ok(job.isSettled && job.doneCount === 3);
+  assert.equal(wasFinishedAtOnce, false, 'it is reviewed in a later turn');
+  assert.ok(job.isFinished && job.doneCount === 3);
   assert.equal(job.finalState().status, 'done');
 });
--- a/test/unit/index-ranges.test.ts
+++ b/test/unit/index-ranges.test.ts
@@ -21,9 +21,9 @@
       const sorted = [...set].sort((a, b) => a - b);
       assert.deepEqual([...ranges.indexes()], sorted);
       assert.equal(ranges.size, set.size);
-      assert.equal(ranges.lowest(), sorted[0]);
+      assert.equal(ranges.lowestIndex(), sorted[0]);
       for (let i = 0; i <= 41; i++) assert.equal(ranges.has(i), set.has(i));
-      const parts = ranges.list();
+      const parts = ranges.toArray();
       parts.forEach(([from, to], position) => {
         assert.ok(from < to);
         if (position > 0) {
--- a/test/unit/live-records.test.ts
+++ b/test/unit/live-records.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { decodeJob, encodeJob } from '../../src/ledger/codec.js';
+import { decodeJob, encodeJob } from '../../src/ledger/job-codec.js';
 import { Job } from '../../src/ledger/job.js';
-import { encodedSize, openTaskLimit } from '../../src/ledger/record-size.js';
+import { encodedSize, maxOpenTasksInV1 } from '../../src/ledger/record-size.js';
 import { RecordError } from '../../src/ledger/record.js';
 import { Epoch, JobId, MachineId, Revision, SteadyMs, WallMs } from '../../src/units/index.js';
 import { applyMoves, type PlacingRules } from '../support/job-moves.js';
@@ -33,7 +33,7 @@
         Revision(7),
         now,
       );
-      assert.deepEqual(restored.waiting.list(), job.waiting.list());
+      assert.deepEqual(restored.waitingTasks.toArray(), job.waitingTasks.toArray());
       assert.equal(restored.doneCount, job.doneCount);
       assert.equal(restored.isCancelled, job.isCancelled);
       assert.equal(restored.nextAttempt, job.nextAttempt);
@@ -45,7 +45,7 @@
 
 void test('a record of 100,000 tasks stays within the size of a value', () => {
   const wide = spec({ taskCount: 100_000, image: 'x'.repeat(120), jobClass: 'y'.repeat(120) });
-  const maxOpen = openTaskLimit(wide, 8192);
+  const maxOpen = maxOpenTasksInV1(wide, 8192);
   assert.ok(maxOpen > 50, `only ${maxOpen} tasks at once`);
   const manyMoves = fc.array(fc.tuple(fc.constantFrom(0, 0, 1, 2), fc.nat(100_000)), {
     minLength: 400,
@@ -69,13 +69,16 @@
   const late = decodeJob(id, encodeJob(ours, Epoch(3)), Revision(8), now);
   const first = ours.placements.get(0);
   assert.ok(first);
-  first.sentInReplyTo = { session: 1, sequence: 9 };
+  first.startSentInResponseTo = { session: 1, sequence: 9 };
   // A later write of ours, which ended in a conflict with the late one.
   ours.placeTasks([{ index: 1, machine: otherMachine }], now);
   const usedVersion = ours.version;
   late.inheritFrom(ours);
   const kept = late.placements.get(0);
-  assert.deepEqual([kept?.sentInReplyTo, kept?.isInherited], [{ session: 1, sequence: 9 }, false]);
+  assert.deepEqual(
+    [kept?.startSentInResponseTo, kept?.isInherited],
+    [{ session: 1, sequence: 9 }, false],
+  );
   assert.equal(late.placements.has(1), false);
   assert.ok(late.version > usedVersion && late.committedVersion === late.version);
   late.placeTasks([{ index: 1, machine }], now);
--- a/test/unit/queue-order.test.ts
+++ b/test/unit/placement-order.test.ts
@@ -3,7 +3,11 @@
 import { test } from 'node:test';
 import type { Objective } from '../../src/config/settings.js';
 import { Job } from '../../src/ledger/job.js';
-import { compareQueueEntries, nextDeadline, queueEntryFor } from '../../src/ledger/queue-order.js';
+import {
+  compareQueueEntries,
+  nextDeadline,
+  queueEntryFor,
+} from '../../src/ledger/placement-order.js';
 import {
   JobId,
   MachineId,
--- a/test/unit/reception-check.test.ts
+++ b/test/unit/reception-check.test.ts
@@ -20,7 +20,7 @@
   const fleet = emptyFleet(lease);
   const machine = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, '');
   const { job, placement, key } = placedTask(fleet, id, SteadyMs(0));
-  if (isStartSent) placement.sentInReplyTo = { session: 1, sequence: 0 };
+  if (isStartSent) placement.startSentInResponseTo = { session: 1, sequence: 0 };
   const check = new ReceptionCheck(epoch, new Map([[job.id, job]]), lease);
   const task: TaskStatus = { task: key, attempt: placement.attempt, state: 'fetching' };
   for (const [i, [session, fencingToken, showsTask, atSecond]] of steps.entries()) {
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { pino } from 'pino';
 import { parseSettings, type StoreLimits } from '../../src/config/settings.js';
-import { decodeJob, encodeJob, encodeJobCompactly } from '../../src/ledger/codec.js';
+import { decodeJob, encodeJob, encodeJobCompactly } from '../../src/ledger/job-codec.js';
 import { Job, WritePriority } from '../../src/ledger/job.js';
 import { Ledger } from '../../src/ledger/ledger.js';
 import { RecordLimits } from '../../src/ledger/record-limits.js';
@@ -53,7 +53,7 @@
   isCancelled: job.isCancelled,
   zone: job.boundZone,
   nextAttempt: job.nextAttempt,
-  waiting: job.waiting.list(),
+  waiting: job.waitingTasks.toArray(),
   placed: [...job.placements]
     .map(([index, { machine, attempt }]) => [index, machine, attempt])
     .sort(),
@@ -91,14 +91,14 @@
 
 void test('once the limits are lowered, records fit the smaller value however their tasks end', () => {
   const limits = new RecordLimits(lowering);
-  limits.noteRefusal();
+  limits.recordSizeRefusal();
   const sizes: [taskCount: number, minOpen: number][] = [
     [200, 150],
     [100_000, 150],
   ];
   for (const [taskCount, minOpen] of sizes) {
     const wide = spec({ taskCount });
-    const maxOpen = limits.openTasks(wide, 0);
+    const maxOpen = limits.maxOpenTasks(wide, 0);
     assert.ok(maxOpen >= minOpen, `only ${maxOpen} tasks at once`);
     fc.assert(
       fc.property(drawnMoves(300, 900), (moves) => {
@@ -138,22 +138,25 @@
     ['limits that rise', new RecordLimits(higher), true, 100, 1],
   ];
   for (const [name, limits, isRefused, taskCount, format] of cases) {
-    if (isRefused) limits.noteRefusal();
+    if (isRefused) limits.recordSizeRefusal();
     assert.equal(limits.encode(placedJob(taskCount), Epoch(1)).record.f, format, name);
   }
   const { transactionOps } = new RecordLimits(lowering);
   assert.equal(transactionOps, 4, 'the smaller number of changes holds from the start');
   const limits = new RecordLimits(lowering);
   const gang = spec({ kind: JobKind.gang });
-  assert.ok(limits.canRecord(gang, 100));
-  assert.ok(!limits.canRecord(gang, 100_000), 'a gang that no record holds');
+  assert.ok(limits.canStoreRecord(gang, 100));
+  assert.ok(!limits.canStoreRecord(gang, 100_000), 'a gang that no record holds');
   const largeSpec = spec({
     machineTypes: Array.from({ length: 16 }, () => 'y'.repeat(60)),
     image: 'x'.repeat(120),
   });
-  assert.ok(limits.canRecord(largeSpec, 1));
+  assert.ok(limits.canStoreRecord(largeSpec, 1));
   assert.ok(
-    !new RecordLimits({ ...present, next: { ...lower, valueBytes: 1024 } }).canRecord(largeSpec, 1),
+    !new RecordLimits({ ...present, next: { ...lower, valueBytes: 1024 } }).canStoreRecord(
+      largeSpec,
+      1,
+    ),
   );
 });
 
@@ -183,7 +186,7 @@
     onReplaced: () => undefined,
     onDropped: () => undefined,
     onFinished: (job: Job) => committed.push(`${job.id} over`),
-    onDeposed: () => assert.fail('deposed'),
+    onLeadershipLost: () => assert.fail('deposed'),
   };
   const put = { writes: [{ put: 'leader', data: {} }] };
   const written = state.handle('POST', '/multi', put, node) as { body: { ledger_rev: number } };
@@ -217,7 +220,7 @@
     for (const job of jobs) void ledger.whenCommitted(job);
     await time.run(lowerAfter);
     for (const job of jobs) {
-      const tasks = [...job.waiting.indexes()].map((index) => ({
+      const tasks = [...job.waitingTasks.indexes()].map((index) => ({
         index,
         machine: MachineId(`vm-${String(1000 + index * 3).padStart(6, '0')}`),
       }));
@@ -229,7 +232,7 @@
     for (const job of jobs)
       assert.equal(job.committedVersion, job.version, `${job.id} ${lowerAfter} ms`);
     assert.ok(state.tooLarge <= 3, `${state.tooLarge} refused as too large`);
-    for (const job of jobs) for (const index of [...job.placements.keys()]) job.complete(index);
+    for (const job of jobs) for (const index of [...job.placements.keys()]) job.completeTask(index);
     await time.run(lowerAfter + 16_000);
     assert.equal(committed.filter((entry) => entry.endsWith('over')).length, 4);
     assert.ok(state.tooLarge <= 3);
@@ -243,10 +246,10 @@
   for (const job of [large, ...small]) ledger.insert(job);
   await time.run(2000);
   committed.length = 0;
-  limits.noteRefusal();
+  limits.recordSizeRefusal();
   state.lower(lower);
   // As the limit before allowed it: on many machines, no two neighbours on the same.
-  const tasks = [...large.waiting.indexes()].map((index) => ({
+  const tasks = [...large.waitingTasks.indexes()].map((index) => ({
     index,
     machine: MachineId(`vm-${String((index * 7919) % 16_000).padStart(6, '0')}`),
   }));
@@ -256,7 +259,7 @@
   for (const job of small) assert.ok(committed.includes(job.id), `${job.id} waits`);
   assert.ok(!committed.includes(large.id));
   assert.ok(state.tooLarge <= 5, `${state.tooLarge} refused in five seconds`);
-  for (const index of [...large.placements.keys()]) if (index >= 100) large.complete(index);
+  for (const index of [...large.placements.keys()]) if (index >= 100) large.completeTask(index);
   await time.run(14_000);
   assert.ok(committed.includes(large.id));
 });
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -135,7 +135,7 @@
   for (const [name, stored, took, status] of cases) {
     const node = leadingNode({ kind: 'absent' });
     node.loseAuthority();
-    node.jobRecords.lookup = async () => {
+    node.jobRecords.lookUp = async () => {
       await sleep(node.clock, ms(took));
       return stored;
     };
@@ -200,13 +200,13 @@
         ),
     });
     let creations = 0;
-    node.jobRecords.createWait = () => ms(wait);
+    node.jobRecords.creationWait = () => ms(wait);
     node.jobRecords.create = async () => {
       creations++;
       await sleep(node.clock, ms(took));
       return create ?? 'unknown';
     };
-    node.jobRecords.lookup = () => Promise.resolve(stored ?? { kind: 'unknown' });
+    node.jobRecords.lookUp = () => Promise.resolve(stored ?? { kind: 'unknown' });
     const replies: Reply[] = [];
     void node.userRequests
       .handle('POST', '/v1/jobs', encode(encodeJobSpec(spec({}))))
--- a/tools/record-production.mjs
+++ b/tools/record-production.mjs
@@ -17,7 +17,7 @@
 }
 const load = (path) => import(pathToFileURL(resolve(build, path)).href);
 const { encodeRequest, encodeResponse } = await load('peer/messages.js');
-const { encodeJob, encodeFinal } = await load('ledger/codec.js');
+const { encodeJob, encodeFinal } = await load('ledger/job-codec.js');
 const { Job } = await load('ledger/job.js');
 
 const bytes = (encode, messages) =>
