--- a/src/ledger/admission-control.ts
+++ b/src/ledger/admission-control.ts
@@ -1,4 +1,4 @@
-/** Whether a submitted job can ever run here. Every node gives the same answer. */
+/** Whether a submitted job can ever run in this cluster. Every controller reaches the same verdict. */
 import type { Verdict } from '../cloud/feasibility.js';
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Team } from '../config/settings.js';
@@ -6,7 +6,7 @@
 import { isGang } from './job.js';
 import type { RecordLimits } from './record-limits.js';
 
-/** Judges submissions by the size of their records, the machine types and the limits of the teams. */
+/** Checks submissions against the size limit of records, the machine types and the limits of the teams. */
 export class AdmissionControl {
   constructor(
     private readonly catalog: MachineCatalog,
@@ -15,7 +15,7 @@
   ) {}
 
   check(spec: JobSpec): Verdict {
-    // A gang is placed in one transaction, so all of it has to fit one record.
+    // A gang is placed in one transaction, so all its tasks have to fit into one record as placed tasks.
     const openTasks = isGang(spec) ? spec.taskCount : 1;
     if (!this.recordLimits.canStoreRecord(spec, openTasks)) {
       return {
--- a/src/ledger/batch-assembler.ts
+++ b/src/ledger/batch-assembler.ts
@@ -1,4 +1,4 @@
-/** Decides what goes into the next transaction: what is due, as far as the budgets of the store allow. */
+/** Fills the next transaction with the changes that are due, as far as the rate limits of the store allow. */
 import type { StoreClient } from '../store/client.js';
 import { ms, type Clock, type DurationMs, type Epoch } from '../units/index.js';
 import { BatchBuilder, operationCountOf, type Batch } from './batch.js';
@@ -6,26 +6,26 @@
 import { WritePriority, type Job } from './job.js';
 import type { RecordLimits } from './record-limits.js';
 
-/** Progress is written only while more than this share of a full burst of writes is left for other changes. */
+/** Progress is written only while at least this share of a full burst of writes remains for other changes. */
 const MIN_BUDGET_SHARE_FOR_PROGRESS = 0.6;
-/** How long progress that was not written for that reason waits. */
+/** How long progress waits that was not written for that reason. */
 const PROGRESS_RETRY_INTERVAL = ms(500);
 
-/** What is to be done next. */
+/** The next transaction, if any, and when to assemble again. */
 export interface AssemblyResult {
-  /** What to send now; undefined if nothing is due, or the budgets allow nothing. */
+  /** The transaction to send now; undefined if nothing is due or the rate limits allow no write. */
   readonly batch: Batch | undefined;
-  /** After this time there may be more to send; `NEVER` if only a further change can bring it. */
+  /** The time until there may be more to send; `NEVER` if that requires a further change. */
   readonly checkAfter: DurationMs;
 }
 
 interface AddedRecords {
-  /** The batch is complete: it holds a record that must be written by itself. */
+  /** Whether the batch has a record that must be written by itself, so that nothing more may be addedRecords. */
   readonly isExclusive: boolean;
   readonly checkAfter: DurationMs;
 }
 
-/** What an assembler works with. */
+/** The dependencies of the assembler. */
 export interface BatchAssemblerOptions {
   readonly store: Pick<StoreClient, 'availableWrites' | 'writeWait'>;
   readonly epoch: Epoch;
@@ -34,26 +34,26 @@
   readonly clock: Clock;
 }
 
-/** Takes due changes off the queue, transaction by transaction. */
+/** Takes due changes from the commit queue, one transaction at a time. */
 export class BatchAssembler {
   constructor(private readonly options: BatchAssemblerOptions) {}
 
-  /** The next transaction. What is in it has been taken off the queue. */
+  /** Assembles the next transaction and removes its contents from the queue. */
   assemble(): AssemblyResult {
     const { store, epoch, limits, queue, clock } = this.options;
-    const due = queue.due(clock.steady());
-    const budget = store.availableWrites();
-    const maxOperations = Math.min(limits.transactionOps, budget.count);
+    const dueJobs = queue.due(clock.steady());
+    const writeBudget = store.availableWrites();
+    const maxOperations = Math.min(limits.transactionOps, writeBudget.count);
     const builder = new BatchBuilder(epoch, limits, maxOperations);
-    const added = this.addRecords(builder, due.jobs, budget.share);
-    let checkAfter = Math.min(due.checkAfter, added.checkAfter);
-    if (!added.isExclusive) this.addInboxDeletions(builder);
+    const addedRecords = this.addRecords(builder, dueJobs.jobs, writeBudget.share);
+    let checkAfter = Math.min(dueJobs.checkAfter, addedRecords.checkAfter);
+    if (!addedRecords.isExclusive) this.addInboxDeletions(builder);
     if (!builder.isEmpty) return { batch: builder.build(), checkAfter: ms(checkAfter) };
     if (queue.inboxKeysToDelete.size > 0) checkAfter = Math.min(checkAfter, store.writeWait(1));
     return { batch: undefined, checkAfter: ms(checkAfter) };
   }
 
-  /** Adds records in their order until one does not fit: less urgent ones do not overtake it. */
+  /** Adds records in order until one does not fit. Less urgent records are not written before that one. */
   private addRecords(
     builder: BatchBuilder,
     jobs: readonly Job[],
--- a/src/ledger/batch.ts
+++ b/src/ledger/batch.ts
@@ -1,4 +1,4 @@
-/** One transaction of the commit loop: records of several jobs, each with the revision that it replaces. */
+/** One transaction of the commit loop: the records of several jobs, each with the revision that it replaces. */
 import type { Epoch } from '../units/index.js';
 import type { Condition, Write } from '../wire/index.js';
 import { encodeFinal } from './final-record.js';
@@ -7,39 +7,42 @@
 import { encodedSize } from './record-size.js';
 import { LEADER_KEY, finalKey, liveKey } from './store-keys.js';
 
-/** What a transaction is filled up to: it may hold 64 KiB in all. */
+/** The size up to which a transaction is filled. The store accepts 64 KiB in all. */
 const MAX_TRANSACTION_BYTES = 56 * 1024;
-/** What the key of a record and its conditions take beside it. */
+/** The size of a record's key and conditions, which is added to that of the record. */
 const KEY_BYTES = 200;
 
-/** A job as a transaction records it. */
+/** The version of a job that a transaction writes. */
 export interface PendingRecord {
   readonly job: Job;
   readonly version: number;
   readonly progress: JobProgress;
-  /** Why it is written. */
+  /** The reason for which the record is written. */
   readonly writePriority: WritePriority;
-  /** Set if the job ends with it. */
+  /** Set if this is the final record of the job. */
   readonly finalState: FinalState | undefined;
 }
 
-/** A transaction to be sent. */
+/** A transaction that is ready to be sent. */
 export interface Batch {
   readonly records: readonly PendingRecord[];
   readonly conditions: readonly Condition[];
   readonly writes: readonly Write[];
-  /** Keys of notices that it deletes. */
+  /** Keys of the inbox entries that the transaction deletes. */
   readonly inboxKeys: readonly string[];
 }
 
-/** What remains of a job once it is over. One that was never written can't be: nothing of it ran. */
+/**
+ * The final state of a finished job; undefined for any other. A job that was never written can't be finished, since
+ * none of its tasks has run.
+ */
 const finalStateOf = (job: Job): FinalState | undefined =>
   job.isFinished && job.revision > 0 ? job.finalState() : undefined;
 
-/** How many changes of a transaction the next record of a job takes. */
+/** How many operations of a transaction the next record of a job needs. */
 export const operationCountOf = (job: Job): number => (finalStateOf(job) ? 2 : 1);
 
-/** Puts a transaction together. It holds at most `maxChanges` changes. */
+/** Builds a transaction of at most `maxOperations` operations. */
 export class BatchBuilder {
   private readonly records: PendingRecord[] = [];
   private readonly conditions: Condition[];
@@ -52,7 +55,7 @@
     private readonly limits: RecordLimits,
     private readonly maxOperations: number,
   ) {
-    // Nothing that a deposed leader sends can apply.
+    // No transaction of a former leader can be applied.
     this.conditions = [{ key: LEADER_KEY, revision: epoch }];
   }
 
@@ -60,12 +63,12 @@
     return this.writes.length === 0;
   }
 
-  /** Whether so many more changes fit. */
+  /** Whether the transaction has room for this many more operations. */
   hasRoomFor(operations: number): boolean {
     return this.writes.length + operations <= this.maxOperations;
   }
 
-  /** Adds the present record of a job; false if it is too large to go with the others. */
+  /** Adds the current record of a job; false if it is too large for the rest of the transaction. */
   add(job: Job): boolean {
     const finalState = finalStateOf(job);
     const { record, bytes } = finalState
@@ -95,13 +98,13 @@
     const live = liveKey(job.id);
     const final = finalKey(job.id);
     this.conditions.push({ key: live, revision: job.revision });
-    // A creation must not bring back a job that is over.
+    // A creation must not recreate a finished job.
     if (isFinal || job.revision === 0) this.conditions.push({ key: final, revision: 0 });
     if (isFinal) this.writes.push({ put: final, data: record }, { delete: live });
     else this.writes.push({ put: live, data: record });
   }
 
-  /** Deletes a notice that was dealt with. */
+  /** Deletes an inbox entry that has been handled. */
   deleteInboxEntry(key: string): void {
     this.writes.push({ delete: key });
     this.inboxKeys.push(key);
--- a/src/ledger/commit-loop.ts
+++ b/src/ledger/commit-loop.ts
@@ -1,4 +1,4 @@
-/** The loop that writes changes: when transactions are assembled and sent, and how many are under way at once. */
+/** Decides when transactions are assembled and sent, and how many are in flight at once. */
 import type { Mutex } from 'async-mutex';
 import type { Logger } from 'pino';
 import type { Backoff } from '../store/backoff.js';
@@ -9,31 +9,31 @@
 import { NEVER } from './commit-queue.js';
 import type { TransactionWriter } from './transaction-writer.js';
 
-/** Transactions under way at once: a slow one must not delay the others. */
+/** More than one, so that a slow transaction does not delay the others. */
 const MAX_TRANSACTIONS_IN_FLIGHT = 3;
-/** The pause after an error in the loop itself. */
+/** The delay before the loop runs again after an unexpected error in it. */
 const ERROR_RETRY_DELAY = ms(200);
 
-/** What the loop works with. */
+/** The dependencies of the commit loop. */
 export interface CommitLoopOptions {
   readonly assembler: BatchAssembler;
   readonly writer: TransactionWriter;
-  /** While transactions are assembled, the outcome of none is taken in. */
+  /** Held while a transaction is assembled, so that no commit is recorded meanwhile. */
   readonly lock: Mutex;
-  /** Pauses all writing after failures. */
+  /** Delays all writing after failures. */
   readonly backoff: Backoff;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** Runs whenever there may be something to write, until `close`. */
+/** Writes due changes until `close`. It runs whenever there may be something to write. */
 export class CommitLoop {
   private inFlight = 0;
   private isRunning = false;
-  /** Asked for while it was running: it looks once more. */
+  /** Set if a run was requested during a run: the loop then runs once more. */
   private isRerunRequested = false;
   private isClosed = false;
-  /** When the timer is due, on the steady clock; `Infinity` if there is none. */
+  /** When the timer is due on the steady clock; `Infinity` if no timer is set. */
   private timerAt = Infinity;
   private timer: Timer | undefined;
 
@@ -44,7 +44,7 @@
     this.timer?.cancel();
   }
 
-  /** Looks for something to write, now or when the budgets allow. */
+  /** Writes what is due, now or once the rate limits of the store allow. */
   schedule(): void {
     if (this.isClosed) return;
     if (this.isRunning) {
@@ -54,16 +54,19 @@
     this.isRunning = true;
     this.run().catch((error: unknown) => {
       this.isRunning = false;
-      this.options.log.error({ err: error }, 'commit loop failed');
+      this.options.log.error(
+        { err: error },
+        'commit loop failed; it runs again after a short delay',
+      );
       this.scheduleAfter(ERROR_RETRY_DELAY);
     });
   }
 
-  /** Looks again after a while; the earliest of several such requests counts. */
+  /** Runs the loop after a delay; of several requests the earliest counts. */
   private scheduleAfter(delay: DurationMs): void {
     if (this.isClosed || delay === NEVER) return;
     const { clock } = this.options;
-    // Whole steps of the clock: after a rest too small for it to advance, the same rest would be left for ever.
+    // In whole milliseconds: after a fraction too short for the clock to advance, the same fraction would remain.
     const pause = ms(Math.max(1, Math.ceil(delay)));
     const at = clock.steady() + pause;
     if (at >= this.timerAt) return;
@@ -76,7 +79,7 @@
   }
 
   private async run(): Promise<void> {
-    // All changes that are made in this turn go into one transaction.
+    // Waits for a microtask, so that all changes made in the current turn go into one transaction.
     await Promise.resolve();
     do {
       this.isRerunRequested = false;
@@ -94,7 +97,7 @@
     this.isRunning = false;
   }
 
-  /** Undefined if nothing is to be sent now; then the timer is set, if there will be something later. */
+  /** Undefined if nothing is to be sent now; the timer is then set if something will be due later. */
   private nextBatch(): Promise<Batch | undefined> {
     const { assembler, lock } = this.options;
     return lock.runExclusive(() => {
--- a/src/ledger/commit-queue.ts
+++ b/src/ledger/commit-queue.ts
@@ -1,4 +1,4 @@
-/** What is to be written: jobs with changes that are not in the store yet, and in which order they are written. */
+/** The queue of jobs with changes that are not in the store yet, and the order in which they are written. */
 import {
   ms,
   durationBetween,
@@ -10,11 +10,11 @@
 import { WritePriority, type Job } from './job.js';
 import { isUrgent } from './placement-order.js';
 
-/** Progress that only saves repeated work after a failover is written at most this often for one job. */
+/** Progress, which only avoids repeated work after a failover, is written at most this often for one job. */
 const MIN_PROGRESS_INTERVAL = ms(2000);
 /**
- * How long each kind of change may be delayed by others when writes are scarce: changes are written in the order
- * of when they were made plus this. Admissions and cancellations go before all.
+ * How long other changes may delay each kind of change while the store's rate limits hold writes back: changes are
+ * written in the order of the time at which they were made plus this delay. Submissions and cancellations go first.
  */
 const MAX_WRITE_DELAY: Record<Exclude<WritePriority, typeof WritePriority.none>, DurationMs> = {
   [WritePriority.userRequest]: ms(0),
@@ -23,22 +23,22 @@
   [WritePriority.progress]: ms(5000),
 };
 
-/** No need to look again. */
+/** A delay that never ends: no further check is needed. */
 export const NEVER = ms(Infinity);
 
-/** What may be written now. */
+/** The jobs that may be written now. */
 export interface DueJobs {
   /** Most urgent first. */
   readonly jobs: readonly Job[];
-  /** After this time a further job is due; `NEVER` if none is waiting for its time. */
+  /** The time until another job is due; `NEVER` if no job waits for its time. */
   readonly checkAfter: DurationMs;
 }
 
-/** A change without a stated reason counts as progress. */
+/** The priority of the job's change. A change without a stated reason counts as progress. */
 const priorityOf = (job: Job): Exclude<WritePriority, typeof WritePriority.none> =>
   job.writePriority === WritePriority.none ? WritePriority.progress : job.writePriority;
 
-/** By when, on the steady clock, a change made at `changedAt` is to be written. */
+/** The time on the steady clock by which a change made at `changedAt` should be written. */
 function writeBy(job: Job, changedAt: SteadyMs): number {
   const priority = priorityOf(job);
   if (priority === WritePriority.userRequest) return -Infinity;
@@ -46,14 +46,14 @@
   return changedAt + (isUrgentPlacement ? 0 : MAX_WRITE_DELAY[priority]);
 }
 
-/** The changes of one ledger that wait to be written. */
+/** The pending changes of one ledger. */
 export class CommitQueue {
-  /** Jobs with changes that no transaction has taken, and since when. */
+  /** Jobs with changes that are in no transaction yet, with the time of the first such change. */
   private readonly changedSince = new Map<Job, SteadyMs>();
-  /** Jobs of a transaction that was refused as too large: each is tried by itself, and not before then. */
+  /** Jobs from transactions that were refused as too large: each is written by itself, not before the given time. */
   private readonly ownTransactionNotBefore = new Map<Job, SteadyMs>();
-  private readonly lastCommit = new Map<JobId, SteadyMs>();
-  /** Keys of notices that were dealt with: they are deleted along with other changes. */
+  private readonly lastCommitAt = new Map<JobId, SteadyMs>();
+  /** Keys of inbox entries that have been handled: they are deleted together with other changes. */
   private readonly handledInboxKeys = new Set<string>();
 
   /** `onChange` is called after each change of a tracked job. */
@@ -62,7 +62,7 @@
     private readonly onChange: () => void,
   ) {}
 
-  /** From now on changes of this job are written; at once, if it has any. */
+  /** Starts to write the changes of this job, beginning with those that it already has. */
   track(job: Job): void {
     job.onChange = (): void => {
       this.add(job);
@@ -71,19 +71,19 @@
     if (job.version > job.committedVersion) job.onChange();
   }
 
-  /** Nothing more of this job is written. */
+  /** Stops writing changes of this job. */
   untrack(job: Job): void {
     job.onChange = undefined;
     this.ownTransactionNotBefore.delete(job);
     this.changedSince.delete(job);
   }
 
-  /** A transaction has taken the job's present version. */
+  /** Removes a job whose current version was added to a transaction. */
   take(job: Job): void {
     this.changedSince.delete(job);
   }
 
-  /** What a transaction took was not written. */
+  /** Adds a job again whose transaction was not applied. */
   putBack(job: Job): void {
     if (job.onChange) this.add(job);
   }
@@ -94,16 +94,16 @@
 
   recordCommit(job: Job): void {
     this.ownTransactionNotBefore.delete(job);
-    this.lastCommit.set(job.id, this.clock.steady());
+    this.lastCommitAt.set(job.id, this.clock.steady());
   }
 
-  /** The job is over: when it was last written does not matter any more. */
+  /** Discards all state of a finished job, including the time of its last write. */
   forget(job: Job): void {
     this.untrack(job);
-    this.lastCommit.delete(job.id);
+    this.lastCommitAt.delete(job.id);
   }
 
-  /** The job is written in a transaction by itself, and not before `time`. */
+  /** Makes the job be written in a transaction by itself, not before `time`. */
   retryInOwnTransaction(job: Job, time: SteadyMs): void {
     this.ownTransactionNotBefore.set(job, time);
   }
@@ -120,12 +120,12 @@
     this.handledInboxKeys.delete(key);
   }
 
-  /** Keys of the notices that are to be deleted, oldest first. */
+  /** Keys of the inbox entries that are to be deleted, oldest first. */
   get inboxKeysToDelete(): ReadonlySet<string> {
     return this.handledInboxKeys;
   }
 
-  /** How many admissions and cancellations no transaction has taken yet. */
+  /** How many submissions and cancellations are in no transaction yet. */
   get pendingUserRequests(): number {
     let count = 0;
     for (const job of this.changedSince.keys())
@@ -133,9 +133,9 @@
     return count;
   }
 
-  /** The jobs that may be written now, and when to look again for those that may not yet. */
+  /** The jobs that may be written now, and when to check again for the others. */
   due(now: SteadyMs): DueJobs {
-    const due: { job: Job; at: number }[] = [];
+    const due: { job: Job; writeBy: number }[] = [];
     let checkAfter = Infinity;
     for (const [job, changedAt] of this.changedSince) {
       if (job.version <= job.committedVersion) {
@@ -143,20 +143,22 @@
         continue;
       }
       if (job.hasWriteInFlight) continue;
-      const wait = this.waitOf(job, now);
+      const wait = this.timeUntilWritable(job, now);
       if (wait > 0) checkAfter = Math.min(checkAfter, wait);
-      else due.push({ job, at: writeBy(job, changedAt) });
+      else due.push({ job, writeBy: writeBy(job, changedAt) });
     }
-    due.sort((a, b) => a.at - b.at);
+    due.sort((a, b) => a.writeBy - b.writeBy);
     return { jobs: due.map((entry) => entry.job), checkAfter: ms(checkAfter) };
   }
 
-  /** How long a job may not be written yet; 0 or less if it may. */
-  private waitOf(job: Job, now: SteadyMs): DurationMs {
+  /** How long until the job may be written; 0 or less if it may be written now. */
+  private timeUntilWritable(job: Job, now: SteadyMs): DurationMs {
     const ownTransactionWait = durationBetween(now, this.ownTransactionNotBefore.get(job) ?? now);
     if (ownTransactionWait > 0 || priorityOf(job) !== WritePriority.progress)
       return ownTransactionWait;
-    const last = this.lastCommit.get(job.id);
-    return ms(last === undefined ? 0 : MIN_PROGRESS_INTERVAL - durationBetween(last, now));
+    const committedAt = this.lastCommitAt.get(job.id);
+    return ms(
+      committedAt === undefined ? 0 : MIN_PROGRESS_INTERVAL - durationBetween(committedAt, now),
+    );
   }
 }
--- a/src/ledger/commit-waiters.ts
+++ b/src/ledger/commit-waiters.ts
@@ -1,4 +1,4 @@
-/** Callers that wait until a version of a job is in the store. */
+/** Promises that resolve once a version of a job is in the store. */
 import type { JobId } from '../units/index.js';
 
 interface Waiter {
@@ -6,12 +6,12 @@
   readonly resolve: (isCommitted: boolean) => void;
 }
 
-/** Waiters by job. Each is answered exactly once: by `settle`, or with false by `close`. */
+/** Waiters by job. Each is resolved exactly once: by `resolveUpTo`, or with false by `close`. */
 export class CommitWaiters {
   private readonly waiters = new Map<JobId, Waiter[]>();
   private isClosed = false;
 
-  /** Resolves to true once this version is in the store, to false if it is not known to be. */
+  /** Resolves to true once this version is in the store, to false if that can't be confirmed. */
   wait(id: JobId, version: number): Promise<boolean> {
     if (this.isClosed) return Promise.resolve(false);
     return new Promise((resolve) => {
@@ -25,20 +25,20 @@
     return this.waiters.has(id);
   }
 
-  /** Answers those who wait for this version of a job or an earlier one. */
+  /** Resolves the waiters for this version of a job or an earlier one. */
   resolveUpTo(id: JobId, version: number, isCommitted: boolean): void {
     const list = this.waiters.get(id);
     if (!list) return;
-    const rest: Waiter[] = [];
+    const remaining: Waiter[] = [];
     for (const waiter of list) {
       if (waiter.version <= version) waiter.resolve(isCommitted);
-      else rest.push(waiter);
+      else remaining.push(waiter);
     }
-    if (rest.length > 0) this.waiters.set(id, rest);
+    if (remaining.length > 0) this.waiters.set(id, remaining);
     else this.waiters.delete(id);
   }
 
-  /** Answers all who wait for a version of a job. */
+  /** Resolves all waiters for a job. */
   resolveAll(id: JobId, isCommitted: boolean): void {
     this.resolveUpTo(id, Infinity, isCommitted);
   }
--- a/src/ledger/final-state-cache.ts
+++ b/src/ledger/final-state-cache.ts
@@ -1,14 +1,14 @@
-/** The final states of jobs that were over lately, in memory. */
+/** An in-memory cache of the final states of recently finished jobs. */
 import type { JobId } from '../units/index.js';
 import type { FinalState } from './job.js';
 
-/** Final states never change, so one that is here need not be read again. At most `maxSize` are kept, the latest. */
+/** Final states never change, so a cached one is always valid. The cache keeps the `maxSize` latest ones. */
 export class FinalStateCache {
   private readonly states = new Map<JobId, FinalState>();
 
   constructor(private readonly maxSize: number) {}
 
-  /** Undefined if it is not kept, whatever the store holds. */
+  /** Undefined if the state is not cached; the store may still have it. */
   get(id: JobId): FinalState | undefined {
     return this.states.get(id);
   }
--- a/src/ledger/index-ranges.ts
+++ b/src/ledger/index-ranges.ts
@@ -1,9 +1,9 @@
-/** Sets of task indexes that are mostly contiguous. */
+/** A set of task indexes, stored as ranges because the indexes are mostly contiguous. */
 
-/** A half-open range of indexes: the first one, and the first one behind it. */
+/** A half-open range of indexes: `from` is included, `to` is not. */
 export type IndexRange = readonly [from: number, to: number];
 
-/** A set of task indexes as sorted, disjoint ranges that do not touch: 100,000 waiting tasks are one. */
+/** A set of task indexes as sorted, disjoint and non-adjacent ranges: 100,000 waiting tasks can be one range. */
 export class IndexRanges {
   private readonly ranges: [from: number, to: number][] = [];
   private count = 0;
@@ -14,7 +14,7 @@
     return result;
   }
 
-  /** How many indexes are in it. */
+  /** The number of indexes in the set. */
   get size(): number {
     return this.count;
   }
@@ -40,40 +40,40 @@
     this.addRange(index, index + 1);
   }
 
-  /** Adds a range, and merges it with those that it overlaps or touches. */
+  /** Adds a range and merges it with the ranges that it overlaps or is adjacent to. */
   addRange(from: number, to: number): void {
     if (from >= to) return;
     const position = this.findRangeEndingAfter(from - 1);
     let start = from;
     let end = to;
-    let merged = 0;
+    let mergedCount = 0;
     for (let i = position; i < this.ranges.length; i++) {
       const [otherFrom, otherTo] = this.ranges[i] as IndexRange;
       if (otherFrom > to) break;
       start = Math.min(start, otherFrom);
       end = Math.max(end, otherTo);
       this.count -= otherTo - otherFrom;
-      merged++;
+      mergedCount++;
     }
-    this.ranges.splice(position, merged, [start, end]);
+    this.ranges.splice(position, mergedCount, [start, end]);
     this.count += end - start;
   }
 
-  /** Removes one index; false if it was not in the set. */
+  /** Removes an index; false if it was not in the set. */
   remove(index: number): boolean {
     const position = this.findRangeEndingAfter(index);
     const range = this.ranges[position];
     if (range === undefined || range[0] > index) return false;
     const [from, to] = range;
-    const rest: [number, number][] = [];
-    if (from < index) rest.push([from, index]);
-    if (index + 1 < to) rest.push([index + 1, to]);
-    this.ranges.splice(position, 1, ...rest);
+    const remaining: [number, number][] = [];
+    if (from < index) remaining.push([from, index]);
+    if (index + 1 < to) remaining.push([index + 1, to]);
+    this.ranges.splice(position, 1, ...remaining);
     this.count -= 1;
     return true;
   }
 
-  /** Makes it the set of these ranges. */
+  /** Replaces the contents of the set with these ranges. */
   replaceWith(ranges: Iterable<IndexRange>): void {
     this.ranges.length = 0;
     this.count = 0;
@@ -95,7 +95,7 @@
     for (const [from, to] of this.ranges) for (let index = from; index < to; index++) yield index;
   }
 
-  /** A copy of its ranges, lowest first. */
+  /** A copy of the ranges, lowest first. */
   toArray(): [from: number, to: number][] {
     return this.ranges.map(([from, to]) => [from, to]);
   }
--- a/src/ledger/job-codec.ts
+++ b/src/ledger/job-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Live records, from a job in memory to what is stored and back. Format 1 is what production writes; format 2,
- * the compact one, is written only once the state service takes smaller values (`record-limits.ts`).
+ * Converts jobs in memory to live records and back. Format 1 is what production writes. Format 2, the compact one, is
+ * written only once the state store has lowered its size limit for values (`record-limits.ts`).
  */
 import * as z from 'zod';
 import { type Epoch, type JobId, type Revision, type SteadyMs } from '../units/index.js';
@@ -14,32 +14,34 @@
 import { decodeRecordV1, encodeRecordV1, type RecordV1 } from './record-v1.js';
 import { RecordError, recordOf, type JobRecord, type WriteId } from './record.js';
 
-/** A live record as the state service holds it. */
+/** A live record as it is stored. */
 export type LiveRecord = RecordV1 | CompactRecord;
 
-/** The record of a job in format 1. */
+/** Encodes a job in format 1. */
 export const encodeJob = (job: Job, epoch: Epoch): RecordV1 => encodeRecordV1(recordOf(job, epoch));
 
-/** The record of a job in the format that takes least space. */
+/** Encodes a job in format 2, the compact one. */
 export const encodeJobCompactly = (job: Job, epoch: Epoch): CompactRecord =>
   encodeCompactRecord(recordOf(job, epoch));
 
 const count = z.number().int().nonnegative();
 const StoredWriteId = z.object({ e: count, v: count });
 
-/** Who wrote a record, whatever else is in it; undefined if it does not say. */
+/** Identifies the write that produced a record, whatever its format; undefined if the record does not tell. */
 export function writeIdOf(data: unknown): WriteId | undefined {
   const parsed = StoredWriteId.safeParse(data);
   return parsed.success ? { epoch: parsed.data.e, version: parsed.data.v } : undefined;
 }
 
-/** The job that a live record of either format describes; throws `RecordError` if it can't be read. */
+/** Decodes a live record of either format; throws `RecordError` if that fails. */
 export function decodeJob(id: JobId, data: unknown, revision: Revision, now: SteadyMs): Job {
   try {
     const record = isCompact(data) ? decodeCompactRecord(id, data) : decodeRecordV1(data);
     return restoreJob(id, record, revision, now);
   } catch (error) {
-    throw new RecordError(`record of ${id}: ${describeError(error)}`, { cause: error });
+    throw new RecordError(`can't decode the record of job ${id}: ${describeError(error)}`, {
+      cause: error,
+    });
   }
 }
 
@@ -58,7 +60,7 @@
   for (const { from, to, attempt, machine } of record.placements) {
     for (let index = from; index < to; index++) {
       if (job.waitingTasks.has(index) || job.placements.has(index)) {
-        throw new RecordError(`task ${index} is in two states`);
+        throw new RecordError(`task ${index} is both waiting and placed, or placed twice`);
       }
       job.placements.set(
         index,
@@ -67,9 +69,11 @@
     }
   }
   if (job.placements.size > 0) job.lastPlacedAt = now;
-  // A range that was lost would pass for finished work.
+  // The tasks of a lost range would be mistaken for done ones.
   if (job.doneCount !== record.doneCount) {
-    throw new RecordError(`d: ${record.doneCount} tasks done, by the ranges ${job.doneCount}`);
+    throw new RecordError(
+      `d: ${record.doneCount} tasks are done, but the task ranges imply ${job.doneCount}`,
+    );
   }
   job.version = 1;
   job.committedVersion = 1;
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs as the store holds them. Any node, the leader too, looks jobs up and reads notices; only a node without a
- * reachable leader creates and cancels jobs here, on behalf of users.
+ * Reads and writes job records in the store without a ledger. Any controller, including the leader, looks up jobs and
+ * reads inbox entries here; only a controller that can't reach a leader creates and cancels jobs here for its users.
  */
 import type { StoreClient } from '../store/client.js';
 import type { CommitResult } from '../store/results.js';
@@ -24,35 +24,34 @@
 
 const STORE_TIMEOUT = ms(1500);
 const WATCH_TIMEOUT = ms(10_000);
-/** The longest wait of a user's request for its turn at the store; past it the request is refused at once. */
+/** The longest time for which a user's request may be queued for the store. One that would wait longer is refused. */
 const MAX_QUEUE_WAIT = ms(1000);
 const USER_REQUEST_OPTIONS = { queueTimeout: MAX_QUEUE_WAIT };
-/** How many final states are kept in memory. */
 const MAX_FINAL_STATES = 2000;
-/** What records name as their writer's epoch if no leader wrote them. */
+/** The epoch in records that no leader wrote. */
 const NO_EPOCH = Epoch(0);
 
-/** A job as the store has it. */
+/** The result of looking up a job in the store. */
 export type StoredJob =
   | { kind: 'live'; job: Job }
   | { kind: 'final'; final: FinalState }
-  /** The store has no record of it. */
+  /** The store has no record of the job. */
   | { kind: 'absent' }
-  /** The store could not be read, or did not answer a write. */
+  /** The store could not be read, or a write got no response. */
   | { kind: 'unknown' };
 
-/** A message to the leader in the store: what another node did, or asks for, while it can't reach the leader. */
+/** A message to the leader, left in the store by a controller that could not reach it. */
 export interface InboxEntry extends InboxEntryContents {
   readonly key: string;
 }
 
-/** All notices at one revision of the store. */
+/** All inbox entries at one revision of the store. */
 export interface InboxSnapshot {
   readonly entries: InboxEntry[];
   readonly revision: Revision;
 }
 
-/** Looks jobs up, creates those that do not exist yet, and cancels them while there is no leader at all. */
+/** Looks up jobs, creates jobs that do not exist yet, and cancels jobs while there is no leader. */
 export class JobRecords {
   private readonly finalStates = new FinalStateCache(MAX_FINAL_STATES);
 
@@ -63,8 +62,9 @@
   ) {}
 
   /**
-   * Reads a job. A live record only ever moves to a final one, which stays, so what is found absent in this
-   * order was in neither place when the first answer was given. Throws `RecordError` if a record can't be read.
+   * Looks up a job. A live record is only ever replaced by a final one, which is permanent. So a job that is found
+   * absent in this order had neither record at the time of the first read. Throws `RecordError` if a record can't be
+   * decoded.
    */
   async lookUp(id: JobId): Promise<StoredJob> {
     const known = this.finalStates.get(id);
@@ -83,14 +83,14 @@
     return { kind: 'final', final };
   }
 
-  /** How long a creation would wait for its turn. */
+  /** How long a creation would be queued for the store. */
   creationWait(): DurationMs {
     return this.store.writeWait(2);
   }
 
   /**
-   * Creates a job on a node that can't reach the leader: it is committed if it is in no record, together with
-   * a notice for the leader. It can't contradict what a leader answered.
+   * Creates a job on a controller that can't reach the leader: the transaction, which includes an inbox entry for
+   * the leader, is conditional on the job having no record. So it can't contradict a response of a leader.
    */
   async create(spec: JobSpec): Promise<'created' | 'exists' | 'unknown'> {
     const id = JobId(spec.id);
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Cancels while no leader exists. The condition that the leader key is absent protects readers:
-   * a leader answers from memory, and must never call running what a user was told is cancelled.
+   * Cancels a job while there is no leader. The condition that the leader key is absent protects readers: a leader
+   * responds from memory, and must never report a job as running after a user was told that it is cancelled.
    */
   async cancel(id: JobId): Promise<StoredJob> {
     const found = await this.lookUp(id);
@@ -136,7 +136,7 @@
     return job.isFinished ? { kind: 'final', final: job.finalState() } : found;
   }
 
-  /** Leaves a notice that a user cancels the job, for a leader that can't be reached; false if that failed. */
+  /** Writes an inbox entry that asks the unreachable leader to cancel the job; false if the write failed. */
   async requestCancellation(id: JobId): Promise<boolean> {
     const result = await this.transact(
       [{ key: finalKey(id), revision: 0 }],
@@ -152,7 +152,7 @@
     return this.store.transact(conditions, writes, STORE_TIMEOUT, USER_REQUEST_OPTIONS);
   }
 
-  /** All notices for the leader; undefined if they could not be read. */
+  /** Reads all inbox entries; undefined if the read failed. */
   async readInbox(): Promise<InboxSnapshot | undefined> {
     const listed = await this.store.list(INBOX_PREFIX, STORE_TIMEOUT);
     if (!listed) return undefined;
@@ -160,7 +160,7 @@
     return { entries, revision: listed.revision };
   }
 
-  /** Waits for a notice that is later than `from`, or for some seconds; false if that could not be done. */
+  /** Waits for an inbox entry after revision `from`, or until the watch times out; false if the watch failed. */
   async watchInbox(from: Revision): Promise<boolean> {
     return (await this.store.watch(INBOX_PREFIX, from, WATCH_TIMEOUT)) !== 'failed';
   }
--- a/src/ledger/job-table.ts
+++ b/src/ledger/job-table.ts
@@ -1,28 +1,28 @@
-/** The jobs that a leader knows: the live ones, and the final states of those that were over lately. */
+/** The jobs that a leader has in memory: all live ones, and the final states of those that finished recently. */
 import type { JobId } from '../units/index.js';
 import { FinalStateCache } from './final-state-cache.js';
 import type { FinalState, Job } from './job.js';
 
-/** How many final states are kept; the others are read from the store again. */
+/** When the table is full, the oldest final states are discarded and read from the store again if needed. */
 const MAX_FINAL_STATES = 4000;
 
-/** Jobs by id. */
+/** Live jobs and final states by job id. */
 export class JobTable {
   /** All live jobs. */
   readonly jobs = new Map<JobId, Job>();
   readonly finalStates = new FinalStateCache(MAX_FINAL_STATES);
 
-  /** Adds a live job, in the place of another of the same id. */
+  /** Adds a live job; it replaces another one with the same id. */
   set(job: Job): void {
     this.jobs.set(job.id, job);
   }
 
-  /** Removes a live job unless another has its place by now. */
+  /** Removes a live job, unless another one with the same id has replaced it. */
   remove(job: Job): void {
     if (this.jobs.get(job.id) === job) this.jobs.delete(job.id);
   }
 
-  /** Moves a job that is over to the final states. */
+  /** Removes a finished job from the live jobs and keeps its final state. */
   finish(job: Job, final: FinalState): void {
     this.finalStates.set(job.id, final);
     this.remove(job);
--- a/src/ledger/job.ts
+++ b/src/ledger/job.ts
@@ -1,4 +1,4 @@
-/** A job in memory: where its tasks are, and which of its versions the store holds. */
+/** The in-memory state of a job: the placements of its tasks, and which version of it the store holds. */
 import {
   Attempt,
   type JobId,
@@ -10,36 +10,42 @@
 import { JobKind, JobStatus, type JobSpec } from '../wire/index.js';
 import { IndexRanges } from './index-ranges.js';
 
-/** How a task was placed. */
+/** Where, when and in which version of its job a task was placed. */
 export interface PlacementOrigin {
   readonly machine: MachineId;
   readonly attempt: Attempt;
-  /** The version of the job that made it: its start may be sent once that version is committed. */
+  /** The job version that added this placement. The start may be sent once that version is committed. */
   readonly version: number;
-  /** Made by an earlier leader, which may have sent starts that this one does not know of. */
+  /** An earlier leader made this placement, and may have sent starts that this leader does not know of. */
   readonly isInherited: boolean;
   readonly placedAt: SteadyMs;
 }
 
-/** Where a task is, or may be. It stays until there is proof that the task is not there any more. */
+/**
+ * A machine on which a task runs or may run. The placement is removed only on proof that the task is no longer on
+ * that machine.
+ */
 export interface Placement extends PlacementOrigin {
-  /** The heartbeat whose reply last carried the start. */
+  /** The heartbeat whose response last carried the start. */
   startSentInResponseTo?: { readonly session: number; readonly sequence: number };
-  /** A heartbeat has shown it. */
+  /** A heartbeat has reported this attempt. */
   isReported: boolean;
-  /** Its start was sent straight to the worker. */
+  /** The start was sent as a direct command. */
   isStartSentDirectly: boolean;
-  /** Its stop was sent straight to the worker. */
+  /** The stop was sent as a direct command. */
   isStopSentDirectly: boolean;
-  /** Set if it is to be stopped so that it can run elsewhere or later: the seconds that it has to save its state. */
+  /**
+   * Set if the task is to be evicted, so that it can run elsewhere or later: the seconds that it has to save a
+   * checkpoint.
+   */
   evictionGraceSeconds?: number;
-  /** A heartbeat has shown it running. */
+  /** A heartbeat has reported the task as running. */
   hasRun?: boolean;
-  /** Whether its image was thought to be on the machine when it was placed: for the log. */
+  /** Whether the machine was believed to have the image when the task was placed. Only logged. */
   wasImageCached?: boolean;
 }
 
-/** A placement that nothing has been sent for and no heartbeat has shown. */
+/** A placement for which no command has been sent and no heartbeat has been received. */
 export const newPlacement = (origin: PlacementOrigin): Placement => ({
   machine: origin.machine,
   attempt: origin.attempt,
@@ -51,7 +57,7 @@
   isStopSentDirectly: false,
 });
 
-/** What users are shown of a job: that of a version which is in the store. */
+/** The progress of one version of a job. Users only see that of a version which is in the store. */
 export interface JobProgress {
   readonly isCancelled: boolean;
   /** How many tasks are done. */
@@ -60,90 +66,93 @@
   readonly placedCount: number;
 }
 
-/** What remains of a job for good. */
+/** The state of a finished job, which is kept permanently. */
 export interface FinalState {
   readonly status: typeof JobStatus.done | typeof JobStatus.cancelled;
   readonly taskCount: number;
   /** How many tasks are done. */
   readonly doneCount: number;
   readonly team: string;
-  /** The reason of the status, for users. */
+  /** Explains the status to users. */
   readonly reason: string;
 }
 
-/** Whether the tasks of a job run all at the same time or not at all. */
+/** Whether the job is a gang: its tasks run all at the same time or not at all. */
 export const isGang = (spec: Pick<JobSpec, 'kind'>): boolean => spec.kind === JobKind.gang;
 
-/** Why a record is to be written, most urgent first. */
+/** The reasons for writing a record, most urgent first. */
 export const WritePriority = {
-  /** A submission or a cancellation: its user waits for the answer. */
+  /** A submission or a cancellation: a user waits for the response. */
   userRequest: 0,
-  /** Placements: their starts are sent once they are committed. */
+  /** New placements: the starts are sent once these are committed. */
   placement: 1,
-  /** The last task of a job has ended, or a task of a cancelled job is gone. */
+  /** The last task of a job has ended, or a task of a cancelled job is no longer on its machine. */
   jobEnd: 2,
-  /** What only saves repeated work after a failover. */
+  /** A change that only avoids repeated work after a failover. */
   progress: 3,
-  /** Nothing new since the last transaction. */
+  /** No change since the last transaction. */
   none: 4,
 } as const;
 export type WritePriority = (typeof WritePriority)[keyof typeof WritePriority];
 
-/** A live job. Each of its tasks waits, is placed or, if neither, is done. */
+/** A live job. Each of its tasks either waits or is placed; a task that does neither is done. */
 export class Job {
-  // --- what the record says ---------------------------------------------------------------------
+  // --- contents of the record ---------------------------------------------------------------------
 
   isCancelled = false;
-  /** Indexes of the tasks that wait to be placed. */
+  /** Indexes of the tasks that wait for a placement. */
   readonly waitingTasks: IndexRanges;
-  /** Placed tasks by index. */
+  /** Placements by task index. */
   readonly placements = new Map<number, Placement>();
-  /** The number that the next placing of tasks gives them: no two placements of a task share one. */
+  /** The attempt number that the next placed tasks get. No two placements of a task share one. */
   nextAttempt = Attempt(1);
-  /** The zone of a job that must be in one; undefined before it is placed. */
+  /** The zone of a job whose tasks must all be in one zone; undefined before the job is placed. */
   boundZone: string | undefined;
 
-  // --- versions, and what the store holds -------------------------------------------------------
+  // --- versions and the state of the store -------------------------------------------------------
 
-  /** Rises with each change in memory. */
+  /** Increases with each change in memory. */
   version = 1;
-  /** The highest version that is known to be in the store; 0 if none is. */
+  /** The highest version that is known to be in the store; 0 if there is none. */
   committedVersion = 0;
-  /** The revision of the record in the store; 0 if there is none. The next write replaces just this one. */
+  /** The store revision of the record; 0 if there is no record. The next write applies only to this revision. */
   revision: Revision;
-  /** The progress at the version that is in the store. */
+  /** The progress at the committed version. */
   committedProgress: JobProgress = { isCancelled: false, doneCount: 0, placedCount: 0 };
 
-  // --- writing ----------------------------------------------------------------------------------
+  // --- pending and unresolved writes ----------------------------------------------------------------------------------
 
-  /** The most urgent reason to write it that came up since it was last taken into a transaction. */
+  /** The most urgent reason for a write since the job was last added to a transaction. */
   writePriority: WritePriority = WritePriority.none;
-  /** A transaction with its record is under way, or its outcome is being found out. */
+  /** A transaction with the job's record is in flight, or its outcome is being determined. */
   hasWriteInFlight = false;
-  /** The write under way makes it cancelled or final: others may already read that in the store. */
+  /** The write in flight makes the job cancelled or finished: other controllers may already read that. */
   hasTerminalWriteInFlight = false;
   /**
-   * A write that makes it cancelled or final was not answered: it may be carried out at any time, until a later
-   * write of the record is.
+   * A write that makes the job cancelled or finished got no response. It may be applied at any time, until a later
+   * write of the record is applied.
    */
   isTerminalOutcomeUnknown = false;
-  /** Its creation was not answered: it must be tried again until the outcome is known. */
+  /** The creation got no response: it must be retried until the outcome is known. */
   isCreationOutcomeUnknown = false;
-  /** Called after each change that is to be written. */
+  /** Called after each change that must be written. */
   onChange: (() => void) | undefined;
 
   // --- when and where its tasks may be placed ---------------------------------------------------
 
-  /** When a task of it was last placed by this leader, or when this leader read that one is; undefined if none was. */
+  /**
+   * When this leader last placed a task of the job, or read a record in which a task is placed; undefined if neither
+   * has happened.
+   */
   lastPlacedAt: SteadyMs | undefined;
-  /** Machines on which its tasks failed, and until when none is placed there. */
+  /** Machines on which tasks of the job failed, with the time until which none is placed there. */
   readonly avoidedMachines = new Map<MachineId, SteadyMs>();
-  /** Until then nothing of it is placed, after failures. */
+  /** No task of the job is placed before this time, after failures. */
   backoffUntil = 0 as SteadyMs;
-  /** How often it was held back. */
+  /** How many times the job has backed off. */
   backoffCount = 0;
 
-  /** A job of which all tasks wait. */
+  /** Creates a job whose tasks all wait. */
   constructor(
     readonly id: JobId,
     readonly spec: JobSpec,
@@ -154,7 +163,6 @@
     this.waitingTasks = IndexRanges.of([[0, spec.taskCount]]);
   }
 
-  /** Its tasks run all at the same time or not at all. */
   get isGang(): boolean {
     return isGang(this.spec);
   }
@@ -163,32 +171,34 @@
     return this.spec.taskCount - this.waitingTasks.size - this.placements.size;
   }
 
-  /** No task waits or may run, so it can be moved to its final record. */
+  /** Whether no task waits or may run, so that the live record can be replaced by the final record. */
   get isFinished(): boolean {
     return this.placements.size === 0 && (this.isCancelled || this.waitingTasks.size === 0);
   }
 
-  /** Tasks that are not done below the highest placed one: they decide how large its record is. */
+  /**
+   * The number of tasks that are not done, without the waiting range at the end of the indexes, which needs little
+   * space however long it is. The size of the record depends on this number.
+   */
   get openTaskCount(): number {
-    const highest = this.waitingTasks.lastRange();
-    const behind = highest?.[1] === this.spec.taskCount ? highest[1] - highest[0] : 0;
-    return this.placements.size + this.waitingTasks.size - behind;
+    const lastWaiting = this.waitingTasks.lastRange();
+    const trailingCount =
+      lastWaiting?.[1] === this.spec.taskCount ? lastWaiting[1] - lastWaiting[0] : 0;
+    return this.placements.size + this.waitingTasks.size - trailingCount;
   }
 
-  isTaskDone(index: number): boolean {
-    return (
-      index < this.spec.taskCount && !this.waitingTasks.has(index) && !this.placements.has(index)
-    );
+  isTaskDone(task: number): boolean {
+    return task < this.spec.taskCount && !this.waitingTasks.has(task) && !this.placements.has(task);
   }
 
-  /** Begins a new version, which is to be written with this priority at least. */
+  /** Starts a new version, which is written with at least this priority. */
   markChanged(priority: WritePriority): void {
     this.version++;
     if (priority < this.writePriority) this.writePriority = priority;
     this.onChange?.();
   }
 
-  /** Places waiting tasks in one new version under one new attempt. */
+  /** Places waiting tasks, all in one new version and with one new attempt number. */
   placeTasks(tasks: readonly { index: number; machine: MachineId }[], now: SteadyMs): void {
     const attempt = this.nextAttempt;
     this.nextAttempt = Attempt(attempt + 1);
@@ -196,7 +206,8 @@
     this.lastPlacedAt = now;
     const { version } = this;
     for (const { index, machine } of tasks) {
-      if (!this.waitingTasks.remove(index)) throw new Error(`${this.id}/${index} is not waiting`);
+      if (!this.waitingTasks.remove(index))
+        throw new Error(`task ${this.id}/${index} is not waiting, so it can't be placed`);
       this.placements.set(
         index,
         newPlacement({ machine, attempt, version, isInherited: false, placedAt: now }),
@@ -204,14 +215,14 @@
     }
   }
 
-  /** The task is proven to be on no machine: it waits again. */
+  /** Returns a task to the waiting tasks. The caller has proof that it is on no machine. */
   requeueTask(index: number): void {
     if (!this.placements.delete(index)) return;
     this.waitingTasks.add(index);
     this.markChanged(this.isCancelled ? WritePriority.jobEnd : WritePriority.progress);
   }
 
-  /** The task is done, wherever it was thought to be. */
+  /** Marks a task as done, whether it was placed or waiting. */
   completeTask(index: number): void {
     if (!this.placements.delete(index)) this.waitingTasks.remove(index);
     this.markChanged(
@@ -228,10 +239,11 @@
   }
 
   /**
-   * Takes over from `before`, in whose place this job was read from the store: a transaction of ours that we had
-   * given up was carried out late. Where both agree on an attempt, what was sent to its machine and reported by
-   * it still holds; as an inherited one it would count as absent while its start is on the way. Versions go
-   * on from those used, so that no later record can pass for an earlier one of the same epoch.
+   * Copies the in-memory state of `previous`, which this job, read from the store, replaces: a transaction of this
+   * controller that it had given up on was applied late. Where both have the same attempt on the same machine, the
+   * record of what was sent to the machine and reported by it stays valid. As an inherited placement, the attempt
+   * would count as absent while its start is in flight. Version numbers continue from those already used, so that
+   * no later record can be mistaken for an earlier one of the same epoch.
    */
   inheritFrom(previous: Job): void {
     this.version = previous.version + 1;
@@ -250,7 +262,7 @@
       this.avoidedMachines.set(machine, until);
   }
 
-  /** How far it is in memory; users are shown `committedProgress`. */
+  /** The progress of the version in memory. Users see `committedProgress`. */
   progress(): JobProgress {
     return {
       isCancelled: this.isCancelled,
@@ -259,7 +271,7 @@
     };
   }
 
-  /** What remains of it once it is settled. */
+  /** The final state, valid once `isFinished` is true. */
   finalState(): FinalState {
     return {
       status: this.isCancelled ? JobStatus.cancelled : JobStatus.done,
@@ -271,7 +283,7 @@
   }
 }
 
-/** The status of a job with `taskCount` tasks that has got so far. */
+/** The status of a job with `taskCount` tasks at this progress. */
 export function jobStatusOf(progress: JobProgress, taskCount: number): JobStatus {
   if (progress.isCancelled) return JobStatus.cancelled;
   if (progress.doneCount >= taskCount) return JobStatus.done;
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -1,4 +1,4 @@
-/** The jobs of a leader and their way into the store. */
+/** The jobs of a leader, and how their changes are written to the store. */
 import { Mutex } from 'async-mutex';
 import type { Logger } from 'pino';
 import { Backoff } from '../store/backoff.js';
@@ -26,7 +26,7 @@
 const MIN_FAILURE_BACKOFF = ms(150);
 const MAX_FAILURE_BACKOFF = ms(1000);
 
-/** What a ledger works with. */
+/** The dependencies of a ledger. */
 export interface LedgerOptions {
   readonly store: StoreClient;
   readonly epoch: Epoch;
@@ -38,12 +38,12 @@
 }
 
 /**
- * The live jobs of one epoch and the commit loop that writes them. Each write names the revision that it replaces
- * and that of the leader key, so nothing that a deposed leader sends can apply.
+ * The live jobs of one epoch, and the commit loop that writes them to the store. Each transaction is conditional on
+ * the revisions of the records that it replaces and of the leader key, so that no write of a former leader is applied.
  */
 export class Ledger {
   private readonly table = new JobTable();
-  /** The live jobs, those included whose creation is not committed yet. */
+  /** The live jobs, including those whose creation is not committed yet. */
   readonly jobs: ReadonlyMap<JobId, Job> = this.table.jobs;
   private readonly waiters = new CommitWaiters();
   private readonly store: StoreClient;
@@ -76,45 +76,45 @@
     this.queue = queue;
   }
 
-  /** Writes nothing more. All who wait get false, and so will all who ask later. */
+  /** Stops all writing. Pending `whenCommitted` promises resolve to false, as do later ones that would have to wait. */
   close(): void {
     this.loop.close();
     this.writer.close();
     this.waiters.close();
   }
 
-  /** The final state of a job that was over lately; undefined if it is not in memory. */
+  /** The final state of a recently finished job; undefined if it is not in memory. */
   finalState(id: JobId): FinalState | undefined {
     return this.table.finalStates.get(id);
   }
 
-  /** Keeps a final state that was read from the store. */
+  /** Caches a final state that was read from the store. */
   cacheFinalState(id: JobId, final: FinalState): void {
     this.table.finalStates.set(id, final);
   }
 
   /**
-   * Adds a live job. From now on its changes are written: each one schedules the commit loop, which assembles a
-   * transaction in a later microtask, so that all changes of one turn go together.
+   * Adds a live job and starts to write its changes. Each change schedules the commit loop, which assembles the
+   * transaction in a later microtask, so that all changes made in the current turn are written together.
    */
   insert(job: Job): void {
     this.table.set(job);
     this.queue.track(job);
   }
 
-  /** About how long a job that is submitted now will wait for its turn to be written. */
+  /** Estimates how long a job submitted now would wait before its record is written. */
   admissionWait(): DurationMs {
     const pause = this.backoff.remaining();
     return pause > 0 ? pause : this.store.writeBacklog(this.queue.pendingUserRequests + 1);
   }
 
-  /** Deletes a notice that was dealt with, along with other changes. */
+  /** Deletes an inbox entry that has been handled, together with other changes. */
   deleteInboxEntry(key: string): void {
     this.queue.addHandledInboxKey(key);
     this.scheduleCommit();
   }
 
-  /** Resolves to true once the job's present version is in the store, to false if it is not known to be. */
+  /** Resolves to true once the current version of the job is in the store, to false if that can't be confirmed. */
   whenCommitted(job: Job): Promise<boolean> {
     if (job.committedVersion >= job.version) return Promise.resolve(true);
     const committed = this.waiters.wait(job.id, job.version);
@@ -122,7 +122,7 @@
     return committed;
   }
 
-  /** Looks for something to write, now or when the budgets allow. */
+  /** Runs the commit loop, which writes what is due now or once the rate limits of the store allow. */
   scheduleCommit(): void {
     this.loop.schedule();
   }
--- a/src/ledger/outcome-resolver.ts
+++ b/src/ledger/outcome-resolver.ts
@@ -1,4 +1,4 @@
-/** Rereads records after a conflict or an unanswered transaction, to find out what the store holds. */
+/** Reads records back after a conflict or a transaction without a response, to determine what the store holds. */
 import type { Logger } from 'pino';
 import type { StoreClient } from '../store/client.js';
 import type { ReadResult } from '../store/results.js';
@@ -10,10 +10,10 @@
 import { finalKey, liveKey } from './store-keys.js';
 
 const READ_TIMEOUT = ms(2000);
-/** The pause before what could not be read is read again. */
+/** The delay before a failed read is retried. */
 const RETRY_INTERVAL = ms(300);
 
-/** What a resolver works with. */
+/** The dependencies of a resolver. */
 export interface OutcomeResolverOptions {
   readonly store: Pick<StoreClient, 'get'>;
   readonly epoch: Epoch;
@@ -22,7 +22,7 @@
   readonly log: Logger;
 }
 
-/** Reads until the outcome of a record is known, or until `close`. */
+/** Retries reads until the outcome of a record is known, or until `close`. */
 export class OutcomeResolver {
   private isClosed = false;
 
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Finds out what the store holds for a job, and passes on the outcome of its record. Nothing that is concluded
-   * here needs the old transaction to be dead: our next write names the revision that was read, so either it or
-   * the late one is carried out, and the other ends in a conflict and is resolved here again.
+   * Determines what the store holds for a job, and reports the outcome of its record. This stays correct if the old
+   * transaction is applied later: the next write of this controller is conditional on the revision that was read, so
+   * only one of the two is applied, and the other ends in a conflict and is resolved here again.
    */
   async resolve(record: PendingRecord): Promise<void> {
     const { store, outcomeHandler, clock } = this.options;
@@ -70,12 +70,12 @@
     } else outcomeHandler.onReplaced(job, live.data, live.revision);
   }
 
-  /** The store has neither a live nor a final record; false if that can't be, and is to be read again. */
+  /** The store has neither a live nor a final record. False if that is impossible and the reads must be repeated. */
   private resolveAbsent(record: PendingRecord): boolean {
     const { outcomeHandler, log } = this.options;
     const { job } = record;
     if (job.revision > 0) {
-      log.error({ job: job.id }, 'record of a live job is missing; reading again');
+      log.error({ job: job.id }, 'store has no record of a live job; reading it again');
       return false;
     }
     outcomeHandler.onNotCommitted(record);
--- a/src/ledger/placement-order.ts
+++ b/src/ledger/placement-order.ts
@@ -1,7 +1,7 @@
 /**
- * The order in which jobs with waiting tasks are placed: by priority, within one those that can still meet their
- * deadline, earliest deadline first. A job none of whose tasks was placed for long goes before all of them, with a
- * few tasks, so that none starves.
+ * The order in which jobs with waiting tasks are placed: by priority; within a priority, jobs that can still meet
+ * their deadline first; and among those, the earliest deadline first. To avoid starvation, a job of which no task has
+ * been placed for a long time goes before all others with a few of its tasks.
  */
 import type { Objective } from '../config/settings.js';
 import {
@@ -16,33 +16,33 @@
 import type { Job } from './job.js';
 
 const PRIORITY_RANK: Record<Priority, number> = { prod: 0, high: 1, normal: 2, low: 3 };
-/** The rank of a job that has starved: before all priorities. */
+/** The rank of a starved job: before all priorities. */
 const STARVED_RANK = -1;
-/** The deadline of a job for which neither its user nor an objective sets one, counted from its submission. */
+/** The deadline, from its submission, of a job for which neither its user nor an objective sets one. */
 const DEFAULT_DEADLINE = seconds(600);
-/** A job with waiting tasks starves if none was placed for longer: users are to see it begin within minutes. */
+/** A job starves if none of its waiting tasks is placed for longer: users should see it start within minutes. */
 const STARVATION_THRESHOLD = seconds(120);
-/** The share of its tasks that a starved job may place before all others. */
+/** The share of its tasks that a starved job may place before all other jobs. */
 const STARVED_TASK_SHARE = 0.1;
-/** A job that has waited longer without a task on any machine may also use the capacity reserved for others. */
+/** A job that has waited longer without any placed task may also use capacity that is reserved for other jobs. */
 const MUST_START_AFTER = seconds(60);
 
-/** A job with waiting tasks, and what decides its position. */
+/** A job with waiting tasks, and the values that decide its position. */
 export interface QueueEntry {
-  /** Lower ones first. */
+  /** Lower ranks go first. */
   readonly rank: number;
-  /** It can't meet any of its deadlines any more. */
+  /** The job can no longer meet any of its deadlines. */
   readonly isLate: boolean;
-  /** Milliseconds since 1970: its deadline or, if it has starved, its submission. */
+  /** The job's deadline or, if it is starved, its submission, in milliseconds since 1970. */
   readonly dueAt: number;
   readonly job: Job;
-  /** How many of its waiting tasks are to be placed at this rank. */
+  /** How many of the job's waiting tasks may be placed at this rank. */
   readonly taskCount: number;
-  /** It has waited so long that capacity reserved for others must not keep it from starting. */
+  /** The job has waited so long that it may also use capacity reserved for other jobs. */
   readonly mustStart: boolean;
 }
 
-/** The deadline, in milliseconds since 1970, that an objective sets for a job of its class; undefined if it sets none. */
+/** The deadline that an objective sets for a job of its class, in milliseconds since 1970; undefined if it sets none. */
 function deadlineUnder(objective: Objective, job: Job): number | undefined {
   const { deadlineSeconds, expectedRuntimeSeconds } = job.spec;
   const { kind, within, times } = objective;
@@ -51,7 +51,7 @@
       ? job.submittedAt + deadlineSeconds * 1000 * times
       : undefined;
   }
-  // The other kinds are for jobs whose users set no deadline.
+  // The other kinds apply only to jobs whose users set no deadline.
   if (within === undefined || deadlineSeconds !== null) return undefined;
   if (kind === 'finished') return job.submittedAt + within;
   return kind === 'wait' && job.isGang
@@ -59,7 +59,7 @@
     : undefined;
 }
 
-/** All deadlines of a job, that of its user and those of objectives, earliest first; at least one. */
+/** All deadlines of a job, from its user and from objectives, earliest first. There is at least one. */
 function deadlinesOf(job: Job, objectives: readonly Objective[]): number[] {
   const { deadlineSeconds, jobClass } = job.spec;
   const deadlines = deadlineSeconds === null ? [] : [job.submittedAt + deadlineSeconds * 1000];
@@ -72,17 +72,17 @@
   return deadlines.sort((a, b) => a - b);
 }
 
-/** The deadline that a job is placed by. */
+/** The deadline that decides the position of a job. */
 export interface Deadline {
   /** Milliseconds since 1970. */
   readonly dueAt: number;
-  /** It can't be met any more. */
+  /** The deadline can no longer be met. */
   readonly isLate: boolean;
 }
 
 /**
- * The first deadline that a job can still meet if its tasks start now and run for `runtime`; else the last of all,
- * by which it is late least.
+ * The first deadline that a job can still meet if its tasks start now and run for `runtime`. If it can't meet any, the
+ * last one, which it misses by the least.
  */
 export function nextDeadline(
   job: Job,
@@ -97,7 +97,7 @@
     : { dueAt: next, isLate: false };
 }
 
-/** For `Array.sort`: the entry to be placed first comes first. Ids decide between equals, so that the order is fixed. */
+/** A comparator for `Array.sort`: the entry to place first comes first. Job ids break ties, so the order is total. */
 export function compareQueueEntries(a: QueueEntry, b: QueueEntry): number {
   if (a.rank !== b.rank) return a.rank - b.rank;
   if (a.isLate !== b.isLate) return a.isLate ? 1 : -1;
@@ -105,14 +105,14 @@
   return a.job.id < b.job.id ? -1 : 1;
 }
 
-/** For how long none of a job's tasks was placed. */
+/** The time since a task of the job was last placed or, if none was, since its submission. */
 function timeSincePlacement(job: Job, wall: WallMs, now: SteadyMs): DurationMs {
   return job.lastPlacedAt === undefined
     ? ms(wall - job.submittedAt)
     : durationBetween(job.lastPlacedAt, now);
 }
 
-/** The position of a job with waiting tasks. `wall` and `now` are the present time on both clocks. */
+/** The queue entry of a job with waiting tasks. `wall` and `now` are the current time on the two clocks. */
 export function queueEntryFor(
   job: Job,
   objectives: readonly Objective[],
@@ -133,20 +133,20 @@
     };
   }
   const runtime = ms(job.spec.expectedRuntimeSeconds * 1000);
-  const { dueAt: due, isLate: late } = nextDeadline(job, objectives, wall, runtime);
+  const { dueAt, isLate } = nextDeadline(job, objectives, wall, runtime);
   return {
     rank: PRIORITY_RANK[job.spec.priority],
-    isLate: late,
-    dueAt: due,
+    isLate,
+    dueAt,
     job,
     taskCount: job.waitingTasks.size,
     mustStart,
   };
 }
 
-/** Whether work of this priority may preempt work of lower ones. */
+/** Whether jobs of this priority may preempt jobs of lower priorities. */
 export const isUrgent = (priority: Priority): boolean =>
   PRIORITY_RANK[priority] <= PRIORITY_RANK.high;
 
-/** The rank of a priority: the most urgent one has 0. */
+/** The rank of a priority; the most urgent priority has rank 0. */
 export const priorityRankOf = (priority: Priority): number => PRIORITY_RANK[priority];
--- a/src/ledger/record.ts
+++ b/src/ledger/record.ts
@@ -1,16 +1,16 @@
 /**
- * The contents of a job's live record with named fields, whatever format it is stored in. `record-v1.ts` and
- * `compact-record.ts` map them to the two stored formats.
+ * The contents of a job's live record with named fields, independent of the stored format. `record-v1.ts` and
+ * `compact-record.ts` convert them to and from the two stored formats.
  */
 import type { Attempt, Epoch, MachineId, WallMs } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
 import type { IndexRange } from './index-ranges.js';
 import type { Job } from './job.js';
 
-/** A stored record can't be read, or contradicts itself. */
+/** Thrown if a stored record can't be decoded or is inconsistent. */
 export class RecordError extends Error {}
 
-/** Tasks with successive indexes that one attempt placed on one machine: `from` to `to`, without `to`. */
+/** Consecutive tasks, from `from` to before `to`, that are placed on one machine with one attempt number. */
 export interface PlacedRun {
   readonly from: number;
   readonly to: number;
@@ -18,23 +18,23 @@
   readonly machine: MachineId;
 }
 
-/** Which version of a job under which epoch a record is: tells our own late write from another's. */
+/** Identifies the write that produced a record, so that a controller recognizes its own write if it is applied late. */
 export interface WriteId {
   readonly epoch: number;
   readonly version: number;
 }
 
-/** What a live record says of a job. Its id is in the key. */
+/** The contents of a live record. The job's id is in the key. */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly submittedAt: WallMs;
   readonly isCancelled: boolean;
-  /** The zone that a job of a single zone is bound to, once it was placed. */
+  /** The zone of a job whose tasks must all be in one zone; undefined before the job is placed. */
   readonly boundZone: string | undefined;
   readonly nextAttempt: Attempt;
   /**
-   * How many tasks are done: all that neither wait nor are placed. It follows from the other fields, and is
-   * stored beside them so that a range that was lost can't pass for finished work.
+   * How many tasks are done: all that neither wait nor are placed. This follows from the other fields. It is stored
+   * as well, so that the tasks of a lost range are not mistaken for done ones.
    */
   readonly doneCount: number;
   readonly waitingTasks: readonly IndexRange[];
@@ -43,7 +43,7 @@
   readonly writeId: WriteId;
 }
 
-/** The record of a job as it is now. */
+/** The record of a job in its current version. */
 export const recordOf = (job: Job, epoch: Epoch): JobRecord => ({
   spec: job.spec,
   submittedAt: job.submittedAt,
--- a/src/ledger/transaction-writer.ts
+++ b/src/ledger/transaction-writer.ts
@@ -1,4 +1,4 @@
-/** Sends transactions to the store and passes on their outcomes, record by record. */
+/** Sends transactions to the store and handles the outcome for each record in them. */
 import type { Mutex } from 'async-mutex';
 import type { Logger } from 'pino';
 import type { Backoff } from '../store/backoff.js';
@@ -15,10 +15,10 @@
 import { LEADER_KEY, finalKey, liveKey } from './store-keys.js';
 
 const TRANSACTION_TIMEOUT = ms(2000);
-/** How long a record that is too large even by itself is not tried again: as its tasks end, it shrinks. */
+/** The delay before a record that is too large even by itself is retried. It shrinks as its tasks end. */
 const OVERSIZE_RETRY_DELAY = ms(2000);
 
-/** What a writer works with. */
+/** The dependencies of a writer. */
 export interface TransactionWriterOptions {
   readonly store: Pick<StoreClient, 'transact'>;
   readonly limits: RecordLimits;
@@ -27,15 +27,15 @@
   readonly outcomeHandler: WriteOutcomeHandler;
   readonly resolver: OutcomeResolver;
   readonly events: Pick<LedgerEvents, 'onLeadershipLost'>;
-  /** While commits are taken in, no transaction is assembled. */
+  /** Held while a commit is recorded, so that no transaction is assembled meanwhile. */
   readonly lock: Mutex;
-  /** Pauses all writing after failures. */
+  /** Delays all writing after failures. */
   readonly backoff: Backoff;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** Writes transactions until `close`; the outcome of one that is under way then is dropped. */
+/** Writes transactions until `close`. The outcome of a transaction that is in flight at that time is ignored. */
 export class TransactionWriter {
   private isClosed = false;
 
@@ -46,7 +46,7 @@
     this.options.resolver.close();
   }
 
-  /** Resolves once the outcome of each record in it is known. */
+  /** Resolves once the outcome of each record in the transaction is known. */
   async write(batch: Batch): Promise<void> {
     const { store, backoff, lock, events } = this.options;
     let result: CommitResult;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Notices that were not deleted, as far as is known, are deleted with a later transaction. */
+  /** Queues the inbox entries again for deletion, since this transaction is not known to have deleted them. */
   private putBackInboxKeys(batch: Batch): void {
     for (const key of batch.inboxKeys) this.options.queue.addHandledInboxKey(key);
   }
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Nothing of the transaction was carried out: records whose own conditions held are just written again. */
+  /** The transaction was not applied. Records whose own conditions held are written again. */
   private resolveConflict(batch: Batch, failed: ReadonlySet<string>): Promise<unknown> {
     const { outcomeHandler, resolver } = this.options;
     return Promise.all(
@@ -105,28 +105,31 @@
 
   private resolveUnknown(batch: Batch, reason: string): Promise<unknown> {
     const { waiters, resolver, backoff, log } = this.options;
-    log.warn({ reason, jobs: batch.records.length }, 'commit outcome unknown');
+    log.warn(
+      { reason, jobs: batch.records.length },
+      'commit outcome unknown; reading the records back from the store',
+    );
     backoff.noteFailure();
     for (const { job, version } of batch.records) {
       if (job.revision === 0) job.isCreationOutcomeUnknown = true;
-      // It may still be carried out, and others read the job's end in the store, until a later write is.
+      // Until a later write is applied, this one may still be, and other controllers then read the job's end.
       if (job.hasTerminalWriteInFlight) job.isTerminalOutcomeUnknown = true;
-      // Those who wait are answered now: it may take long to find out the outcome.
+      // Waiters get a result now, since it may take long to determine the outcome.
       waiters.resolveUpTo(job.id, version, false);
     }
     return Promise.all(batch.records.map((record) => resolver.resolve(record)));
   }
 
   /**
-   * The limits of the state service may have been lowered since this was made: then all is written anew,
-   * smaller. Otherwise one record is at fault, and must not delay the others until it has shrunk.
+   * The state store may have lowered its limits since the transaction was assembled: then all records are encoded
+   * again in the smaller format. Otherwise one record is too large, and must not delay the others until it shrinks.
    */
   private onTooLarge(records: readonly PendingRecord[]): void {
     const { limits, queue, waiters, outcomeHandler, clock, log } = this.options;
     const areLimitsNewlyLowered = limits.recordSizeRefusal();
     log.warn(
       { jobs: records.length, isNews: areLimitsNewlyLowered },
-      'commit refused as too large',
+      'commit refused as too large; its records are encoded smaller or written one by one',
     );
     const now = clock.steady();
     const isSingle = records.length === 1;
@@ -142,7 +145,7 @@
 
   private onRefused(batch: Batch, reason: string): void {
     const { waiters, outcomeHandler, backoff, log } = this.options;
-    log.info({ reason }, 'commit refused');
+    log.info({ reason }, 'commit refused; further writes wait for a backoff');
     backoff.noteFailure();
     for (const record of batch.records) {
       waiters.resolveUpTo(record.job.id, record.version, false);
--- a/src/ledger/vlq.d.ts
+++ b/src/ledger/vlq.d.ts
@@ -1,4 +1,4 @@
-/** Types of the package `vlq`: those that it ships can't be reached through its package exports. */
+/** Types of the package `vlq`. Its own types are not reachable through its package exports. */
 
 declare module 'vlq' {
   export function decode(text: string): number[];
--- a/src/ledger/write-outcome-handler.ts
+++ b/src/ledger/write-outcome-handler.ts
@@ -1,4 +1,4 @@
-/** What becomes of a job once the outcome of writing its record is known. */
+/** Updates a job once the outcome of writing its record is known. */
 import type { Logger } from 'pino';
 import type { Clock, Revision } from '../units/index.js';
 import type { PendingRecord } from './batch.js';
@@ -10,7 +10,7 @@
 import type { LedgerEvents } from './ledger-events.js';
 import type { RecordLimits } from './record-limits.js';
 
-/** What the outcomes of records change. */
+/** The dependencies of the handler. */
 export interface WriteOutcomeHandlerOptions {
   readonly table: JobTable;
   readonly queue: CommitQueue;
@@ -21,11 +21,11 @@
   readonly log: Logger;
 }
 
-/** The three outcomes: in the store, to be written again, or replaced by what the store holds. */
+/** Handles the three outcomes of a write: committed, not committed, or replaced by another record in the store. */
 export class WriteOutcomeHandler {
   constructor(private readonly options: WriteOutcomeHandlerOptions) {}
 
-  /** The record is in the store, as the final record of its job if `finalState` is given. */
+  /** The record is in the store; as the final record of its job if `finalState` is given. */
   onCommitted(record: PendingRecord, revision: Revision, finalState: FinalState | undefined): void {
     const { queue, waiters, events } = this.options;
     const { job } = record;
@@ -53,12 +53,12 @@
     events.onFinished(job, finalState);
   }
 
-  /** The record is certainly not in the store: it is written again, or its job is dropped. */
+  /** The record is definitely not in the store: it is written again, or its job is dropped. */
   onNotCommitted({ job, writePriority }: PendingRecord): void {
     const { table, queue, waiters, events } = this.options;
     job.hasWriteInFlight = false;
     job.hasTerminalWriteInFlight = job.isTerminalOutcomeUnknown;
-    // A creation that was certainly not carried out is the user's to repeat.
+    // A creation that was definitely not applied is not retried: its user must submit the job again.
     if (job.revision === 0 && !job.isCreationOutcomeUnknown && !waiters.has(job.id)) {
       queue.untrack(job);
       table.remove(job);
@@ -69,10 +69,13 @@
     queue.putBack(job);
   }
 
-  /** The store holds a record that we did not write: it counts, and the job in memory is given up. */
+  /** The store holds a record that this write did not produce: it replaces the job in memory. */
   onReplaced(job: Job, data: unknown, revision: Revision): void {
     const { table, queue, waiters, limits, events, clock, log } = this.options;
-    log.warn({ job: job.id }, 'record changed under us; taking what the store holds');
+    log.warn(
+      { job: job.id },
+      'job record in the store was changed by another write; replacing the job in memory',
+    );
     limits.onRecordRead(data);
     const stored = decodeJob(job.id, data, revision, clock.steady());
     stored.inheritFrom(job);
