--- a/src/ledger/batch-assembler.ts
+++ b/src/ledger/batch-assembler.ts
@@ -41,7 +41,7 @@
   /** Assembles the next transaction and removes its contents from the queue. */
   assemble(): AssemblyResult {
     const { store, epoch, limits, queue, clock } = this.options;
-    const dueJobs = queue.due(clock.steady());
+    const dueJobs = queue.dueJobs(clock.steady());
     const writeBudget = store.availableWrites();
     const maxOperations = Math.min(limits.transactionOps, writeBudget.count);
     const builder = new BatchBuilder(epoch, limits, maxOperations);
--- a/src/ledger/batch.ts
+++ b/src/ledger/batch.ts
@@ -10,7 +10,7 @@
 /** The size up to which a transaction is filled. The store accepts 64 KiB in all. */
 const MAX_TRANSACTION_BYTES = 56 * 1024;
 /** The size of a record's key and conditions, which is added to that of the record. */
-const KEY_BYTES = 200;
+const KEY_AND_CONDITIONS_BYTES = 200;
 
 /** The version of a job that a transaction writes. */
 export interface PendingRecord {
@@ -74,10 +74,10 @@
     const { record, bytes } = finalState
       ? withEncodedSize(encodeFinal(finalState))
       : this.limits.encode(job, this.epoch);
-    const size = bytes + KEY_BYTES;
+    const size = bytes + KEY_AND_CONDITIONS_BYTES;
     if (this.bytes > 0 && this.bytes + size > MAX_TRANSACTION_BYTES) return false;
     this.bytes += size;
-    this.write(job, record, finalState !== undefined);
+    this.addOperations(job, record, finalState !== undefined);
     this.records.push({
       job,
       version: job.version,
@@ -94,7 +94,7 @@
     return true;
   }
 
-  private write(job: Job, record: unknown, isFinal: boolean): void {
+  private addOperations(job: Job, record: unknown, isFinal: boolean): void {
     const live = liveKey(job.id);
     const final = finalKey(job.id);
     this.conditions.push({ key: live, revision: job.revision });
--- a/src/ledger/commit-queue.ts
+++ b/src/ledger/commit-queue.ts
@@ -134,7 +134,7 @@
   }
 
   /** The jobs that may be written now, and when to check again for the others. */
-  due(now: SteadyMs): DueJobs {
+  dueJobs(now: SteadyMs): DueJobs {
     const due: { job: Job; writeBy: number }[] = [];
     let checkAfter = Infinity;
     for (const [job, changedAt] of this.changedSince) {
--- a/src/ledger/compact-record.ts
+++ b/src/ledger/compact-record.ts
@@ -1,7 +1,7 @@
 /**
- * Format 2 of a live record: the same facts as format 1 in about a fifth of the space, for a state service
- * with small values. Task states are text (`compact-runs.ts`); the specification is a list of values without
- * their names.
+ * Format 2 of a live record: the same contents as format 1 in about a fifth of the space, for a state store with a low
+ * size limit for values. Task states are encoded as text (`compact-task-states.ts`); the specification is a list of
+ * values without field names.
  */
 import * as z from 'zod';
 import { Attempt, WallMs, type JobId } from '../units/index.js';
@@ -13,56 +13,56 @@
   encodeRanges,
   encodeRuns,
 } from './compact-task-states.js';
-import type { JobRecord } from './record.js';
+import type { LiveRecordContents } from './live-record-contents.js';
 
 const COMPACT_FORMAT = 2;
 
 const count = z.number().int().nonnegative();
 
 const CompactRecord = z.object({
-  /** The format. */
+  /** The format number. */
   f: z.literal(COMPACT_FORMAT),
-  /** The values of the specification, without the job's id. */
+  /** The values of the specification without the job's id. */
   s: z.array(z.unknown()),
-  /** When it was submitted, in milliseconds since 1970. */
+  /** When the job was submitted, in milliseconds since 1970. */
   t: z.number(),
-  /** Whether it is cancelled; absent if it is not. */
+  /** Whether the job is cancelled; absent if it is not. */
   x: z.boolean().optional(),
-  /** The zone that it is bound to. */
+  /** The zone that the job is bound to. */
   z: z.string().optional(),
-  /** The next attempt. */
+  /** The next attempt number. */
   n: count,
   /** How many tasks are done. */
   d: count,
-  /** What numbered names of machines begin with. */
+  /** The prefix of machine names that follow the pattern. */
   k: z.string(),
-  /** How many digits follow in them. */
+  /** The minimum number of digits that follow the prefix; 0 if no name follows the pattern. */
   g: count,
-  /** Names of machines that are not of this form; absent if there are none. */
+  /** Machine names that do not follow the pattern; absent if there are none. */
   m: z.array(z.string()).optional(),
   /** Waiting tasks, see `encodeRanges`. */
   w: z.string(),
   /** Placed tasks, see `encodeRuns`. */
   p: z.string(),
-  /** The epoch of the leader that wrote it; 0 if another node did. */
+  /** The epoch of the leader that wrote the record; 0 if another controller wrote it. */
   e: count,
-  /** The job's version. */
+  /** The version of the job. */
   v: count,
 });
 
-/** A record of format 2 as it is stored. */
+/** A record in format 2 as it is stored. */
 export type CompactRecord = z.infer<typeof CompactRecord>;
 
 const CompactFormat = z.object({ f: z.literal(COMPACT_FORMAT) });
 
-/** Whether a record is in this format, which versions before this one can't read. */
+/** Whether a record is in format 2, which earlier versions of this service can't read. */
 export const isCompact = (data: unknown): boolean => CompactFormat.safeParse(data).success;
 
-/** The record in format 2. */
-export function encodeCompactRecord(record: JobRecord): CompactRecord {
+/** Encodes a record in format 2. */
+export function encodeCompactRecord(record: LiveRecordContents): CompactRecord {
   const machines = MachineNumbering.forNames(record.placements.map((run) => run.machine));
-  // Before the names that are not of the pattern are read: it collects them.
-  const placed = encodeRuns(record.placements, machines);
+  // Must run before `namesOutsidePattern` is read, since it collects those names.
+  const encodedRuns = encodeRuns(record.placements, machines);
   const { pattern, namesOutsidePattern } = machines;
   return {
     f: COMPACT_FORMAT,
@@ -76,14 +76,14 @@
     g: pattern.digits,
     ...(namesOutsidePattern.length > 0 ? { m: [...namesOutsidePattern] } : {}),
     w: encodeRanges(record.waitingTasks),
-    p: placed,
+    p: encodedRuns,
     e: record.writeId.epoch,
     v: record.writeId.version,
   };
 }
 
-/** Reads a record of format 2; throws `ZodError` or `RecordError` if it is none. */
-export function decodeCompactRecord(id: JobId, data: unknown): JobRecord {
+/** Decodes a record in format 2; throws `ZodError` or `RecordError` if the data are invalid. */
+export function decodeCompactRecord(id: JobId, data: unknown): LiveRecordContents {
   const stored = CompactRecord.parse(data);
   const machines = new MachineNumbering({ prefix: stored.k, digits: stored.g }, stored.m);
   return {
--- a/src/ledger/compact-task-states.ts
+++ b/src/ledger/compact-task-states.ts
@@ -1,35 +1,38 @@
 /**
- * Task states in compact records: ranges and runs as variable-length base64 numbers, each as a difference from
- * the one before, since neighbours differ little.
+ * Encodes task states in compact records: ranges and runs as variable-length base64 numbers (VLQ). Most numbers are
+ * differences from the preceding range or run, which are small.
  */
 import { decode, encode } from 'vlq';
 import { Attempt, MachineId } from '../units/index.js';
 import type { IndexRange } from './index-ranges.js';
-import { RecordError, type PlacedRun } from './record.js';
+import { RecordError, type PlacedRun } from './live-record-contents.js';
 
 const NUMBERED_NAME = /^(.*?)(\d{1,9})$/;
 
-/** What the names of the machines of one record have in common. */
+/** The naming pattern of the machines in one record: a prefix and a number. */
 export interface MachineNamePattern {
-  /** What numbered names begin with. */
+  /** The prefix of the names. */
   readonly prefix: string;
-  /** How many digits follow at least; 0 if no name is numbered. */
+  /** The minimum number of digits after the prefix; 0 if no name ends in a number. */
   readonly digits: number;
 }
 
-/** Names of machines as numbers: those of the pattern by their number, others by their place in a list, from -1 down. */
+/**
+ * Maps machine names to numbers: a name that follows the pattern to its own number, any other name to its position in
+ * a list, counted down from -1.
+ */
 export class MachineNumbering {
-  /** Names that are not of the pattern, in the order in which they were first seen. */
-  private readonly unnumberedNames: string[];
+  /** Names that do not follow the pattern, in the order in which they were first seen. */
+  private readonly listedNames: string[];
 
   constructor(
     readonly pattern: MachineNamePattern,
-    others: readonly string[] = [],
+    namesOutsidePattern: readonly string[] = [],
   ) {
-    this.unnumberedNames = [...others];
+    this.listedNames = [...namesOutsidePattern];
   }
 
-  /** With the pattern of the first name that ends in a number. */
+  /** Creates a numbering with the pattern of the first name that ends in a number. */
   static forNames(names: Iterable<string>): MachineNumbering {
     for (const name of names) {
       const match = NUMBERED_NAME.exec(name);
@@ -40,34 +43,35 @@
     return new MachineNumbering({ prefix: '', digits: 0 });
   }
 
-  /** Names that were numbered and are not of the pattern. */
+  /** The names passed to `numberOf` or the constructor that do not follow the pattern. */
   get namesOutsidePattern(): readonly string[] {
-    return this.unnumberedNames;
+    return this.listedNames;
   }
 
   numberOf(name: string): number {
     const { prefix, digits } = this.pattern;
     const number = Number(name.slice(prefix.length));
     if (digits > 0 && name.startsWith(prefix) && this.nameOf(number) === name) return number;
-    let position = this.unnumberedNames.indexOf(name);
-    if (position < 0) position = this.unnumberedNames.push(name) - 1;
+    let position = this.listedNames.indexOf(name);
+    if (position < 0) position = this.listedNames.push(name) - 1;
     return -1 - position;
   }
 
-  /** Undefined if no name has this number. */
+  /** The machine name with this number; undefined if there is none. */
   nameOf(number: number): string | undefined {
-    if (number < 0) return this.unnumberedNames[-1 - number];
+    if (number < 0) return this.listedNames[-1 - number];
     return this.pattern.prefix + String(number).padStart(this.pattern.digits, '0');
   }
 }
 
 const HAS_GAP = 1;
-const HAS_ATTEMPT = 2;
+const HAS_ATTEMPT_CHANGE = 2;
+/** The factor by which the length of a run is multiplied to make room for the flags. */
 const FLAG_COMBINATIONS = 4;
 
 /**
- * A run is its length with two flags, then what the flags announce (its distance from the end of the run
- * before, the difference of its attempt), then the difference of its machine's number.
+ * Encodes each run as its length with two flags, then the values that the flags announce (the gap after the previous
+ * run, the difference of the attempt number), then the difference of the machine number.
  */
 export function encodeRuns(runs: readonly PlacedRun[], machines: MachineNumbering): string {
   const numbers: number[] = [];
@@ -78,7 +82,7 @@
     const gap = run.from - end;
     const attemptChange = run.attempt - attempt;
     const number = machines.numberOf(run.machine);
-    const flags = (gap === 0 ? 0 : HAS_GAP) + (attemptChange === 0 ? 0 : HAS_ATTEMPT);
+    const flags = (gap === 0 ? 0 : HAS_GAP) + (attemptChange === 0 ? 0 : HAS_ATTEMPT_CHANGE);
     numbers.push((run.to - run.from) * FLAG_COMBINATIONS + flags);
     if (gap !== 0) numbers.push(gap);
     if (attemptChange !== 0) numbers.push(attemptChange);
@@ -90,13 +94,13 @@
   return encode(numbers);
 }
 
-/** Reads what `encodeRuns` wrote; throws `RecordError` if it ends too early or names an unknown machine. */
+/** Decodes the output of `encodeRuns`; throws `RecordError` if it is truncated or refers to an unknown machine. */
 export function decodeRuns(text: string, machines: MachineNumbering): PlacedRun[] {
   const numbers = decode(text).values();
   const next = (): number => {
-    const item = numbers.next();
-    if (item.done) throw new RecordError('p: ends within a run');
-    return item.value;
+    const result = numbers.next();
+    if (result.done) throw new RecordError('p: the text ends within a run');
+    return result.value;
   };
   const runs: PlacedRun[] = [];
   let end = 0;
@@ -105,17 +109,17 @@
   for (const lengthAndFlags of numbers) {
     const flags = lengthAndFlags % FLAG_COMBINATIONS;
     const from = end + (flags & HAS_GAP ? next() : 0);
-    attempt += flags & HAS_ATTEMPT ? next() : 0;
+    attempt += flags & HAS_ATTEMPT_CHANGE ? next() : 0;
     machine += next();
     const name = machines.nameOf(machine);
-    if (name === undefined) throw new RecordError('p: no machine has this number');
+    if (name === undefined) throw new RecordError('p: a run refers to an unknown machine number');
     end = from + Math.floor(lengthAndFlags / FLAG_COMBINATIONS);
     runs.push({ from, to: end, attempt: Attempt(attempt), machine: MachineId(name) });
   }
   return runs;
 }
 
-/** A range is its distance from the end of the one before, then its length. */
+/** Encodes each range as its gap after the previous range, then its length. */
 export function encodeRanges(ranges: readonly IndexRange[]): string {
   let end = 0;
   const numbers: number[] = [];
@@ -126,7 +130,7 @@
   return encode(numbers);
 }
 
-/** Reads what `encodeRanges` wrote. */
+/** Decodes the output of `encodeRanges`. */
 export function decodeRanges(text: string): IndexRange[] {
   const numbers = decode(text);
   const ranges: IndexRange[] = [];
--- a/src/ledger/final-record.ts
+++ b/src/ledger/final-record.ts
@@ -1,30 +1,30 @@
-/** The record that remains of a job for good. It is written once and never changed. */
+/** The permanent record of a finished job. It is written once and never changed. */
 import * as z from 'zod';
 import { JobStatus, TEAM_FIELD } from '../wire/index.js';
 import type { FinalState } from './job.js';
 import { FORMAT_V1 } from './record-v1.js';
-import { RecordError } from './record.js';
+import { RecordError } from './live-record-contents.js';
 
 const count = z.number().int().nonnegative();
 
 const FinalRecord = z.object({
-  /** The format. */
+  /** The format number. */
   f: z.literal(FORMAT_V1),
   /** The status. */
   s: z.enum([JobStatus.done, JobStatus.cancelled]),
-  /** How many tasks it had. */
+  /** How many tasks the job had. */
   n: count,
   /** How many of them are done. */
   d: count,
   [TEAM_FIELD]: z.string(),
-  /** The reason of the status. */
+  /** The reason for the status. */
   why: z.string(),
 });
 
 /** A final record as it is stored. */
 export type FinalRecord = z.infer<typeof FinalRecord>;
 
-/** The final record of a job. */
+/** Encodes the final record of a job. */
 export const encodeFinal = (final: FinalState): FinalRecord => ({
   f: FORMAT_V1,
   s: final.status,
@@ -34,10 +34,11 @@
   why: final.reason,
 });
 
-/** Reads a final record; throws `RecordError` if it is none. */
+/** Decodes a final record; throws `RecordError` if the data are invalid. */
 export function decodeFinal(data: unknown): FinalState {
   const parsed = FinalRecord.safeParse(data);
-  if (!parsed.success) throw new RecordError('unreadable final record', { cause: parsed.error });
+  if (!parsed.success)
+    throw new RecordError("can't decode the final record of a job", { cause: parsed.error });
   const { s: status, n: taskCount, d: doneCount, [TEAM_FIELD]: team, why: reason } = parsed.data;
   return { status, taskCount, doneCount, team, reason };
 }
--- a/src/ledger/job-codec.ts
+++ b/src/ledger/job-codec.ts
@@ -12,17 +12,23 @@
 } from './compact-record.js';
 import { Job, newPlacement } from './job.js';
 import { decodeRecordV1, encodeRecordV1, type RecordV1 } from './record-v1.js';
-import { RecordError, recordOf, type JobRecord, type WriteId } from './record.js';
+import {
+  RecordError,
+  liveRecordContentsOf,
+  type LiveRecordContents,
+  type WriteId,
+} from './live-record-contents.js';
 
 /** A live record as it is stored. */
 export type LiveRecord = RecordV1 | CompactRecord;
 
 /** Encodes a job in format 1. */
-export const encodeJob = (job: Job, epoch: Epoch): RecordV1 => encodeRecordV1(recordOf(job, epoch));
+export const encodeJob = (job: Job, epoch: Epoch): RecordV1 =>
+  encodeRecordV1(liveRecordContentsOf(job, epoch));
 
 /** Encodes a job in format 2, the compact one. */
 export const encodeJobCompactly = (job: Job, epoch: Epoch): CompactRecord =>
-  encodeCompactRecord(recordOf(job, epoch));
+  encodeCompactRecord(liveRecordContentsOf(job, epoch));
 
 const count = z.number().int().nonnegative();
 const StoredWriteId = z.object({ e: count, v: count });
@@ -51,7 +57,7 @@
   return error instanceof Error ? error.message : String(error);
 }
 
-function restoreJob(id: JobId, record: JobRecord, revision: Revision, now: SteadyMs): Job {
+function restoreJob(id: JobId, record: LiveRecordContents, revision: Revision, now: SteadyMs): Job {
   const job = new Job(id, record.spec, record.submittedAt, revision);
   job.waitingTasks.replaceWith(record.waitingTasks);
   job.isCancelled = record.isCancelled;
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -27,7 +27,7 @@
 /** The longest time for which a user's request may be queued for the store. One that would wait longer is refused. */
 const MAX_QUEUE_WAIT = ms(1000);
 const USER_REQUEST_OPTIONS = { queueTimeout: MAX_QUEUE_WAIT };
-const MAX_FINAL_STATES = 2000;
+const MAX_CACHED_FINAL_STATES = 2000;
 /** The epoch in records that no leader wrote. */
 const NO_EPOCH = Epoch(0);
 
@@ -53,7 +53,7 @@
 
 /** Looks up jobs, creates jobs that do not exist yet, and cancels jobs while there is no leader. */
 export class JobRecords {
-  private readonly finalStates = new FinalStateCache(MAX_FINAL_STATES);
+  private readonly finalStates = new FinalStateCache(MAX_CACHED_FINAL_STATES);
 
   constructor(
     private readonly store: StoreClient,
@@ -67,8 +67,8 @@
    * decoded.
    */
   async lookUp(id: JobId): Promise<StoredJob> {
-    const known = this.finalStates.get(id);
-    if (known) return { kind: 'final', final: known };
+    const cached = this.finalStates.get(id);
+    if (cached) return { kind: 'final', final: cached };
     const live = await this.store.get(liveKey(id), STORE_TIMEOUT, USER_REQUEST_OPTIONS);
     if (live.kind === 'failed') return { kind: 'unknown' };
     if (live.kind === 'found') {
@@ -106,7 +106,7 @@
       ],
     );
     if (result.kind === 'committed') return 'created';
-    if (result.kind === 'tooLarge') this.limits.recordSizeRefusal();
+    if (result.kind === 'tooLarge') this.limits.onSizeRefusal();
     return result.kind === 'conflict' ? 'exists' : 'unknown';
   }
 
@@ -131,7 +131,7 @@
       : await this.transact(conditions, [
           { put: liveKey(id), data: this.limits.encode(job, NO_EPOCH).record },
         ]);
-    if (result.kind === 'tooLarge') this.limits.recordSizeRefusal();
+    if (result.kind === 'tooLarge') this.limits.onSizeRefusal();
     if (result.kind !== 'committed') return { kind: 'unknown' };
     return job.isFinished ? { kind: 'final', final: job.finalState() } : found;
   }
--- a/src/ledger/job-table.ts
+++ b/src/ledger/job-table.ts
@@ -4,13 +4,13 @@
 import type { FinalState, Job } from './job.js';
 
 /** When the table is full, the oldest final states are discarded and read from the store again if needed. */
-const MAX_FINAL_STATES = 4000;
+const MAX_CACHED_FINAL_STATES = 4000;
 
 /** Live jobs and final states by job id. */
 export class JobTable {
   /** All live jobs. */
   readonly jobs = new Map<JobId, Job>();
-  readonly finalStates = new FinalStateCache(MAX_FINAL_STATES);
+  readonly finalStates = new FinalStateCache(MAX_CACHED_FINAL_STATES);
 
   /** Adds a live job; it replaces another one with the same id. */
   set(job: Job): void {
--- a/src/ledger/job.ts
+++ b/src/ledger/job.ts
@@ -97,7 +97,7 @@
 
 /** A live job. Each of its tasks either waits or is placed; a task that does neither is done. */
 export class Job {
-  // --- contents of the record ---------------------------------------------------------------------
+  // --- contents of the record --------------------------------------------------------------------
 
   isCancelled = false;
   /** Indexes of the tasks that wait for a placement. */
@@ -120,7 +120,7 @@
   /** The progress at the committed version. */
   committedProgress: JobProgress = { isCancelled: false, doneCount: 0, placedCount: 0 };
 
-  // --- pending and unresolved writes ----------------------------------------------------------------------------------
+  // --- pending and unresolved writes -------------------------------------------------------------
 
   /** The most urgent reason for a write since the job was last added to a transaction. */
   writePriority: WritePriority = WritePriority.none;
@@ -138,7 +138,7 @@
   /** Called after each change that must be written. */
   onChange: (() => void) | undefined;
 
-  // --- when and where its tasks may be placed ---------------------------------------------------
+  // --- when and where its tasks may be placed ----------------------------------------------------
 
   /**
    * When this leader last placed a task of the job, or read a record in which a task is placed; undefined if neither
--- a/src/ledger/record.ts
+++ b/src/ledger/live-record-contents.ts
@@ -25,7 +25,7 @@
 }
 
 /** The contents of a live record. The job's id is in the key. */
-export interface JobRecord {
+export interface LiveRecordContents {
   readonly spec: JobSpec;
   readonly submittedAt: WallMs;
   readonly isCancelled: boolean;
@@ -44,7 +44,7 @@
 }
 
 /** The record of a job in its current version. */
-export const recordOf = (job: Job, epoch: Epoch): JobRecord => ({
+export const liveRecordContentsOf = (job: Job, epoch: Epoch): LiveRecordContents => ({
   spec: job.spec,
   submittedAt: job.submittedAt,
   isCancelled: job.isCancelled,
--- a/src/ledger/placement-order.ts
+++ b/src/ledger/placement-order.ts
@@ -42,7 +42,7 @@
   readonly mustStart: boolean;
 }
 
-/** The deadline that an objective sets for a job of its class, in milliseconds since 1970; undefined if it sets none. */
+/** The deadline in milliseconds since 1970 that an objective sets for a job of its class, if any. */
 function deadlineUnder(objective: Objective, job: Job): number | undefined {
   const { deadlineSeconds, expectedRuntimeSeconds } = job.spec;
   const { kind, within, times } = objective;
--- a/src/ledger/record-limits.ts
+++ b/src/ledger/record-limits.ts
@@ -1,10 +1,11 @@
 /**
- * How large records and transactions may be. The settings may announce that the state service will lower its limits,
+ * The size limits of records and transactions. The settings may announce that the state store will lower its limits,
  * but not when.
  *
- * Until the lower limits are in force, all records are written in format 1, which the version before reads too. The
- * first refusal of something too large shows that they are. They are lowered only after an upgrade of all nodes, so
- * that from then on every node reads format 2, and records that would not fit in format 1 are written in it.
+ * Until the lower limits are in force, all records are written in format 1, which the previous version of this service
+ * can read too. The first refusal of a transaction as too large shows that they are in force. The limits are lowered
+ * only after all controllers are upgraded. So from then on every controller reads format 2, and records that would not
+ * fit in format 1 are written in format 2.
  */
 import type { StoreLimits } from '../config/settings.js';
 import type { Epoch } from '../units/index.js';
@@ -14,22 +15,22 @@
 import type { Job } from './job.js';
 import { encodeRecordV1 } from './record-v1.js';
 import { maxOpenTasksInCompact, encodedSize, maxOpenTasksInV1 } from './record-size.js';
-import { recordOf } from './record.js';
+import { liveRecordContentsOf } from './live-record-contents.js';
 
-/** A live record, and its size as the state service counts it. */
+/** A live record and its size as the state store counts it. */
 export interface EncodedRecord {
   readonly record: LiveRecord;
   readonly bytes: number;
 }
 
-/** The limits that one node keeps to: the present ones and, once they are in force, the announced lower ones. */
+/** The limits that a controller applies: the current ones and, once they are in force, the announced lower ones. */
 export class RecordLimits {
   private lowered = false;
   private readonly minValueBytes: number;
-  /** The most changes of one transaction. The lower one of both limits holds from the start. */
+  /** The maximum number of operations in a transaction. The lower of the two limits applies from the start. */
   readonly transactionOps: number;
 
-  /** `onLowered` is called once, when the announced limits turn out to be in force. */
+  /** `onLowered` is called once, when the announced limits are found to be in force. */
   constructor(
     private readonly limits: StoreLimits & { readonly next: StoreLimits | undefined },
     private readonly onLowered: () => void = () => undefined,
@@ -45,24 +46,24 @@
   }
 
   /**
-   * Something was refused as too large. Returns true if this shows that the announced limits are in force, and what
-   * is written next will be smaller; false if they were known to be, or none are announced.
+   * Records that the store refused a transaction as too large. Returns true if this shows that the announced limits
+   * are in force, so that later records are encoded smaller; false if that was known or no limits are announced.
    */
-  recordSizeRefusal(): boolean {
+  onSizeRefusal(): boolean {
     if (this.lowered || this.limits.next === undefined) return false;
     this.lowered = true;
     this.onLowered();
     return true;
   }
 
-  /** A record was read: one in format 2 shows that another node has seen the lower limits. */
+  /** Checks a record that was read: format 2 shows that another controller has found the lower limits in force. */
   onRecordRead(data: unknown): void {
-    if (!this.lowered && isCompact(data)) this.recordSizeRefusal();
+    if (!this.lowered && isCompact(data)) this.onSizeRefusal();
   }
 
-  /** The record of a job in the format that is to be written now. */
+  /** Encodes a job in the format that must be written now. */
   encode(job: Job, epoch: Epoch): EncodedRecord {
-    const contents = recordOf(job, epoch);
+    const contents = liveRecordContentsOf(job, epoch);
     const record = encodeRecordV1(contents);
     const bytes = encodedSize(record);
     if (!this.lowered || bytes <= this.minValueBytes) return { record, bytes };
@@ -71,8 +72,8 @@
   }
 
   /**
-   * How many tasks of a job may be open at once, so that its record fits however they end; at least one.
-   * `longestOtherName`: the length of the longest name of a machine that is not numbered.
+   * How many tasks of a job may be open at once, so that its record fits in whatever order they end; at least one.
+   * `maxUnnumberedNameLength` is the length of the longest machine name that does not end in a number.
    */
   maxOpenTasks(spec: JobSpec, maxUnnumberedNameLength: number): number {
     const limit = this.lowered
@@ -88,7 +89,7 @@
     );
   }
 
-  /** Whether a job of which at least `openTasks` are open at once can be recorded, now and later. */
+  /** Whether the record of a job with at least `openTasks` open tasks fits, under the current and announced limits. */
   canStoreRecord(spec: JobSpec, openTasks: number): boolean {
     if (openTasks > maxOpenTasksInV1(spec, this.limits.valueBytes)) return false;
     return this.limits.next === undefined || openTasks <= this.maxOpenTasksOnceLowered(spec, 0);
--- a/src/ledger/record-size.ts
+++ b/src/ledger/record-size.ts
@@ -1,36 +1,36 @@
-/** How large records get: sizes as the state service counts them, and how many open tasks fit a value. */
+/** Estimates record sizes as the state store counts them, and how many open tasks fit into a value. */
 import { encodeJobSpec, encodeJobSpecValues, type JobSpec } from '../wire/index.js';
 
-/** The bytes of a value as the state service counts them: those of its JSON text. */
+/** The size of a value in bytes as the state store counts it: that of its JSON text. */
 export const encodedSize = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
-/** What one more open task can add to a record of format 1 at worst: its own range, and a waiting one beside it. */
+/** The most that another open task can add to a record of format 1: a range of its own and a waiting one next to it. */
 const BYTES_PER_OPEN_TASK = 40;
 const BYTES_PER_MACHINE_NAME = 24;
-/** In a compact record: a run of its own, with a distance, a difference of attempts and of machines. */
+/** In a compact record: a run of its own, with a gap and the differences of attempt and machine number. */
 const COMPACT_BYTES_PER_OPEN_TASK = 9;
-/** The share of a value that is planned with. */
+/** The share of the value size limit that a record is planned to use. */
 const USABLE_VALUE_SHARE = 0.95;
-/** What a record takes beside specification and tasks. */
+/** The size of all fields other than the specification and the tasks. */
 const RECORD_OVERHEAD_BYTES = 160;
 
-/** The bytes that are left for tasks in a value of `valueBytes` with a specification of `specBytes`. */
+/** How many bytes remain for tasks in a value of `valueBytes` with a specification of `specBytes`. */
 const bytesLeftForTasks = (valueBytes: number, specBytes: number): number =>
   valueBytes * USABLE_VALUE_SHARE - specBytes - RECORD_OVERHEAD_BYTES;
 
 /**
- * How many tasks of a job may be open below its highest placed one, so that its record of format 1 fits a value
- * however they end. Placing lowest indexes first keeps everything above in a single range.
+ * How many tasks of a job may be open below its highest placed task, so that its record in format 1 fits into a value
+ * in whatever order they end. Tasks with the lowest indexes are placed first, so that all above are in one range.
  */
 export function maxOpenTasksInV1(spec: JobSpec, valueBytes: number): number {
   const available = bytesLeftForTasks(valueBytes, encodedSize(encodeJobSpec(spec)));
-  // A machine's name is stored once for all its tasks: one is planned for every two of them.
+  // A machine name is stored once for all tasks on that machine: one name is planned for every two tasks.
   return Math.max(0, Math.floor(available / (BYTES_PER_OPEN_TASK + BYTES_PER_MACHINE_NAME / 2)));
 }
 
 /**
- * The same for a compact record, where a machine is a number unless its name is not numbered; `longestOtherName`
- * is the length of the longest such name.
+ * The same for a compact record, which stores a machine as a number unless its name does not end in one;
+ * `maxUnnumberedNameLength` is the length of the longest such name.
  */
 export function maxOpenTasksInCompact(
   spec: JobSpec,
--- a/src/ledger/record-v1.ts
+++ b/src/ledger/record-v1.ts
@@ -1,33 +1,33 @@
 /**
- * Format 1 of a live record, which production reads and writes. The names of its fields are single letters,
- * since they are stored with every record.
+ * Format 1 of a live record, which production reads and writes. Its field names are single letters, since they are
+ * stored in every record.
  */
 import * as z from 'zod';
 import { Attempt, MachineId, WallMs } from '../units/index.js';
 import { SubmissionMessage, decodeJobSpec, encodeJobSpec } from '../wire/index.js';
-import { RecordError, type JobRecord, type PlacedRun } from './record.js';
+import { RecordError, type LiveRecordContents, type PlacedRun } from './live-record-contents.js';
 
-/** The number of this format. Final records have it too. */
+/** The format number, which final records have too. */
 export const FORMAT_V1 = 1;
 
 const count = z.number().int().nonnegative();
 
-/** A run of placed tasks: from, to (without it), attempt and the position of the machine in `m`. */
+/** A run of placed tasks: `from`, `to` (excluded), the attempt and the position of the machine in `m`. */
 const StoredRun = z.tuple([count, count, count, count]);
 type StoredRun = z.infer<typeof StoredRun>;
 
 const RecordV1 = z.object({
-  /** The format. */
+  /** The format number. */
   f: z.literal(FORMAT_V1),
-  /** The specification, as the user submitted it. */
+  /** The specification as the user submitted it. */
   s: SubmissionMessage,
-  /** When it was submitted, in milliseconds since 1970. */
+  /** When the job was submitted, in milliseconds since 1970. */
   t: z.number(),
-  /** Whether it is cancelled; absent if it is not. */
+  /** Whether the job is cancelled; absent if it is not. */
   x: z.boolean().optional(),
-  /** The zone that it is bound to. */
+  /** The zone that the job is bound to. */
   z: z.string().optional(),
-  /** The next attempt. */
+  /** The next attempt number. */
   n: count,
   /** How many tasks are done. */
   d: count,
@@ -37,17 +37,17 @@
   m: z.array(z.string()),
   /** Placed tasks. */
   p: z.array(StoredRun),
-  /** The epoch of the leader that wrote it; 0 if another node did. */
+  /** The epoch of the leader that wrote the record; 0 if another controller wrote it. */
   e: count,
-  /** The job's version. */
+  /** The version of the job. */
   v: count,
 });
 
-/** A record of format 1 as it is stored. */
+/** A record in format 1 as it is stored. */
 export type RecordV1 = z.infer<typeof RecordV1>;
 
-/** The record in format 1. */
-export function encodeRecordV1(record: JobRecord): RecordV1 {
+/** Encodes a record in format 1. */
+export function encodeRecordV1(record: LiveRecordContents): RecordV1 {
   const { machines, runs } = indexMachines(record.placements);
   return {
     f: FORMAT_V1,
@@ -65,7 +65,7 @@
   };
 }
 
-/** Each machine's name is stored once, in the order in which the runs name them. */
+/** Lists each machine name once, in the order of the runs, and refers to machines by their position in that list. */
 function indexMachines(placements: readonly PlacedRun[]): {
   machines: string[];
   runs: StoredRun[];
@@ -83,8 +83,8 @@
   return { machines, runs };
 }
 
-/** Reads a record of format 1; throws `ZodError` or `RecordError` if it is none. */
-export function decodeRecordV1(data: unknown): JobRecord {
+/** Decodes a record in format 1; throws `ZodError` or `RecordError` if the data are invalid. */
+export function decodeRecordV1(data: unknown): LiveRecordContents {
   const stored = RecordV1.parse(data);
   return {
     spec: decodeJobSpec(stored.s),
@@ -96,7 +96,8 @@
     waitingTasks: stored.w,
     placements: stored.p.map(([from, to, attempt, position]) => {
       const machine = stored.m[position];
-      if (machine === undefined) throw new RecordError('p: no machine has this position');
+      if (machine === undefined)
+        throw new RecordError('p: a run refers to a machine that is not in m');
       return { from, to, attempt: Attempt(attempt), machine: MachineId(machine) };
     }),
     writeId: { epoch: stored.e, version: stored.v },
--- a/src/ledger/transaction-writer.ts
+++ b/src/ledger/transaction-writer.ts
@@ -112,7 +112,7 @@
     backoff.noteFailure();
     for (const { job, version } of batch.records) {
       if (job.revision === 0) job.isCreationOutcomeUnknown = true;
-      // Until a later write is applied, this one may still be, and other controllers then read the job's end.
+      // Until a later write is applied, this one may be applied, and others may read the job's end in the store.
       if (job.hasTerminalWriteInFlight) job.isTerminalOutcomeUnknown = true;
       // Waiters get a result now, since it may take long to determine the outcome.
       waiters.resolveUpTo(job.id, version, false);
@@ -126,7 +126,7 @@
    */
   private onTooLarge(records: readonly PendingRecord[]): void {
     const { limits, queue, waiters, outcomeHandler, clock, log } = this.options;
-    const areLimitsNewlyLowered = limits.recordSizeRefusal();
+    const areLimitsNewlyLowered = limits.onSizeRefusal();
     log.warn(
       { jobs: records.length, isNews: areLimitsNewlyLowered },
       'commit refused as too large; its records are encoded smaller or written one by one',
--- a/src/ledger/write-outcome-handler.ts
+++ b/src/ledger/write-outcome-handler.ts
@@ -77,12 +77,12 @@
       'job record in the store was changed by another write; replacing the job in memory',
     );
     limits.onRecordRead(data);
-    const stored = decodeJob(job.id, data, revision, clock.steady());
-    stored.inheritFrom(job);
+    const replacement = decodeJob(job.id, data, revision, clock.steady());
+    replacement.inheritFrom(job);
     queue.untrack(job);
-    table.set(stored);
-    queue.track(stored);
+    table.set(replacement);
+    queue.track(replacement);
     waiters.resolveAll(job.id, false);
-    events.onReplaced(stored);
+    events.onReplaced(replacement);
   }
 }
--- a/test/unit/commit-queue.test.ts
+++ b/test/unit/commit-queue.test.ts
@@ -24,7 +24,7 @@
     return made;
   };
   const due = () => {
-    const { jobs, checkAfter } = queue.due(clock.steady());
+    const { jobs, checkAfter } = queue.dueJobs(clock.steady());
     return { jobs: jobs.map(({ id }) => Number(id.slice(4))), checkAfter };
   };
   return { time, queue, job, due, changes: () => changes };
--- a/test/unit/compatibility.test.ts
+++ b/test/unit/compatibility.test.ts
@@ -118,7 +118,7 @@
   };
   const limits = new RecordLimits(falling);
   const lowered = new RecordLimits(falling);
-  lowered.recordSizeRefusal();
+  lowered.onSizeRefusal();
   assert.equal(production.records.length, 7);
   for (const { name, live, final } of production.records) {
     const id = JobId('run-000412');
--- a/test/unit/live-records.test.ts
+++ b/test/unit/live-records.test.ts
@@ -5,7 +5,7 @@
 import { decodeJob, encodeJob } from '../../src/ledger/job-codec.js';
 import { Job } from '../../src/ledger/job.js';
 import { encodedSize, maxOpenTasksInV1 } from '../../src/ledger/record-size.js';
-import { RecordError } from '../../src/ledger/record.js';
+import { RecordError } from '../../src/ledger/live-record-contents.js';
 import { Epoch, JobId, MachineId, Revision, SteadyMs, WallMs } from '../../src/units/index.js';
 import { applyMoves, type PlacingRules } from '../support/job-moves.js';
 import { spec } from '../support/jobs.js';
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -91,7 +91,7 @@
 
 void test('once the limits are lowered, records fit the smaller value however their tasks end', () => {
   const limits = new RecordLimits(lowering);
-  limits.recordSizeRefusal();
+  limits.onSizeRefusal();
   const sizes: [taskCount: number, minOpen: number][] = [
     [200, 150],
     [100_000, 150],
@@ -138,7 +138,7 @@
     ['limits that rise', new RecordLimits(higher), true, 100, 1],
   ];
   for (const [name, limits, isRefused, taskCount, format] of cases) {
-    if (isRefused) limits.recordSizeRefusal();
+    if (isRefused) limits.onSizeRefusal();
     assert.equal(limits.encode(placedJob(taskCount), Epoch(1)).record.f, format, name);
   }
   const { transactionOps } = new RecordLimits(lowering);
@@ -246,7 +246,7 @@
   for (const job of [large, ...small]) ledger.insert(job);
   await time.run(2000);
   committed.length = 0;
-  limits.recordSizeRefusal();
+  limits.onSizeRefusal();
   state.lower(lower);
   // As the limit before allowed it: on many machines, no two neighbours on the same.
   const tasks = [...large.waitingTasks.indexes()].map((index) => ({
