--- a/src/ledger/job.ts
+++ b/src/ledger/job.ts
@@ -45,7 +45,7 @@
   wasImageCached?: boolean;
 }
 
-/** A placement for which no command has been sent and no heartbeat has been received. */
+/** A placement for which this leader has sent no command and that no heartbeat has reported. */
 export const newPlacement = (origin: PlacementOrigin): Placement => ({
   machine: origin.machine,
   attempt: origin.attempt,
@@ -240,9 +240,9 @@
 
   /**
    * Copies the in-memory state of `previous`, which this job, read from the store, replaces: a transaction of this
-   * controller that it had given up on was applied late. Where both have the same attempt on the same machine, the
-   * record of what was sent to the machine and reported by it stays valid. As an inherited placement, the attempt
-   * would count as absent while its start is in flight. Version numbers continue from those already used, so that
+   * controller that it had given up on was applied late. Where both have the same attempt on the same machine,
+   * what was sent to the machine and reported by it still applies. As an inherited placement, the attempt would count
+   * as absent while its start is in flight. Version numbers continue from those already used, so that
    * no later record can be mistaken for an earlier one of the same epoch.
    */
   inheritFrom(previous: Job): void {
