--- a/src/ledger/batch-assembler.ts
+++ b/src/ledger/batch-assembler.ts
@@ -20,7 +20,7 @@
 }
 
 interface AddedRecords {
-  /** Whether the batch has a record that must be written by itself, so that nothing more may be addedRecords. */
+  /** Whether the batch has a record that must be written by itself, so that nothing more may be added. */
   readonly isExclusive: boolean;
   readonly checkAfter: DurationMs;
 }
--- a/src/ledger/commit-loop.ts
+++ b/src/ledger/commit-loop.ts
@@ -97,7 +97,7 @@
     this.isRunning = false;
   }
 
-  /** Undefined if nothing is to be sent now; the timer is then set if something will be due later. */
+  /** Assembles the next transaction. If there is nothing to send now, sets a timer for what will be due later, if any. */
   private nextBatch(): Promise<Batch | undefined> {
     const { assembler, lock } = this.options;
     return lock.runExclusive(() => {
--- a/src/ledger/commit-queue.ts
+++ b/src/ledger/commit-queue.ts
@@ -35,12 +35,12 @@
 }
 
 /** The priority of the job's change. A change without a stated reason counts as progress. */
-const priorityOf = (job: Job): Exclude<WritePriority, typeof WritePriority.none> =>
+const writePriorityOf = (job: Job): Exclude<WritePriority, typeof WritePriority.none> =>
   job.writePriority === WritePriority.none ? WritePriority.progress : job.writePriority;
 
 /** The time on the steady clock by which a change made at `changedAt` should be written. */
 function writeBy(job: Job, changedAt: SteadyMs): number {
-  const priority = priorityOf(job);
+  const priority = writePriorityOf(job);
   if (priority === WritePriority.userRequest) return -Infinity;
   const isUrgentPlacement = priority === WritePriority.placement && isUrgent(job.spec.priority);
   return changedAt + (isUrgentPlacement ? 0 : MAX_WRITE_DELAY[priority]);
@@ -154,7 +154,7 @@
   /** How long until the job may be written; 0 or less if it may be written now. */
   private timeUntilWritable(job: Job, now: SteadyMs): DurationMs {
     const ownTransactionWait = durationBetween(now, this.ownTransactionNotBefore.get(job) ?? now);
-    if (ownTransactionWait > 0 || priorityOf(job) !== WritePriority.progress)
+    if (ownTransactionWait > 0 || writePriorityOf(job) !== WritePriority.progress)
       return ownTransactionWait;
     const committedAt = this.lastCommitAt.get(job.id);
     return ms(
--- a/src/ledger/final-record.ts
+++ b/src/ledger/final-record.ts
@@ -2,8 +2,8 @@
 import * as z from 'zod';
 import { JobStatus, TEAM_FIELD } from '../wire/index.js';
 import type { FinalState } from './job.js';
-import { FORMAT_V1 } from './record-v1.js';
 import { RecordError } from './live-record-contents.js';
+import { FORMAT_V1 } from './record-v1.js';
 
 const count = z.number().int().nonnegative();
 
--- a/src/ledger/job-codec.ts
+++ b/src/ledger/job-codec.ts
@@ -11,13 +11,13 @@
   type CompactRecord,
 } from './compact-record.js';
 import { Job, newPlacement } from './job.js';
-import { decodeRecordV1, encodeRecordV1, type RecordV1 } from './record-v1.js';
 import {
   RecordError,
   liveRecordContentsOf,
   type LiveRecordContents,
   type WriteId,
 } from './live-record-contents.js';
+import { decodeRecordV1, encodeRecordV1, type RecordV1 } from './record-v1.js';
 
 /** A live record as it is stored. */
 export type LiveRecord = RecordV1 | CompactRecord;
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -6,9 +6,9 @@
 import type { CommitResult } from '../store/results.js';
 import { Epoch, JobId, Revision, ms, type Clock, type DurationMs } from '../units/index.js';
 import type { Condition, JobSpec, Write } from '../wire/index.js';
-import { decodeJob } from './job-codec.js';
-import { FinalStateCache } from './final-state-cache.js';
 import { decodeFinal, encodeFinal } from './final-record.js';
+import { FinalStateCache } from './final-state-cache.js';
+import { decodeJob } from './job-codec.js';
 import { Job, type FinalState } from './job.js';
 import type { RecordLimits } from './record-limits.js';
 import {
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -20,8 +20,8 @@
 import type { LedgerEvents } from './ledger-events.js';
 import { OutcomeResolver } from './outcome-resolver.js';
 import type { RecordLimits } from './record-limits.js';
-import { WriteOutcomeHandler } from './write-outcome-handler.js';
 import { TransactionWriter } from './transaction-writer.js';
+import { WriteOutcomeHandler } from './write-outcome-handler.js';
 
 const MIN_FAILURE_BACKOFF = ms(150);
 const MAX_FAILURE_BACKOFF = ms(1000);
--- a/src/ledger/outcome-resolver.ts
+++ b/src/ledger/outcome-resolver.ts
@@ -4,10 +4,10 @@
 import type { ReadResult } from '../store/results.js';
 import { ms, sleep, type Clock, type Epoch } from '../units/index.js';
 import type { PendingRecord } from './batch.js';
-import { writeIdOf } from './job-codec.js';
 import { decodeFinal } from './final-record.js';
-import type { WriteOutcomeHandler } from './write-outcome-handler.js';
+import { writeIdOf } from './job-codec.js';
 import { finalKey, liveKey } from './store-keys.js';
+import type { WriteOutcomeHandler } from './write-outcome-handler.js';
 
 const READ_TIMEOUT = ms(2000);
 /** The delay before a failed read is retried. */
--- a/src/ledger/placement-order.ts
+++ b/src/ledger/placement-order.ts
@@ -43,7 +43,7 @@
 }
 
 /** The deadline in milliseconds since 1970 that an objective sets for a job of its class, if any. */
-function deadlineUnder(objective: Objective, job: Job): number | undefined {
+function deadlineFromObjective(objective: Objective, job: Job): number | undefined {
   const { deadlineSeconds, expectedRuntimeSeconds } = job.spec;
   const { kind, within, times } = objective;
   if (kind === 'deadline') {
@@ -65,7 +65,7 @@
   const deadlines = deadlineSeconds === null ? [] : [job.submittedAt + deadlineSeconds * 1000];
   for (const objective of objectives) {
     if (objective.jobClass !== jobClass) continue;
-    const deadline = deadlineUnder(objective, job);
+    const deadline = deadlineFromObjective(objective, job);
     if (deadline !== undefined) deadlines.push(deadline);
   }
   if (deadlines.length === 0) deadlines.push(job.submittedAt + DEFAULT_DEADLINE);
--- a/src/ledger/record-limits.ts
+++ b/src/ledger/record-limits.ts
@@ -10,12 +10,12 @@
 import type { StoreLimits } from '../config/settings.js';
 import type { Epoch } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
-import type { LiveRecord } from './job-codec.js';
 import { encodeCompactRecord, isCompact } from './compact-record.js';
+import type { LiveRecord } from './job-codec.js';
 import type { Job } from './job.js';
-import { encodeRecordV1 } from './record-v1.js';
-import { maxOpenTasksInCompact, encodedSize, maxOpenTasksInV1 } from './record-size.js';
 import { liveRecordContentsOf } from './live-record-contents.js';
+import { maxOpenTasksInCompact, encodedSize, maxOpenTasksInV1 } from './record-size.js';
+import { encodeRecordV1 } from './record-v1.js';
 
 /** A live record and its size as the state store counts it. */
 export interface EncodedRecord {
--- a/src/ledger/transaction-writer.ts
+++ b/src/ledger/transaction-writer.ts
@@ -11,8 +11,8 @@
 import type { LedgerEvents } from './ledger-events.js';
 import type { OutcomeResolver } from './outcome-resolver.js';
 import type { RecordLimits } from './record-limits.js';
-import type { WriteOutcomeHandler } from './write-outcome-handler.js';
 import { LEADER_KEY, finalKey, liveKey } from './store-keys.js';
+import type { WriteOutcomeHandler } from './write-outcome-handler.js';
 
 const TRANSACTION_TIMEOUT = ms(2000);
 /** The delay before a record that is too large even by itself is retried. It shrinks as its tasks end. */
--- a/src/ledger/write-outcome-handler.ts
+++ b/src/ledger/write-outcome-handler.ts
@@ -2,9 +2,9 @@
 import type { Logger } from 'pino';
 import type { Clock, Revision } from '../units/index.js';
 import type { PendingRecord } from './batch.js';
-import { decodeJob } from './job-codec.js';
 import type { CommitQueue } from './commit-queue.js';
 import type { CommitWaiters } from './commit-waiters.js';
+import { decodeJob } from './job-codec.js';
 import type { JobTable } from './job-table.js';
 import type { FinalState, Job } from './job.js';
 import type { LedgerEvents } from './ledger-events.js';
