--- a/src/fleet/attempt-absence.ts
+++ b/src/fleet/attempt-absence.ts
@@ -8,7 +8,7 @@
   /** An earlier leader placed the attempt and may have sent a direct start command without recording it. */
   readonly isInherited: boolean;
   /** The heartbeat whose response last carried the start command; undefined if none did. */
-  readonly sentInReplyTo?: MessageOrder;
+  readonly startSentInResponseTo?: MessageOrder;
 }
 
 /** What the leader knows about one attempt and its machine. */
@@ -44,7 +44,7 @@
   if (reported && reported.state !== TaskState.exited) return false;
   if (unacknowledgedStarts.has(attempt)) return false;
   if (start.isInherited && status.fencingToken < epoch) return false;
-  const { sentInReplyTo } = start;
-  if (!sentInReplyTo || status.session > sentInReplyTo.session) return true;
-  return source === 'heartbeat' && status.sequence > sentInReplyTo.sequence;
+  const { startSentInResponseTo } = start;
+  if (!startSentInResponseTo || status.session > startSentInResponseTo.session) return true;
+  return source === 'heartbeat' && status.sequence > startSentInResponseTo.sequence;
 }
--- a/src/leader/job-requests.ts
+++ b/src/leader/job-requests.ts
@@ -43,7 +43,7 @@
   readonly placements: PlacementIndex;
   readonly commands: Pick<CommandSender, 'schedulePush'>;
   readonly scheduler: Pick<Scheduler, 'forecast' | 'schedulePlacing' | 'placeWaiting'>;
-  readonly jobRecords: Pick<JobRecords, 'lookup'>;
+  readonly jobRecords: Pick<JobRecords, 'lookUp'>;
   readonly clock: Clock;
 }
 
@@ -97,7 +97,7 @@
   async find(id: JobId): Promise<JobLookupResult> {
     const known = await this.findLatestInMemory(id);
     if (known) return known.kind === 'live' && known.job.revision === 0 ? UNKNOWN_JOB : known;
-    const stored = await this.deps.jobRecords.lookup(id);
+    const stored = await this.deps.jobRecords.lookUp(id);
     if (this.isClosed) return UNKNOWN_JOB;
     switch (stored.kind) {
       case 'live':
@@ -105,7 +105,7 @@
         if (!this.findInMemory(id)) this.addStoredJob(stored.job);
         return this.findInMemory(id) ?? UNKNOWN_JOB;
       case 'final':
-        this.deps.ledger.rememberFinal(id, stored.final);
+        this.deps.ledger.cacheFinalState(id, stored.final);
         return stored;
       case 'absent':
       case 'unknown':
@@ -137,7 +137,7 @@
     ledger.insert(job);
     scheduler.forecast.noteSubmission(job.spec, clock.steady());
     placements.addJob(job);
-    if (job.isSettled) job.markChanged(WritePriority.jobEnd);
+    if (job.isFinished) job.markChanged(WritePriority.jobEnd);
     scheduler.schedulePlacing();
   }
 
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -56,7 +56,7 @@
       else this.placements.fleet.recordOrphan(taskKey(ref.job, index), machine.id);
     } else if (task.exitReason === ExitReason.done) {
       // The task is done no matter which of its attempts has completed.
-      if (job && !job.isDone(index)) this.observeCompletion(machine, job, index);
+      if (job && !job.isTaskDone(index)) this.observeCompletion(machine, job, index);
     } else if (job && placement) {
       this.placements.requeueTask(job, index, task.exitReason ?? 'exited');
       if (task.exitReason === ExitReason.failed)
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -101,7 +101,7 @@
       onFinished: (job, final) => {
         log.info({ job: job.id, team: final.team, status: final.status }, 'job finished');
       },
-      onDeposed: () => onDeposed(this.epoch),
+      onLeadershipLost: () => onDeposed(this.epoch),
     };
     return new Ledger({
       store,
@@ -239,7 +239,7 @@
   /** Schedules the starts of a job's committed placements. */
   private scheduleStarts(job: Job): void {
     for (const placement of job.placements.values()) {
-      const isStartDue = !placement.isReported && !placement.isStartPushed;
+      const isStartDue = !placement.isReported && !placement.isStartSentDirectly;
       if (isStartDue && placement.version <= job.committedVersion) {
         this.commands.schedulePush(placement.machine);
       }
--- a/src/ledger/codec.ts
+++ b/src/ledger/job-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Live records, from a job in memory to what is stored and back. Format 1 is what production writes; format 2,
- * the compact one, is written only once the state service takes smaller values (`record-limits.ts`).
+ * Converts jobs in memory to live records and back. Format 1 is what production writes. Format 2, the compact one, is
+ * written only once the state store has lowered its size limit for values (`record-limits.ts`).
  */
 import * as z from 'zod';
 import { type Epoch, type JobId, type Revision, type SteadyMs } from '../units/index.js';
@@ -11,54 +11,62 @@
   type CompactRecord,
 } from './compact-record.js';
 import { Job, newPlacement } from './job.js';
+import {
+  RecordError,
+  liveRecordContentsOf,
+  type LiveRecordContents,
+  type WriteId,
+} from './live-record-contents.js';
 import { decodeRecordV1, encodeRecordV1, type RecordV1 } from './record-v1.js';
-import { RecordError, recordOf, type JobRecord, type WriterMark } from './record.js';
 
-/** A live record as the state service holds it. */
+/** A live record as it is stored. */
 export type LiveRecord = RecordV1 | CompactRecord;
 
-/** The record of a job in format 1. */
-export const encodeJob = (job: Job, epoch: Epoch): RecordV1 => encodeRecordV1(recordOf(job, epoch));
+/** Encodes a job in format 1. */
+export const encodeJob = (job: Job, epoch: Epoch): RecordV1 =>
+  encodeRecordV1(liveRecordContentsOf(job, epoch));
 
-/** The record of a job in the format that takes least space. */
+/** Encodes a job in format 2, the compact one. */
 export const encodeJobCompactly = (job: Job, epoch: Epoch): CompactRecord =>
-  encodeCompactRecord(recordOf(job, epoch));
+  encodeCompactRecord(liveRecordContentsOf(job, epoch));
 
 const count = z.number().int().nonnegative();
-const StoredMark = z.object({ e: count, v: count });
+const StoredWriteId = z.object({ e: count, v: count });
 
-/** Who wrote a record, whatever else is in it; undefined if it does not say. */
-export function writerMarkOf(data: unknown): WriterMark | undefined {
-  const parsed = StoredMark.safeParse(data);
+/** Identifies the write that produced a record, whatever its format; undefined if the record does not tell. */
+export function writeIdOf(data: unknown): WriteId | undefined {
+  const parsed = StoredWriteId.safeParse(data);
   return parsed.success ? { epoch: parsed.data.e, version: parsed.data.v } : undefined;
 }
 
-/** The job that a live record of either format describes; throws `RecordError` if it can't be read. */
+/** Decodes a live record of either format; throws `RecordError` if that fails. */
 export function decodeJob(id: JobId, data: unknown, revision: Revision, now: SteadyMs): Job {
   try {
     const record = isCompact(data) ? decodeCompactRecord(id, data) : decodeRecordV1(data);
     return restoreJob(id, record, revision, now);
   } catch (error) {
-    throw new RecordError(`record of ${id}: ${reasonOf(error)}`, { cause: error });
+    throw new RecordError(`can't decode the record of job ${id}: ${describeError(error)}`, {
+      cause: error,
+    });
   }
 }
 
-function reasonOf(error: unknown): string {
+function describeError(error: unknown): string {
   const issue = error instanceof z.ZodError ? error.issues[0] : undefined;
   if (issue) return `${issue.path.join('.')}: ${issue.message}`;
   return error instanceof Error ? error.message : String(error);
 }
 
-function restoreJob(id: JobId, record: JobRecord, revision: Revision, now: SteadyMs): Job {
+function restoreJob(id: JobId, record: LiveRecordContents, revision: Revision, now: SteadyMs): Job {
   const job = new Job(id, record.spec, record.submittedAt, revision);
-  job.waiting.replaceWith(record.waiting);
+  job.waitingTasks.replaceWith(record.waitingTasks);
   job.isCancelled = record.isCancelled;
   job.boundZone = record.boundZone;
   job.nextAttempt = record.nextAttempt;
   for (const { from, to, attempt, machine } of record.placements) {
     for (let index = from; index < to; index++) {
-      if (job.waiting.has(index) || job.placements.has(index)) {
-        throw new RecordError(`task ${index} is in two states`);
+      if (job.waitingTasks.has(index) || job.placements.has(index)) {
+        throw new RecordError(`task ${index} is both waiting and placed, or placed twice`);
       }
       job.placements.set(
         index,
@@ -67,9 +75,11 @@
     }
   }
   if (job.placements.size > 0) job.lastPlacedAt = now;
-  // A range that was lost would pass for finished work.
+  // The tasks of a lost range would be mistaken for done ones.
   if (job.doneCount !== record.doneCount) {
-    throw new RecordError(`d: ${record.doneCount} tasks done, by the ranges ${job.doneCount}`);
+    throw new RecordError(
+      `d: ${record.doneCount} tasks are done, but the task ranges imply ${job.doneCount}`,
+    );
   }
   job.version = 1;
   job.committedVersion = 1;
--- a/src/ledger/record-outcomes.ts
+++ b/src/ledger/write-outcome-handler.ts
@@ -1,17 +1,17 @@
-/** What becomes of a job once the outcome of writing its record is known. */
+/** Updates a job once the outcome of writing its record is known. */
 import type { Logger } from 'pino';
 import type { Clock, Revision } from '../units/index.js';
 import type { PendingRecord } from './batch.js';
-import { decodeJob } from './codec.js';
 import type { CommitQueue } from './commit-queue.js';
 import type { CommitWaiters } from './commit-waiters.js';
+import { decodeJob } from './job-codec.js';
 import type { JobTable } from './job-table.js';
 import type { FinalState, Job } from './job.js';
 import type { LedgerEvents } from './ledger-events.js';
 import type { RecordLimits } from './record-limits.js';
 
-/** What the outcomes of records change. */
-export interface RecordOutcomesOptions {
+/** The dependencies of the handler. */
+export interface WriteOutcomeHandlerOptions {
   readonly table: JobTable;
   readonly queue: CommitQueue;
   readonly waiters: CommitWaiters;
@@ -21,12 +21,12 @@
   readonly log: Logger;
 }
 
-/** The three outcomes: in the store, to be written again, or replaced by what the store holds. */
-export class RecordOutcomes {
-  constructor(private readonly options: RecordOutcomesOptions) {}
+/** Handles the three outcomes of a write: committed, not committed, or replaced by another record in the store. */
+export class WriteOutcomeHandler {
+  constructor(private readonly options: WriteOutcomeHandlerOptions) {}
 
-  /** The record is in the store, as the final record of its job if `finalState` is given. */
-  committed(record: PendingRecord, revision: Revision, finalState: FinalState | undefined): void {
+  /** The record is in the store; as the final record of its job if `finalState` is given. */
+  onCommitted(record: PendingRecord, revision: Revision, finalState: FinalState | undefined): void {
     const { queue, waiters, events } = this.options;
     const { job } = record;
     job.hasWriteInFlight = false;
@@ -36,12 +36,12 @@
     job.revision = revision;
     job.committedVersion = Math.max(job.committedVersion, record.version);
     job.committedProgress = record.progress;
-    queue.noteCommitted(job);
+    queue.recordCommit(job);
     if (finalState) {
       this.finish(job, finalState);
       return;
     }
-    waiters.settle(job.id, record.version, true);
+    waiters.resolveUpTo(job.id, record.version, true);
     events.onCommitted(job);
   }
 
@@ -49,16 +49,16 @@
     const { table, queue, waiters, events } = this.options;
     queue.forget(job);
     table.finish(job, finalState);
-    waiters.settleAll(job.id, true);
+    waiters.resolveAll(job.id, true);
     events.onFinished(job, finalState);
   }
 
-  /** The record is certainly not in the store: it is written again, or its job is dropped. */
-  notCommitted({ job, writePriority }: PendingRecord): void {
+  /** The record is definitely not in the store: it is written again, or its job is dropped. */
+  onNotCommitted({ job, writePriority }: PendingRecord): void {
     const { table, queue, waiters, events } = this.options;
     job.hasWriteInFlight = false;
     job.hasTerminalWriteInFlight = job.isTerminalOutcomeUnknown;
-    // A creation that was certainly not carried out is the user's to repeat.
+    // A creation that was definitely not applied is not retried: its user must submit the job again.
     if (job.revision === 0 && !job.isCreationOutcomeUnknown && !waiters.has(job.id)) {
       queue.untrack(job);
       table.remove(job);
@@ -69,17 +69,20 @@
     queue.putBack(job);
   }
 
-  /** The store holds a record that we did not write: it counts, and the job in memory is given up. */
-  replaced(job: Job, data: unknown, revision: Revision): void {
+  /** The store holds a record that this write did not produce: it replaces the job in memory. */
+  onReplaced(job: Job, data: unknown, revision: Revision): void {
     const { table, queue, waiters, limits, events, clock, log } = this.options;
-    log.warn({ job: job.id }, 'record changed under us; taking what the store holds');
-    limits.noteRecord(data);
-    const stored = decodeJob(job.id, data, revision, clock.steady());
-    stored.inheritFrom(job);
+    log.warn(
+      { job: job.id },
+      'job record in the store was changed by another write; replacing the job in memory',
+    );
+    limits.onRecordRead(data);
+    const replacement = decodeJob(job.id, data, revision, clock.steady());
+    replacement.inheritFrom(job);
     queue.untrack(job);
-    table.set(stored);
-    queue.track(stored);
-    waiters.settleAll(job.id, false);
-    events.onReplaced(stored);
+    table.set(replacement);
+    queue.track(replacement);
+    waiters.resolveAll(job.id, false);
+    events.onReplaced(replacement);
   }
 }
