--- a/src/controller.ts
+++ b/src/controller.ts
@@ -13,7 +13,7 @@
 import { JobRecords } from './ledger/job-records.js';
 import { RecordLimits } from './ledger/record-limits.js';
 import { Election } from './leader/election.js';
-import { ImageHints } from './leader/image-hints.js';
+import { ImageHintCache } from './leader/image-hints.js';
 import { StoredCatalog } from './leader/stored-catalog.js';
 import { Term } from './leader/term.js';
 import type { HttpClient } from './net/http.js';
@@ -52,7 +52,7 @@
   private readonly storedCatalog: StoredCatalog;
   private readonly peerLiveness: PeerLiveness;
   private readonly leadership: LeaderView;
-  private readonly imageHints = new ImageHints();
+  private readonly imageHints = new ImageHintCache();
   private hasSeenLeader = false;
 
   constructor(
@@ -145,7 +145,7 @@
       workerHeartbeats: this.workerHeartbeats,
       http,
       events: {
-        onImageHints: (machines) => this.imageHints.record(machines, clock.steady()),
+        onImageHints: (machines) => this.imageHints.recordHints(machines, clock.steady()),
         onHeartbeat: (status) => this.peerLiveness.respond(status),
       },
     });
@@ -197,7 +197,7 @@
 
   private broadcastImageHints(machines: readonly MachineImages[]): void {
     const { clock, log, peers } = this.environment;
-    this.imageHints.record(machines, clock.steady());
+    this.imageHints.recordHints(machines, clock.steady());
     for (const peer of peers.values()) {
       if (!peer.responsive) continue;
       const sent = peer.request({ type: 'imageHints', machines }, IMAGE_HINTS_TIMEOUT);
--- a/src/leader/anticipated-work.ts
+++ b/src/leader/demand-forecast.ts
@@ -38,7 +38,7 @@
  * The first submission with an image sets the average of that image; each later one moves it by `SMOOTHING_FACTOR` of
  * the difference. An image is dropped when nothing was submitted with it for `MAX_SUBMISSION_AGE`.
  */
-export class AnticipatedWork {
+export class DemandForecast {
   private readonly recentByImage = new Map<string, RecentSubmissions>();
   /** Job classes with an objective on the time until they start. */
   private readonly awaitedClasses = new Set<string>();
@@ -57,7 +57,7 @@
   }
 
   /** Takes a submission into the average of its image, if it is of the kind that is anticipated. */
-  noteSubmission(spec: JobSpec, now: SteadyMs): void {
+  recordSubmission(spec: JobSpec, now: SteadyMs): void {
     if (!this.isAnticipated(spec)) return;
     const cpus = spec.taskCount * spec.cpus;
     const recent = this.recentByImage.get(spec.image);
@@ -71,7 +71,7 @@
   }
 
   /** Processors to keep free on machines that hold each image, given those of the whole fleet. */
-  reserve(fleetCpus: number, now: SteadyMs): ImageReserve {
+  reservedCpus(fleetCpus: number, now: SteadyMs): ImageReserve {
     this.dropOld(now);
     const maxCpus = fleetCpus * MAX_RESERVE_SHARE;
     return new Map(
@@ -83,7 +83,7 @@
   }
 
   /** The next submission with each image, by which capacity is rented ahead. */
-  anticipated(fleetCpus: number, now: SteadyMs): AnticipatedSubmission[] {
+  anticipatedSubmissions(fleetCpus: number, now: SteadyMs): AnticipatedSubmission[] {
     this.dropOld(now);
     const maxCpus = fleetCpus * MAX_RESERVE_SHARE;
     return [...this.recentByImage.values()].map(({ spec, averageCpus }) => ({
--- a/src/leader/dependencies.ts
+++ b/src/leader/dependencies.ts
@@ -11,7 +11,7 @@
 import type { Peer } from '../peer/channel.js';
 import type { MachineImages } from '../peer/messages.js';
 import type { Clock, Epoch, NodeId, Random } from '../units/index.js';
-import type { ImageHints } from './image-hints.js';
+import type { ImageHintCache } from './image-hints.js';
 
 /** Shared by the parts of a term; all of it outlives the term. */
 export interface TermDependencies {
@@ -33,7 +33,7 @@
   /** The catalog holds other machine types than before. */
   readonly onMachineTypesChanged: () => void;
   /** The images on machines by the hints of leaders, earlier ones and this one. */
-  readonly imageHints: ImageHints;
+  readonly imageHints: ImageHintCache;
   /** Sends the other nodes hints: which images machines hold. */
   readonly broadcastImageHints: (machines: readonly MachineImages[]) => void;
   /** The connections to the other nodes, through which workers report and get commands. */
--- a/src/leader/command-sender.ts
+++ b/src/leader/direct-command-sender.ts
@@ -12,15 +12,15 @@
   type MachineId,
 } from '../units/index.js';
 import type { TermDependencies } from './dependencies.js';
-import { MachineProbe } from './machine-probe.js';
+import { MachineProber } from './machine-prober.js';
 import type { PlacementIndex } from './placement-index.js';
-import { preparePush, type Push } from './push-commands.js';
+import { prepareDirectCommands, type DirectCommands } from './direct-commands.js';
 import {
-  WORKER_CALL_TIMEOUT,
-  UNCONFIRMED_CALL_TIMEOUT,
-  WorkerCalls,
-  type WorkerCallDependencies,
-} from './worker-calls.js';
+  WORKER_REQUEST_TIMEOUT,
+  UNCONFIRMED_MACHINE_REQUEST_TIMEOUT,
+  WorkerRequestSender,
+  type WorkerRequestDependencies,
+} from './worker-request-sender.js';
 
 /** After an unanswered push, commands go to the machine only in replies for this long. */
 const PUSH_PAUSE = seconds(8);
@@ -32,29 +32,29 @@
 }
 
 /** What the sender needs from outside. */
-export type CommandSenderDependencies = WorkerCallDependencies &
+export type DirectCommandSenderDependencies = WorkerRequestDependencies &
   Pick<TermDependencies, 'authority'>;
 
 /** Pushes to machines under one epoch, and probes those that seem not to receive. */
-export class CommandSender {
+export class DirectCommandSender {
   /** Machines with a push to be made, in the order in which it was asked for. */
   private readonly pendingPushes = new Set<Machine>();
   private pushScheduled = false;
-  private readonly calls: WorkerCalls;
-  private readonly probe: MachineProbe;
+  private readonly calls: WorkerRequestSender;
+  private readonly probe: MachineProber;
   /** Set while this process is behind: starts then go in replies, where each costs less than in a push. */
-  isBusy = false;
+  isControllerBusy = false;
 
   constructor(
     private readonly epoch: Epoch,
     private readonly placements: PlacementIndex,
     private readonly observer: StatusObserver,
-    private readonly deps: CommandSenderDependencies,
+    private readonly deps: DirectCommandSenderDependencies,
   ) {
-    this.calls = new WorkerCalls(epoch, placements.fleet, deps, {
-      onCallEnded: (machine) => this.schedulePush(machine.id),
+    this.calls = new WorkerRequestSender(epoch, placements.fleet, deps, {
+      onRequestEnded: (machine) => this.scheduleDirectCommands(machine.id),
     });
-    this.probe = new MachineProbe({
+    this.probe = new MachineProber({
       calls: this.calls,
       jobs: this.jobs,
       observer,
@@ -76,7 +76,7 @@
   }
 
   /** Pushes what is due for a machine at the end of this turn, together with that for other machines. */
-  schedulePush(id: MachineId): void {
+  scheduleDirectCommands(id: MachineId): void {
     const machine = this.placements.fleet.machines.get(id);
     if (!machine) return;
     this.pendingPushes.add(machine);
@@ -93,29 +93,29 @@
     for (const machine of this.pendingPushes) {
       if (!this.calls.hasFreeSocket) return;
       this.pendingPushes.delete(machine);
-      if (machine.commandInFlight || !this.canReach(machine)) continue;
-      const push = preparePush(machine, this.jobs, !this.isBusy);
+      if (machine.commandInFlight || !this.canSendTo(machine)) continue;
+      const push = prepareDirectCommands(machine, this.jobs, !this.isControllerBusy);
       if (push.commands.length > 0) this.calls.start(machine, () => this.push(machine, push));
     }
   }
 
   /** Whether a command can be pushed to a machine now, or as soon as the one in flight is answered. */
-  canReach(machine: Machine): boolean {
+  canSendTo(machine: Machine): boolean {
     if (this.calls.isClosed || !machine.isUp || !machine.address || !machine.status) return false;
     if (machine.deleteSent) return false;
     const now = this.deps.clock.steady();
     return now >= machine.commandsPausedUntil && now <= machine.leaseExpiresAt && this.hasAuthority;
   }
 
-  private async push(machine: Machine, { commands, started }: Push): Promise<void> {
+  private async push(machine: Machine, { commands, started }: DirectCommands): Promise<void> {
     const wasUnconfirmed = machine.isUnconfirmed(this.epoch);
-    const timeout = wasUnconfirmed ? UNCONFIRMED_CALL_TIMEOUT : WORKER_CALL_TIMEOUT;
+    const timeout = wasUnconfirmed ? UNCONFIRMED_MACHINE_REQUEST_TIMEOUT : WORKER_REQUEST_TIMEOUT;
     const { outcome, reason, status } = await this.calls.send(machine, commands, timeout);
     if (this.calls.isClosed) return;
     if (outcome === 'answered') {
       // Executed or refused: either way nothing of it is in flight any more.
       for (const attempt of started) machine.pushedStarts.noteAcknowledged(attempt);
-      if (status && this.calls.recordReply(machine, status))
+      if (status && this.calls.recordResponse(machine, status))
         this.observer.observe(machine, status, 'commandReply');
       return;
     }
@@ -139,7 +139,7 @@
   }
 
   /** Probes machines that seem not to receive, or of which only stale statuses arrive. */
-  probeSilent(machines: Iterable<Machine>, silenceThreshold: DurationMs): void {
-    this.probe.probeDue(machines, silenceThreshold);
+  probeSilentMachines(machines: Iterable<Machine>, silenceThreshold: DurationMs): void {
+    this.probe.probeDueMachines(machines, silenceThreshold);
   }
 }
--- a/src/leader/push-commands.ts
+++ b/src/leader/direct-commands.ts
@@ -5,11 +5,11 @@
 import type { JobId, TaskKey } from '../units/index.js';
 import type { Command } from '../wire/index.js';
 import { isCommitted, isStartUnsent, isToBeStopped } from './placement-state.js';
-import { MAX_COMMANDS } from './reply-commands.js';
-import { kill, launch } from './task-commands.js';
+import { MAX_COMMANDS_PER_MESSAGE } from './response-commands.js';
+import { killCommand, startCommand } from './task-commands.js';
 
 /** Commands for one machine. */
-export interface Push {
+export interface DirectCommands {
   readonly commands: Command[];
   /** The attempts, by `attemptKey`, whose start is among the commands. */
   readonly started: string[];
@@ -20,15 +20,15 @@
  *
  * @param mayStart whether starts are pushed too, rather than left to the replies to heartbeats
  */
-export function preparePush(
+export function prepareDirectCommands(
   machine: Machine,
   jobs: ReadonlyMap<JobId, Job>,
   mayStart: boolean,
-): Push {
-  const push: Push = { commands: [], started: [] };
+): DirectCommands {
+  const push: DirectCommands = { commands: [], started: [] };
   const mayStartHere = mayStart && !machine.isDraining;
   for (const [key, { job: id, index, attempt }] of machine.assignments) {
-    if (push.commands.length >= MAX_COMMANDS) break;
+    if (push.commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
     const job = jobs.get(id);
     const placement = job?.placements.get(index);
     if (!job || !placement || !isCommitted(job, placement)) continue;
@@ -42,7 +42,7 @@
 }
 
 function addStop(
-  { commands }: Push,
+  { commands }: DirectCommands,
   key: TaskKey,
   attempt: number,
   job: Job,
@@ -51,11 +51,11 @@
   if (placement.isStopPushed || isStartUnsent(placement)) return;
   placement.isStopPushed = true;
   const graceSeconds = job.isCancelled ? 0 : (placement.evictionGraceSeconds ?? 0);
-  commands.push(kill(key, attempt, graceSeconds));
+  commands.push(killCommand(key, attempt, graceSeconds));
 }
 
 function addStart(
-  { commands, started }: Push,
+  { commands, started }: DirectCommands,
   machine: Machine,
   key: TaskKey,
   attempt: number,
@@ -63,5 +63,5 @@
   const startedAttempt = attemptKey(key, attempt);
   machine.pushedStarts.noteSent(startedAttempt);
   started.push(startedAttempt);
-  commands.push(launch(key, attempt));
+  commands.push(startCommand(key, attempt));
 }
--- a/src/leader/gang-lifecycle.ts
+++ b/src/leader/gang-lifecycle.ts
@@ -15,7 +15,7 @@
   /** Placed; not every task has been reported yet. */
   | 'placed'
   /** Every task is on its machine; not all have been seen running. */
-  | 'gathering'
+  | 'starting'
   | 'running'
   /** Its tasks are being stopped, or one of them is lost. */
   | 'stopping'
@@ -28,7 +28,7 @@
   readonly isRunning: boolean;
   readonly isStopping: boolean;
   /** How long until the cloud reclaims its machine; undefined if it has announced nothing. */
-  readonly reclaimIn: DurationMs | undefined;
+  readonly timeToReclaim: DurationMs | undefined;
   /** A command can be pushed to its machine now. */
   readonly isReachable: boolean;
 }
@@ -41,7 +41,7 @@
   /** Its placed tasks. */
   readonly tasks: readonly GangTask[];
   /** How long a task takes to save a checkpoint; undefined if it can't. */
-  readonly checkpointTime: DurationMs | undefined;
+  readonly checkpointDuration: DurationMs | undefined;
 }
 
 /** What is to be done with a gang. */
@@ -50,29 +50,29 @@
   /** One task is done, so all are: they complete together. */
   | 'complete'
   /** Stop what is left of the attempt, at once. */
-  | 'endAttempt'
+  | 'stopAttempt'
   /** Stop all tasks together, so that each saves a checkpoint. */
-  | 'saveAndStop';
+  | 'checkpointAndStop';
 
 /** Time beyond that for a checkpoint: for delivery of the commands, and for one to be sent again. */
 const SAVE_MARGIN = ms(3000);
 
 /** The phase that follows from the states of a gang's tasks. */
-export function phaseOf({ taskCount, doneCount, tasks }: GangState): GangPhase {
+export function gangPhase({ taskCount, doneCount, tasks }: GangState): GangPhase {
   if (doneCount > 0) return 'done';
   if (tasks.length === 0) return 'waiting';
   if (tasks.length < taskCount || tasks.some((task) => task.isStopping)) return 'stopping';
   if (tasks.every((task) => task.isRunning)) return 'running';
-  return tasks.every((task) => task.isReported) ? 'gathering' : 'placed';
+  return tasks.every((task) => task.isReported) ? 'starting' : 'placed';
 }
 
 /** The action that a gang needs now; repeating it has no effect. */
-export function nextAction(gang: GangState): GangAction {
-  const phase = phaseOf(gang);
+export function nextGangAction(gang: GangState): GangAction {
+  const phase = gangPhase(gang);
   if (phase === 'done') return gang.waitingCount + gang.tasks.length > 0 ? 'complete' : 'none';
   // Without the lost task the others would only occupy their machines until they notice.
-  if (phase === 'stopping' && gang.tasks.length < gang.taskCount) return 'endAttempt';
-  if (phase === 'running' && mustSave(gang)) return 'saveAndStop';
+  if (phase === 'stopping' && gang.tasks.length < gang.taskCount) return 'stopAttempt';
+  if (phase === 'running' && mustSave(gang)) return 'checkpointAndStop';
   return 'none';
 }
 
@@ -81,9 +81,9 @@
  * the gang makes progress until then and may complete. A checkpoint fails unless all tasks take part, so none is
  * tried if a machine can't be reached.
  */
-function mustSave({ tasks, checkpointTime }: GangState): boolean {
-  if (checkpointTime === undefined) return false;
-  const leavesIn = Math.min(...tasks.map((task) => task.reclaimIn ?? Infinity));
-  if (leavesIn < checkpointTime || leavesIn > checkpointTime + SAVE_MARGIN) return false;
+function mustSave({ tasks, checkpointDuration }: GangState): boolean {
+  if (checkpointDuration === undefined) return false;
+  const leavesIn = Math.min(...tasks.map((task) => task.timeToReclaim ?? Infinity));
+  if (leavesIn < checkpointDuration || leavesIn > checkpointDuration + SAVE_MARGIN) return false;
   return tasks.every((task) => task.isReachable);
 }
--- a/src/leader/gang-controller.ts
+++ b/src/leader/gang-manager.ts
@@ -2,31 +2,31 @@
 import type { Machine } from '../fleet/machine.js';
 import type { Job, Placement } from '../ledger/job.js';
 import { ms, seconds, durationBetween, type Clock, type MachineId } from '../units/index.js';
-import { nextAction, type GangState, type GangTask } from './gang-lifecycle.js';
+import { nextGangAction, type GangState, type GangTask } from './gang-lifecycle.js';
 import { canSave, type PlacementIndex } from './placement-index.js';
 import { isStartUnsent } from './placement-state.js';
 
 /** How stops reach machines. */
-export interface StopSender {
+export interface StopCommandSender {
   /** Pushes the stops of a machine's tasks soon. */
-  schedulePush(machine: MachineId): void;
+  scheduleDirectCommands(machine: MachineId): void;
   /** Whether a command can be pushed to a machine now. */
-  canReach(machine: Machine): boolean;
+  canSendTo(machine: Machine): boolean;
 }
 
-/** Carries out what `nextAction` decides for each gang. */
-export class GangController {
+/** Carries out what `nextGangAction` decides for each gang. */
+export class GangManager {
   /** Gangs to be reviewed in the next turn: the change that broke them may be half done. */
   private readonly broken = new Set<Job>();
 
   constructor(
     private readonly placements: PlacementIndex,
-    private readonly commands: StopSender,
+    private readonly commands: StopCommandSender,
     private readonly clock: Clock,
   ) {}
 
   /** A task of the gang is gone, or was found to be. */
-  noteBroken(job: Job): void {
+  onGangBroken(job: Job): void {
     if (this.broken.size === 0) this.clock.after(ms(0), () => this.reviewBroken());
     this.broken.add(job);
   }
@@ -38,7 +38,7 @@
   }
 
   /** Reviews the gangs on machines that the cloud is about to reclaim. */
-  reviewReclaimed(): void {
+  reviewReclaimedGangs(): void {
     const leaving = new Set<Job>();
     for (const machine of this.placements.fleet.machines.values()) {
       if (machine.reclaimAt === undefined) continue;
@@ -53,16 +53,16 @@
   private review(job: Job): void {
     // The tasks of a cancelled job are being stopped already. A replaced job has other placements now.
     if (job.isCancelled || this.placements.ledger.jobs.get(job.id) !== job) return;
-    switch (nextAction(this.stateOf(job))) {
+    switch (nextGangAction(this.stateOf(job))) {
       case 'none':
         return;
       case 'complete':
         this.placements.completeGang(job);
         return;
-      case 'endAttempt':
+      case 'stopAttempt':
         this.stopAll(job, 0);
         return;
-      case 'saveAndStop':
+      case 'checkpointAndStop':
         this.stopAll(job, job.spec.checkpointSeconds);
         return;
     }
@@ -74,7 +74,7 @@
         this.placements.requeueTask(job, index, 'its gang lost a task');
       } else {
         this.placements.stopTask(job, index, placement, graceSeconds);
-        this.commands.schedulePush(placement.machine);
+        this.commands.scheduleDirectCommands(placement.machine);
       }
     }
   }
@@ -85,7 +85,7 @@
       waitingCount: job.waiting.size,
       doneCount: job.doneCount,
       tasks: Array.from(job.placements.values(), (placement) => this.taskOf(placement)),
-      checkpointTime: canSave(job) ? seconds(job.spec.checkpointSeconds) : undefined,
+      checkpointDuration: canSave(job) ? seconds(job.spec.checkpointSeconds) : undefined,
     };
   }
 
@@ -96,9 +96,9 @@
       isReported: placement.isReported,
       isRunning: placement.hasRun === true,
       isStopping: placement.evictionGraceSeconds !== undefined,
-      reclaimIn:
+      timeToReclaim:
         machine?.reclaimAt === undefined ? undefined : durationBetween(now, machine.reclaimAt),
-      isReachable: machine !== undefined && this.commands.canReach(machine),
+      isReachable: machine !== undefined && this.commands.canSendTo(machine),
     };
   }
 }
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -5,14 +5,14 @@
 import type { UnchangedHeartbeat } from '../peer/messages.js';
 import { MachineId, type Clock, type DurationMs, type Epoch, type NodeId } from '../units/index.js';
 import type { Command, Heartbeat, HeartbeatReply } from '../wire/index.js';
-import type { StatusObserver } from './command-sender.js';
+import type { StatusObserver } from './direct-command-sender.js';
 import type { PlacementIndex } from './placement-index.js';
 import { ReceptionCheck } from './reception-check.js';
 
 /** Decides the commands of a reply. */
 export interface ReplyComposer {
   /** To be called when the status has been reconciled with the placements. */
-  commandsForReply(machine: Machine, status: WorkerStatus): Command[];
+  commandsForHeartbeat(machine: Machine, status: WorkerStatus): Command[];
 }
 
 /** What the handler uses. */
@@ -98,6 +98,6 @@
     machine.relayNode = relayNode;
     if (!wasUp) onMachineUp();
     observer.observe(machine, status, 'heartbeat');
-    return { fencingToken: epoch, commands: replies.commandsForReply(machine, status) };
+    return { fencingToken: epoch, commands: replies.commandsForHeartbeat(machine, status) };
   }
 }
--- a/src/leader/image-hints.ts
+++ b/src/leader/image-hints.ts
@@ -36,7 +36,7 @@
   ) {}
 
   /** Sends if the interval has passed. */
-  tick(machines: Iterable<Machine>, now: SteadyMs): void {
+  sendIfDue(machines: Iterable<Machine>, now: SteadyMs): void {
     if (durationBetween(this.sentAt, now) < HINT_INTERVAL) return;
     this.sentAt = now;
     const known: MachineImages[] = [];
@@ -74,18 +74,18 @@
 }
 
 /** What this node was sent by leaders, its own terms included. */
-export class ImageHints {
+export class ImageHintCache {
   private readonly known = new Map<string, { machine: MachineImages; at: SteadyMs }>();
 
   /** Takes a message of hints in, and forgets what is old. */
-  record(machines: readonly MachineImages[], now: SteadyMs): void {
+  recordHints(machines: readonly MachineImages[], now: SteadyMs): void {
     for (const machine of machines) this.known.set(machine.machine, { machine, at: now });
     for (const [id, { at }] of this.known)
       if (durationBetween(at, now) > FORGET_AFTER) this.known.delete(id);
   }
 
   /** The images that a machine probably holds, least recently used first; none if nothing is known. */
-  imagesOf(machine: string): MachineImages['images'] {
+  imagesOnMachine(machine: string): MachineImages['images'] {
     return this.known.get(machine)?.machine.images ?? [];
   }
 }
--- a/src/leader/job-requests.ts
+++ b/src/leader/job-requests.ts
@@ -4,7 +4,7 @@
 import type { Ledger } from '../ledger/ledger.js';
 import { JobId, Revision, ms, type Clock, type DurationMs } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
-import type { CommandSender } from './command-sender.js';
+import type { DirectCommandSender } from './direct-command-sender.js';
 import type { PlacementIndex } from './placement-index.js';
 import { isStartUnsent } from './placement-state.js';
 import type { Scheduler } from './scheduler.js';
@@ -41,8 +41,8 @@
 export interface JobRequestDependencies {
   readonly ledger: Ledger;
   readonly placements: PlacementIndex;
-  readonly commands: Pick<CommandSender, 'schedulePush'>;
-  readonly scheduler: Pick<Scheduler, 'forecast' | 'schedulePlacing' | 'placeWaiting'>;
+  readonly commands: Pick<DirectCommandSender, 'scheduleDirectCommands'>;
+  readonly scheduler: Pick<Scheduler, 'forecast' | 'schedulePlacement' | 'placeWaitingTasks'>;
   readonly jobRecords: Pick<JobRecords, 'lookup'>;
   readonly clock: Clock;
 }
@@ -81,9 +81,9 @@
     const job = new Job(id, spec, clock.wall(), Revision(0));
     job.markChanged(WritePriority.userRequest);
     ledger.insert(job);
-    scheduler.forecast.noteSubmission(spec, clock.steady());
+    scheduler.forecast.recordSubmission(spec, clock.steady());
     // What fits on a machine now is placed in the same transaction that creates the job.
-    scheduler.placeWaiting();
+    scheduler.placeWaitingTasks();
     const isCommitted = await ledger.whenCommitted(job);
     const latest = await this.latestInMemory(id);
     if (latest?.kind === 'final') return latest;
@@ -126,7 +126,7 @@
     const isCommitted = await this.deps.ledger.whenCommitted(job);
     if (!isCommitted) return UNKNOWN;
     for (const placement of job.placements.values()) {
-      this.deps.commands.schedulePush(placement.machine);
+      this.deps.commands.scheduleDirectCommands(placement.machine);
     }
     return this.inMemory(id) ?? UNKNOWN;
   }
@@ -135,10 +135,10 @@
   adopt(job: Job): void {
     const { clock, ledger, placements, scheduler } = this.deps;
     ledger.insert(job);
-    scheduler.forecast.noteSubmission(job.spec, clock.steady());
+    scheduler.forecast.recordSubmission(job.spec, clock.steady());
     placements.addJob(job);
     if (job.isSettled) job.markChanged(WritePriority.jobEnd);
-    scheduler.schedulePlacing();
+    scheduler.schedulePlacement();
   }
 
   /** What is in memory of a job; undefined if nothing is. */
--- a/src/leader/machine-probe.ts
+++ b/src/leader/machine-prober.ts
@@ -10,9 +10,12 @@
   type JobId,
   type SteadyMs,
 } from '../units/index.js';
-import type { StatusObserver } from './command-sender.js';
+import type { StatusObserver } from './direct-command-sender.js';
 import type { TermDependencies } from './dependencies.js';
-import { UNCONFIRMED_CALL_TIMEOUT, type WorkerCalls } from './worker-calls.js';
+import {
+  UNCONFIRMED_MACHINE_REQUEST_TIMEOUT,
+  type WorkerRequestSender,
+} from './worker-request-sender.js';
 
 /** How often a machine is probed. */
 const PROBE_INTERVAL = seconds(4);
@@ -20,8 +23,8 @@
 const MAX_PROBES = 8;
 
 /** What the probe uses. */
-export interface MachineProbeOptions {
-  readonly calls: WorkerCalls;
+export interface MachineProberOptions {
+  readonly calls: WorkerRequestSender;
   readonly jobs: ReadonlyMap<JobId, Job>;
   readonly observer: StatusObserver;
   readonly deps: Pick<TermDependencies, 'clock' | 'log' | 'settings'>;
@@ -30,15 +33,15 @@
 }
 
 /** Calls machines without commands, just for their status. */
-export class MachineProbe {
-  constructor(private readonly options: MachineProbeOptions) {}
+export class MachineProber {
+  constructor(private readonly options: MachineProberOptions) {}
 
   /**
    * Probes the machines for which that is due.
    *
    * @param silenceThreshold after this time without a fresh heartbeat, a machine counts as silent
    */
-  probeDue(machines: Iterable<Machine>, silenceThreshold: DurationMs): void {
+  probeDueMachines(machines: Iterable<Machine>, silenceThreshold: DurationMs): void {
     const now = this.options.deps.clock.steady();
     let probesLeft = MAX_PROBES;
     for (const machine of machines) {
@@ -61,13 +64,13 @@
   private async probe(machine: Machine): Promise<void> {
     const { calls, observer, deps } = this.options;
     const statusBefore = machine.status;
-    const { status } = await calls.send(machine, [], UNCONFIRMED_CALL_TIMEOUT);
+    const { status } = await calls.send(machine, [], UNCONFIRMED_MACHINE_REQUEST_TIMEOUT);
     if (calls.isClosed || !status || !statusBefore) return;
     const now = deps.clock.steady();
     machine.noteReceiving();
     // The status was made after the call, so one that counts as older comes from a restarted machine.
     if (!isAfter(status, statusBefore)) this.recordRestart(machine, status, now);
-    else if (!calls.recordReply(machine, status)) return;
+    else if (!calls.recordResponse(machine, status)) return;
     observer.observe(machine, status, 'commandReply');
   }
 
--- a/src/leader/periodic-work.ts
+++ b/src/leader/periodic-work.ts
@@ -10,15 +10,15 @@
   type SteadyMs,
   type Timer,
 } from '../units/index.js';
-import type { CommandSender } from './command-sender.js';
+import type { DirectCommandSender } from './direct-command-sender.js';
 import type { ContactHistory } from './contact-history.js';
 import type { TermDependencies } from './dependencies.js';
 import { FleetLog } from './fleet-log.js';
-import type { GangController } from './gang-controller.js';
+import type { GangManager } from './gang-manager.js';
 import { ImageHintSender } from './image-hints.js';
 import type { MachineLoss } from './machine-loss.js';
 import type { Scheduler } from './scheduler.js';
-import { shouldRedirectWorkers } from './worker-redirects.js';
+import { shouldRedirectWorkers } from './worker-redirection.js';
 
 const TICK_INTERVAL = ms(500);
 /** So much later than it was due, a tick shows that this process does not keep up. */
@@ -34,8 +34,8 @@
   readonly deps: TermDependencies;
   readonly ledger: Ledger;
   readonly fleet: Fleet;
-  readonly commands: CommandSender;
-  readonly gangs: GangController;
+  readonly commands: DirectCommandSender;
+  readonly gangs: GangManager;
   readonly scheduler: Scheduler;
   readonly autoscaler: Autoscaler;
   readonly contacts: ContactHistory;
@@ -99,7 +99,7 @@
     const sinceLastTick = durationBetween(this.lastTickAt, now);
     contacts.noteAuthority(hasAuthority, sinceLastTick > TICK_INTERVAL + STALL_THRESHOLD, now);
     contacts.noteUnreachablePeers(now);
-    commands.isBusy = sinceLastTick > TICK_INTERVAL + BUSY_THRESHOLD;
+    commands.isControllerBusy = sinceLastTick > TICK_INTERVAL + BUSY_THRESHOLD;
     machineLoss.expireLeases();
     if (hasAuthority) this.lead();
     ledger.scheduleCommit();
@@ -113,12 +113,12 @@
   private lead(): void {
     const { commands, deps, fleet, gangs, scheduler } = this.parts;
     this.reviewRedirects();
-    gangs.reviewReclaimed();
-    this.hintSender.tick(fleet.machines.values(), deps.clock.steady());
+    gangs.reviewReclaimedGangs();
+    this.hintSender.sendIfDue(fleet.machines.values(), deps.clock.steady());
     this.fleetLog.tick(deps.clock.steady());
-    scheduler.schedulePlacing();
+    scheduler.schedulePlacement();
     this.scalingTimer = deps.clock.after(SCALING_DELAY, () => this.scaleCapacity());
-    commands.probeSilent(fleet.machines.values(), scheduler.silenceThreshold);
+    commands.probeSilentMachines(fleet.machines.values(), scheduler.silenceThreshold);
   }
 
   private reviewRedirects(): void {
--- a/src/leader/placing-loop.ts
+++ b/src/leader/placement-loop.ts
@@ -9,7 +9,7 @@
 const MAX_PLACING_SHARE = 0.2;
 
 /** Runs placing rounds on request, one at a time. An error in a round is logged; later rounds still run. */
-export class PlacingLoop {
+export class PlacementLoop {
   private batchDelay = MIN_BATCH_DELAY;
   private timer: Timer | undefined;
   private closed = false;
@@ -17,7 +17,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly log: Logger,
-    private readonly placeWaiting: () => void,
+    private readonly placeWaitingTasks: () => void,
   ) {}
 
   /** Asks for a round after the batch delay, unless one is due already. */
@@ -39,7 +39,7 @@
   private runRound(): void {
     const startedAt = this.clock.steady();
     try {
-      this.placeWaiting();
+      this.placeWaitingTasks();
     } catch (error) {
       this.log.error({ err: error }, 'placing failed');
     }
--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -11,12 +11,12 @@
 const MAX_PREEMPTIONS_PER_ROUND = 8;
 
 /** Sends a machine what was decided for it, without waiting for its next report. */
-export interface CommandPusher {
-  schedulePush(machine: MachineId): void;
+export interface DirectCommandScheduler {
+  scheduleDirectCommands(machine: MachineId): void;
 }
 
 /** A placing round whose assignments are not applied yet. */
-export interface PlacingRound {
+export interface PlacementRound {
   readonly queue: readonly QueueEntry[];
   readonly assignments: readonly Assignment[];
   /** Remaining quotas before the assignments. */
@@ -38,11 +38,11 @@
 export class Preemption {
   constructor(
     private readonly placements: PlacementIndex,
-    private readonly commands: CommandPusher,
+    private readonly commands: DirectCommandScheduler,
   ) {}
 
   /** Stops tasks until enough processors are being freed for the urgent tasks that the round left waiting. */
-  preemptForUrgent({ queue, assignments, quotas, now }: PlacingRound): void {
+  preemptForUrgentJobs({ queue, assignments, quotas, now }: PlacementRound): void {
     let budget = MAX_PREEMPTIONS_PER_ROUND;
     for (const { job } of queue) {
       if (budget <= 0) return;
@@ -59,7 +59,7 @@
         missingCpus -= candidate.job.spec.cpus;
         budget--;
         this.placements.preempt(candidate.job, candidate.index, candidate.placement);
-        this.commands.schedulePush(candidate.placement.machine);
+        this.commands.scheduleDirectCommands(candidate.placement.machine);
       }
     }
   }
--- a/src/leader/reply-commands.ts
+++ b/src/leader/response-commands.ts
@@ -8,17 +8,17 @@
 import { AttemptClearance } from './attempt-clearance.js';
 import type { TermDependencies } from './dependencies.js';
 import { isCommitted, isToBeStopped, placementOfAttempt } from './placement-state.js';
-import { clear, kill, launch } from './task-commands.js';
+import { clearCommand, killCommand, startCommand } from './task-commands.js';
 
 /** No start is added to a message that has this many commands, so that it fits a response to a worker. */
-export const MAX_COMMANDS = 300;
+export const MAX_COMMANDS_PER_MESSAGE = 300;
 
 /**
  * Compares a machine's status, after it has been reconciled with the placements, with what should run there.
  * Nothing of a reply is remembered but which heartbeat a start was sent in reply to: it is sent again with each
  * reply until a status shows the attempt.
  */
-export class ReplyCommands {
+export class ResponseCommands {
   private readonly clearance: AttemptClearance;
 
   constructor(
@@ -29,7 +29,7 @@
   }
 
   /** The commands for the worker that sent this status with a heartbeat. */
-  commandsForReply(machine: Machine, status: WorkerStatus): Command[] {
+  commandsForHeartbeat(machine: Machine, status: WorkerStatus): Command[] {
     const commands: Command[] = [];
     for (const task of status.tasks) {
       const command = this.commandForReported(machine, task);
@@ -43,24 +43,24 @@
     const { task, attempt, state } = status;
     const ref = parseTaskKey(task);
     // Not a task of this service.
-    if (!ref) return state === TaskState.exited ? clear(task, attempt) : undefined;
+    if (!ref) return state === TaskState.exited ? clearCommand(task, attempt) : undefined;
     const job = this.ledger.jobs.get(ref.job);
     const placement = placementOfAttempt(job, ref.index, machine.id, attempt);
     if (state === TaskState.exited) {
       const isClear = !placement && this.clearance.mayClear(machine, status, ref, job);
-      return isClear ? clear(task, attempt) : undefined;
+      return isClear ? clearCommand(task, attempt) : undefined;
     }
-    if (!placement || job?.isCancelled) return kill(task, attempt, 0);
+    if (!placement || job?.isCancelled) return killCommand(task, attempt, 0);
     const { evictionGraceSeconds } = placement;
     return evictionGraceSeconds === undefined
       ? undefined
-      : kill(task, attempt, evictionGraceSeconds);
+      : killCommand(task, attempt, evictionGraceSeconds);
   }
 
   /** Adds the starts of assigned tasks that the status doesn't show. */
   private addStarts(commands: Command[], machine: Machine, status: WorkerStatus): void {
     for (const [key, assigned] of machine.assignments) {
-      if (commands.length >= MAX_COMMANDS) break;
+      if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
       const job = this.ledger.jobs.get(assigned.job);
       const placement = job?.placements.get(assigned.index);
       const attempt = attemptKey(key, assigned.attempt);
@@ -68,13 +68,13 @@
       if (isToBeStopped(job, placement)) {
         // A pushed start may still be delivered. Executed and stopped here, it has no effect then.
         if (machine.pushedStarts.isUnacknowledged(attempt))
-          commands.push(launch(key, assigned.attempt), kill(key, assigned.attempt, 0));
+          commands.push(startCommand(key, assigned.attempt), killCommand(key, assigned.attempt, 0));
       } else if (
         isStartable(job, placement) &&
         (!machine.isDraining || machine.pushedStarts.isUnacknowledged(attempt))
       ) {
         placement.sentInReplyTo = { session: status.session, sequence: status.sequence };
-        commands.push(launch(key, assigned.attempt));
+        commands.push(startCommand(key, assigned.attempt));
       }
     }
   }
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -4,14 +4,14 @@
 import { compareQueueEntries, queueEntryFor, type QueueEntry } from '../ledger/queue-order.js';
 import { place, type Assignment, type RemainingQuota } from '../placer/placer.js';
 import type { DurationMs, Epoch, JobId, MachineId, SteadyMs } from '../units/index.js';
-import { AnticipatedWork, type AnticipatedSubmission } from './anticipated-work.js';
+import { DemandForecast, type AnticipatedSubmission } from './demand-forecast.js';
 import { candidateMachines } from './candidate-machines.js';
 import type { TermDependencies } from './dependencies.js';
 import type { PlacementIndex } from './placement-index.js';
-import { PlacingLoop } from './placing-loop.js';
-import { Preemption, type CommandPusher } from './preemption.js';
+import { PlacementLoop } from './placement-loop.js';
+import { Preemption, type DirectCommandScheduler } from './preemption.js';
 import { remainingQuotas } from './remaining-quotas.js';
-import { TaskRequestBuilder } from './task-requests.js';
+import { TaskRequestBuilder } from './task-request-builder.js';
 
 /** The most array tasks that one placing round commits, so that no transaction grows too large. */
 const MAX_PLACEMENTS_PER_ROUND = 400;
@@ -19,21 +19,21 @@
 /** Places the waiting tasks of all jobs on the machines of one term, and preempts for urgent ones. */
 export class Scheduler {
   /** Recent submissions, for which capacity is kept on standby. */
-  readonly forecast: AnticipatedWork;
+  readonly forecast: DemandForecast;
   /** Set once the term knows all live jobs: before that nothing is placed on request. */
   isReady = false;
-  private readonly loop: PlacingLoop;
+  private readonly loop: PlacementLoop;
   private readonly requests: TaskRequestBuilder;
   private readonly preemption: Preemption;
 
   constructor(
     private readonly epoch: Epoch,
     private readonly placements: PlacementIndex,
-    commands: CommandPusher,
+    commands: DirectCommandScheduler,
     private readonly deps: TermDependencies,
   ) {
-    this.forecast = new AnticipatedWork(deps.settings.objectives);
-    this.loop = new PlacingLoop(deps.clock, deps.log, () => this.placeWaiting());
+    this.forecast = new DemandForecast(deps.settings.objectives);
+    this.loop = new PlacementLoop(deps.clock, deps.log, () => this.placeWaitingTasks());
     this.requests = new TaskRequestBuilder(placements, deps.recordLimits, this.forecast);
     this.preemption = new Preemption(placements, commands);
   }
@@ -53,7 +53,7 @@
   }
 
   /** Jobs with waiting tasks, most urgent first. */
-  queue(): QueueEntry[] {
+  jobQueue(): QueueEntry[] {
     const now = this.deps.clock.steady();
     const wall = this.deps.clock.wall();
     const queue: QueueEntry[] = [];
@@ -70,23 +70,23 @@
     for (const machine of this.machines.values()) {
       if (machine.isUp) cpus += this.deps.catalog.machineType(machine.kind.machineType)?.cpus ?? 0;
     }
-    return this.forecast.anticipated(cpus, this.deps.clock.steady());
+    return this.forecast.anticipatedSubmissions(cpus, this.deps.clock.steady());
   }
 
   /** Asks for a placing round soon: events that follow shortly are handled by the same one. */
-  schedulePlacing(): void {
+  schedulePlacement(): void {
     if (this.isReady) this.loop.schedule();
   }
 
   /** Runs a placing round at once. */
-  placeWaiting(): void {
-    const queue = this.queue();
+  placeWaitingTasks(): void {
+    const queue = this.jobQueue();
     if (queue.length === 0) return;
     const now = this.deps.clock.steady();
     const assignments = this.assign(queue, now);
     if (!assignments) return;
     if (assignments.length < MAX_PLACEMENTS_PER_ROUND)
-      this.preemption.preemptForUrgent({ queue, assignments, quotas: this.quotas(), now });
+      this.preemption.preemptForUrgentJobs({ queue, assignments, quotas: this.quotas(), now });
     for (const [id, tasks] of byJob(assignments)) this.applyAssignments(id, tasks, now);
   }
 
@@ -109,7 +109,7 @@
       machines,
       quotas: this.quotas(),
       maxAssignments: MAX_PLACEMENTS_PER_ROUND,
-      reserve: this.forecast.reserve(fleetCpus, now),
+      reserve: this.forecast.reservedCpus(fleetCpus, now),
     });
   }
 
--- a/src/leader/task-commands.ts
+++ b/src/leader/task-commands.ts
@@ -2,21 +2,25 @@
 import type { KillCommand, PlainCommand } from '../wire/index.js';
 
 /** Starts the task. Repeats have no effect until the worker has forgotten the attempt. */
-export const launch = (task: string, attempt: number): PlainCommand => ({
+export const startCommand = (task: string, attempt: number): PlainCommand => ({
   type: 'launch',
   task,
   attempt,
 });
 
 /** Makes the worker forget an attempt that has exited. */
-export const clear = (task: string, attempt: number): PlainCommand => ({
+export const clearCommand = (task: string, attempt: number): PlainCommand => ({
   type: 'clear',
   task,
   attempt,
 });
 
 /** Stops the task, which may save a checkpoint within the grace period. */
-export const kill = (task: string, attempt: number, gracePeriodSeconds: number): KillCommand => ({
+export const killCommand = (
+  task: string,
+  attempt: number,
+  gracePeriodSeconds: number,
+): KillCommand => ({
   type: 'kill',
   task,
   attempt,
--- a/src/leader/task-requests.ts
+++ b/src/leader/task-request-builder.ts
@@ -5,7 +5,7 @@
 import type { RecordLimits } from '../ledger/record-limits.js';
 import type { TaskRequest } from '../placer/placer.js';
 import { parseTaskKey, taskKey, type MachineId, type SteadyMs } from '../units/index.js';
-import type { AnticipatedWork } from './anticipated-work.js';
+import type { DemandForecast } from './demand-forecast.js';
 import type { PlacementIndex } from './placement-index.js';
 
 /** The zone of machines of which only a record is known, until they are listed or report. */
@@ -25,7 +25,7 @@
   constructor(
     private readonly placements: PlacementIndex,
     private readonly recordLimits: RecordLimits,
-    private readonly anticipatedWork: AnticipatedWork,
+    private readonly anticipatedWork: DemandForecast,
   ) {}
 
   /** The request for the waiting tasks of one job. Its `waitingIndexes` can be iterated once. */
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -13,10 +13,10 @@
 import { detach } from '../units/detach.js';
 import type { Epoch, JobId, NodeId, SteadyMs } from '../units/index.js';
 import type { Heartbeat, HeartbeatReply, JobSpec } from '../wire/index.js';
-import { CommandSender } from './command-sender.js';
+import { DirectCommandSender } from './direct-command-sender.js';
 import { ContactHistory } from './contact-history.js';
 import type { TermDependencies } from './dependencies.js';
-import { GangController } from './gang-controller.js';
+import { GangManager } from './gang-manager.js';
 import { HeartbeatHandler } from './heartbeat-handler.js';
 import { JobRequests, type JobAnswer, type SubmitOutcome } from './job-requests.js';
 import { MachineLoss } from './machine-loss.js';
@@ -24,7 +24,7 @@
 import { PeriodicWork } from './periodic-work.js';
 import { PlacementIndex } from './placement-index.js';
 import { Rebuild } from './rebuild.js';
-import { ReplyCommands } from './reply-commands.js';
+import { ResponseCommands } from './response-commands.js';
 import { Scheduler } from './scheduler.js';
 import { StatusReconciler } from './status-reconciler.js';
 
@@ -33,8 +33,8 @@
   private readonly ledger: Ledger;
   private readonly fleet: Fleet;
   private readonly placements: PlacementIndex;
-  private readonly commands: CommandSender;
-  private readonly gangs: GangController;
+  private readonly commands: DirectCommandSender;
+  private readonly gangs: GangManager;
   private readonly heartbeats: HeartbeatHandler;
   private readonly scheduler: Scheduler;
   private readonly contacts: ContactHistory;
@@ -57,8 +57,8 @@
     this.fleet = this.createFleet(startedAt);
     this.placements = this.createPlacements();
     const observer = new StatusReconciler(epoch, this.placements, deps);
-    this.commands = new CommandSender(epoch, this.placements, observer, deps);
-    this.gangs = new GangController(this.placements, this.commands, clock);
+    this.commands = new DirectCommandSender(epoch, this.placements, observer, deps);
+    this.gangs = new GangManager(this.placements, this.commands, clock);
     this.heartbeats = this.createHeartbeats(observer);
     this.scheduler = new Scheduler(epoch, this.placements, this.commands, deps);
     this.contacts = new ContactHistory(deps.peers, startedAt);
@@ -113,7 +113,7 @@
       startedAt,
       lease: settings.workers.lease,
       cacheSizeOf: (machineType) => catalog.machineType(machineType)?.cacheGb,
-      imageHintsFor: (id) => imageHints.imagesOf(id),
+      imageHintsFor: (id) => imageHints.imagesOnMachine(id),
       resourcesOf: (id) => {
         const job = this.ledger.jobs.get(id);
         return job && taskResources(job.spec);
@@ -129,8 +129,8 @@
       clock,
       log,
       events: {
-        onCapacityChanged: () => this.scheduler.schedulePlacing(),
-        onGangBroken: (job) => this.gangs.noteBroken(job),
+        onCapacityChanged: () => this.scheduler.schedulePlacement(),
+        onGangBroken: (job) => this.gangs.onGangBroken(job),
       },
     });
   }
@@ -143,8 +143,8 @@
       lease: settings.workers.lease,
       placements: this.placements,
       observer,
-      replies: new ReplyCommands(this.ledger, this.deps),
-      onMachineUp: () => this.scheduler.schedulePlacing(),
+      replies: new ResponseCommands(this.ledger, this.deps),
+      onMachineUp: () => this.scheduler.schedulePlacement(),
     });
   }
 
@@ -155,7 +155,7 @@
         fleet: this.fleet,
         answeringSince: () => this.contacts.answeringSince,
         unreachableAt: this.contacts.unreachableAt,
-        queue: () => this.scheduler.queue(),
+        queue: () => this.scheduler.jobQueue(),
         specOf: (id) => this.ledger.jobs.get(id)?.spec,
         anticipatedWork: () => this.scheduler.anticipatedSubmissions(),
         noteRemoved: (machine, reason) => this.machineLoss.remove(machine, reason),
@@ -234,7 +234,7 @@
     for (const placement of job.placements.values()) {
       const isStartDue = !placement.isReported && !placement.isStartPushed;
       if (isStartDue && placement.version <= job.committedVersion) {
-        this.commands.schedulePush(placement.machine);
+        this.commands.scheduleDirectCommands(placement.machine);
       }
     }
   }
--- a/src/leader/worker-calls.ts
+++ b/src/leader/worker-request-sender.ts
@@ -11,27 +11,27 @@
 import type { TermDependencies } from './dependencies.js';
 
 /** The timeout of a call to a worker whose machine this epoch has seen. */
-export const WORKER_CALL_TIMEOUT = ms(2500);
+export const WORKER_REQUEST_TIMEOUT = ms(2500);
 /** The timeout where the machine may be long gone, known only from late copies of heartbeats. */
-export const UNCONFIRMED_CALL_TIMEOUT = ms(1200);
+export const UNCONFIRMED_MACHINE_REQUEST_TIMEOUT = ms(1200);
 /** The share of a node's sockets that calls in flight may take, and the least number of them. */
 const MAX_SOCKET_SHARE = 0.08;
 const MIN_CALL_LIMIT = 4;
 
 /** What the calls need from outside. */
-export type WorkerCallDependencies = Pick<
+export type WorkerRequestDependencies = Pick<
   TermDependencies,
   'clock' | 'http' | 'log' | 'peers' | 'settings'
 >;
 
 /** Is notified of each call. */
-export interface CallListener {
+export interface WorkerRequestListener {
   /** The call has ended, and a socket is free again. */
-  onCallEnded(machine: Machine): void;
+  onRequestEnded(machine: Machine): void;
 }
 
 /** The result of a call. */
-export interface CallResult {
+export interface WorkerRequestResult {
   readonly outcome: CommandOutcome;
   /** What went wrong; empty if the worker answered. */
   readonly reason: string;
@@ -40,15 +40,15 @@
 }
 
 /** Makes calls to workers, one at a time for each machine. */
-export class WorkerCalls {
+export class WorkerRequestSender {
   private inFlight = 0;
   private closed = false;
 
   constructor(
     private readonly epoch: Epoch,
     private readonly fleet: Fleet,
-    private readonly deps: WorkerCallDependencies,
-    private readonly listener: CallListener,
+    private readonly deps: WorkerRequestDependencies,
+    private readonly listener: WorkerRequestListener,
   ) {}
 
   close(): void {
@@ -79,7 +79,7 @@
     });
     this.inFlight--;
     machine.commandInFlight = false;
-    if (!this.closed) this.listener.onCallEnded(machine);
+    if (!this.closed) this.listener.onRequestEnded(machine);
   }
 
   /** Sends commands directly, or through the node that relays the machine's heartbeats. */
@@ -87,7 +87,7 @@
     machine: Machine,
     commands: readonly Command[],
     timeout: DurationMs,
-  ): Promise<CallResult> {
+  ): Promise<WorkerRequestResult> {
     if (!machine.address || !machine.status)
       return { outcome: 'undelivered', reason: 'no address', status: undefined };
     const request = {
@@ -113,7 +113,7 @@
    * runs from its beginning although no heartbeat of it has been answered: until that lease has expired, nothing
    * that is started there is gone, whenever the lease of the session before was to expire.
    */
-  recordReply(machine: Machine, status: WorkerStatus): boolean {
+  recordResponse(machine: Machine, status: WorkerStatus): boolean {
     const now = this.deps.clock.steady();
     const isNewSession = machine.status === undefined || status.session > machine.status.session;
     if (!machine.recordStatus(status, now)) return false;
--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/anticipated-work.test.ts
@@ -1,7 +1,7 @@
 /** For which submissions capacity is kept on standby, how much, and for how long. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { AnticipatedWork } from '../../src/leader/anticipated-work.js';
+import { DemandForecast } from '../../src/leader/demand-forecast.js';
 import { SteadyMs, seconds } from '../../src/units/index.js';
 import type { JobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
@@ -19,15 +19,19 @@
     ['long ago', { priority: 'high' }, 200, false],
   ];
   for (const [name, change, askedAt, isExpected] of cases) {
-    const work = new AnticipatedWork(objectives);
-    work.noteSubmission(spec({ taskCount: 4, cpus: 2, ...change }), at(0));
+    const work = new DemandForecast(objectives);
+    work.recordSubmission(spec({ taskCount: 4, cpus: 2, ...change }), at(0));
     // The forecast is read before the reserve, which is not read while nothing waits: it drops old images itself.
-    const forecast = work.anticipated(1000, at(askedAt));
+    const forecast = work.anticipatedSubmissions(1000, at(askedAt));
     assert.deepEqual(
       forecast.map((submission) => submission.count),
       isExpected ? [4] : [],
       name,
     );
-    assert.equal(work.reserve(1000, at(askedAt)).get('img-01'), isExpected ? 16 : undefined, name);
+    assert.equal(
+      work.reservedCpus(1000, at(askedAt)).get('img-01'),
+      isExpected ? 16 : undefined,
+      name,
+    );
   }
 });
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -8,9 +8,12 @@
 import { workerLeaseEnd } from '../../src/fleet/worker-lease.js';
 import { attemptKey, toWorkerStatus } from '../../src/fleet/worker-status.js';
 import type { PlacementIndex } from '../../src/leader/placement-index.js';
-import { CommandSender, type CommandSenderDependencies } from '../../src/leader/command-sender.js';
-import { preparePush } from '../../src/leader/push-commands.js';
-import { ReplyCommands } from '../../src/leader/reply-commands.js';
+import {
+  DirectCommandSender,
+  type DirectCommandSenderDependencies,
+} from '../../src/leader/direct-command-sender.js';
+import { prepareDirectCommands } from '../../src/leader/direct-commands.js';
+import { ResponseCommands } from '../../src/leader/response-commands.js';
 import { Epoch, MachineId, SteadyMs, seconds } from '../../src/units/index.js';
 import { encodeHeartbeat, type Priority } from '../../src/wire/index.js';
 import { emptyFleet, placedTask, type PlacedTask } from '../support/fleet.js';
@@ -75,18 +78,18 @@
       },
     };
     const placements = { fleet, ledger: { jobs: new Map([[job.id, job]]) } };
-    const sender = new CommandSender(
+    const sender = new DirectCommandSender(
       epoch,
       placements as unknown as PlacementIndex,
       { observe: () => undefined },
-      deps as unknown as CommandSenderDependencies,
+      deps as unknown as DirectCommandSenderDependencies,
     );
     // The worker's own lease may have expired by now, and a new session have begun.
     await time.run(lease);
     const before = machine.leaseExpiresAt;
     assert.ok(clock.steady() <= before);
-    sender.isBusy = isBusy;
-    sender.schedulePush(id);
+    sender.isControllerBusy = isBusy;
+    sender.scheduleDirectCommands(id);
     await time.run(lease + 10);
     assert.equal(machine.status?.session, session, name);
     assert.equal(machine.status.sequence, replyStatus === 0 ? 9 : 12, name);
@@ -110,8 +113,8 @@
     if (isEvicted) placement.evictionGraceSeconds = 0;
     if (mayStillArrive) machine.pushedStarts.noteSent(attemptKey(key, placement.attempt));
     const ledger = { jobs: new Map([[job.id, job]]), finalState: () => undefined };
-    const replies = new ReplyCommands(ledger, { clock, settings });
-    const commands = replies.commandsForReply(machine, toWorkerStatus(heartbeat));
+    const replies = new ResponseCommands(ledger, { clock, settings });
+    const commands = replies.commandsForHeartbeat(machine, toWorkerStatus(heartbeat));
     assert.deepEqual(
       commands.map((command) => command.type),
       types,
@@ -165,7 +168,7 @@
     const task = placedTask(fleet, id, SteadyMs(0));
     change(task, machine);
     const jobs = new Map([[task.job.id, task.job]]);
-    const { commands, started } = preparePush(machine, jobs, mayStart);
+    const { commands, started } = prepareDirectCommands(machine, jobs, mayStart);
     const shown = commands.map((command) =>
       command.type === 'kill' ? `kill ${command.gracePeriodSeconds}` : command.type,
     );
@@ -174,6 +177,6 @@
     const isStart = expected.includes('launch');
     assert.deepEqual(started, isStart ? [attempt] : [], name);
     assert.equal(machine.pushedStarts.isUnacknowledged(attempt), isStart, name);
-    assert.deepEqual(preparePush(machine, jobs, mayStart).commands, [], `${name}: once`);
+    assert.deepEqual(prepareDirectCommands(machine, jobs, mayStart).commands, [], `${name}: once`);
   }
 });
--- a/test/unit/gangs.test.ts
+++ b/test/unit/gangs.test.ts
@@ -3,15 +3,15 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import {
-  nextAction,
-  phaseOf,
+  nextGangAction,
+  gangPhase,
   type GangAction,
   type GangPhase,
   type GangTask,
   type GangState,
 } from '../../src/leader/gang-lifecycle.js';
 import { PlacementIndex } from '../../src/leader/placement-index.js';
-import { GangController } from '../../src/leader/gang-controller.js';
+import { GangManager } from '../../src/leader/gang-manager.js';
 import { Job } from '../../src/ledger/job.js';
 import type { Ledger } from '../../src/ledger/ledger.js';
 import {
@@ -31,12 +31,12 @@
   isReported: true,
   isRunning: true,
   isStopping: false,
-  reclaimIn: undefined,
+  timeToReclaim: undefined,
   isReachable: true,
 };
-const gathering: GangTask = { ...running, isRunning: false };
-const placed: GangTask = { ...gathering, isReported: false };
-const leaving = (inMs: number): GangTask => ({ ...running, reclaimIn: ms(inMs) });
+const starting: GangTask = { ...running, isRunning: false };
+const placed: GangTask = { ...starting, isReported: false };
+const leaving = (inMs: number): GangTask => ({ ...running, timeToReclaim: ms(inMs) });
 
 /** A gang of three tasks that takes three seconds to save a checkpoint. */
 const gang = (tasks: readonly GangTask[], change: Partial<GangState> = {}): GangState => ({
@@ -44,28 +44,28 @@
   waitingCount: 3 - tasks.length,
   doneCount: 0,
   tasks,
-  checkpointTime: seconds(3),
+  checkpointDuration: seconds(3),
   ...change,
 });
 
 void test('the phase of a gang and the action that follows from the states of its tasks', () => {
   const cases: [name: string, state: GangState, phase: GangPhase, action: GangAction][] = [
     ['no task is placed', gang([]), 'waiting', 'none'],
-    ['not all reported', gang([placed, gathering, gathering]), 'placed', 'none'],
+    ['not all reported', gang([placed, starting, starting]), 'placed', 'none'],
     [
       'one has not started, for want of its image',
-      gang([gathering, gathering, running]),
-      'gathering',
+      gang([starting, starting, running]),
+      'starting',
       'none',
     ],
     ['all run', gang([running, running, running]), 'running', 'none'],
-    ['lost a task before it ran', gang([gathering, placed]), 'stopping', 'endAttempt'],
-    ['lost a task while running', gang([running, running]), 'stopping', 'endAttempt'],
+    ['lost a task before it ran', gang([starting, placed]), 'stopping', 'stopAttempt'],
+    ['lost a task while running', gang([running, running]), 'stopping', 'stopAttempt'],
     [
       'lost a task while saving',
       gang([{ ...running, isStopping: true }, running]),
       'stopping',
-      'endAttempt',
+      'stopAttempt',
     ],
     ['being saved', gang([running, running, { ...running, isStopping: true }]), 'stopping', 'none'],
     [
@@ -78,12 +78,12 @@
       'a machine is reclaimed soon',
       gang([running, leaving(5500), running]),
       'running',
-      'saveAndStop',
+      'checkpointAndStop',
     ],
     ['too soon to save', gang([running, leaving(2500), running]), 'running', 'none'],
     [
       'it has no checkpoints',
-      gang([running, leaving(5500), running], { checkpointTime: undefined }),
+      gang([running, leaving(5500), running], { checkpointDuration: undefined }),
       'running',
       'none',
     ],
@@ -108,8 +108,8 @@
     ['all are done', gang([], { doneCount: 3, waitingCount: 0 }), 'done', 'none'],
   ];
   for (const [name, state, phase, action] of cases) {
-    assert.equal(phaseOf(state), phase, name);
-    assert.equal(nextAction(state), action, name);
+    assert.equal(gangPhase(state), phase, name);
+    assert.equal(nextGangAction(state), action, name);
   }
 });
 
@@ -137,9 +137,12 @@
     log: pino({ level: 'silent' }),
     events: { onCapacityChanged: () => undefined, onGangBroken: () => undefined },
   });
-  const unreachable = { canReach: () => false, schedulePush: () => assert.fail('stops a task') };
-  const gangs = new GangController(placements, unreachable, clock);
-  gangs.noteBroken(job);
+  const unreachable = {
+    canSendTo: () => false,
+    scheduleDirectCommands: () => assert.fail('stops a task'),
+  };
+  const gangs = new GangManager(placements, unreachable, clock);
+  gangs.onGangBroken(job);
   const wasSettledAtOnce = job.isSettled;
   await time.run(1);
   assert.equal(wasSettledAtOnce, false, 'it is reviewed in a later turn');
--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -69,7 +69,7 @@
       lease: settings.workers.lease,
       placements,
       observer: new StatusReconciler(epoch, placements, { clock, log: pino({ level: 'silent' }) }),
-      replies: { commandsForReply: () => [] },
+      replies: { commandsForHeartbeat: () => [] },
       onMachineUp: () => undefined,
     });
   }
--- a/test/unit/placing-loop.test.ts
+++ b/test/unit/placing-loop.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import { PlacingLoop } from '../../src/leader/placing-loop.js';
+import { PlacementLoop } from '../../src/leader/placement-loop.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 /** A loop whose rounds take so many milliseconds, and the times at which they began. */
@@ -10,7 +10,7 @@
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const startedAt: number[] = [];
-  const loop = new PlacingLoop(clock, pino({ level: 'silent' }), () => {
+  const loop = new PlacementLoop(clock, pino({ level: 'silent' }), () => {
     startedAt.push(time.now);
     time.now += roundTakes(startedAt.length);
   });
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -1,7 +1,7 @@
 /** Which heartbeats a leader answers, and when it sends workers to other nodes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { shouldRedirectWorkers } from '../../src/leader/worker-redirects.js';
+import { shouldRedirectWorkers } from '../../src/leader/worker-redirection.js';
 import { MAX_FRAME_BYTES } from '../../src/peer/framing.js';
 import { encodeResponse } from '../../src/peer/codec.js';
 import { NodeId, seconds } from '../../src/units/index.js';
