--- a/src/leader/direct-command-sender.ts
+++ b/src/leader/direct-command-sender.ts
@@ -1,4 +1,4 @@
-/** Pushes commands to workers where they should not wait for the reply to the next heartbeat. */
+/** Sends commands to workers directly when they should not wait for the response to the next heartbeat. */
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey, type StatusSource, type WorkerStatus } from '../fleet/worker-status.js';
 import type { Job } from '../ledger/job.js';
@@ -22,27 +22,30 @@
   type WorkerRequestDependencies,
 } from './worker-request-sender.js';
 
-/** After an unanswered push, commands go to the machine only in replies for this long. */
-const PUSH_PAUSE = seconds(8);
+/** After a request without a response, commands go to the machine only in heartbeat responses for this long. */
+const DIRECT_COMMAND_PAUSE = seconds(8);
 
-/** Reconciles placements with the statuses that replies to commands carry. */
+/** Reconciles placements with the worker statuses that arrive in heartbeats and in responses to direct commands. */
 export interface StatusObserver {
-  /** The status has been recorded as the machine's newest one. */
+  /** Called after the status has been recorded as the machine's latest one. */
   observe(machine: Machine, status: WorkerStatus, source: StatusSource): void;
 }
 
-/** What the sender needs from outside. */
+/** Dependencies of the sender. */
 export type DirectCommandSenderDependencies = WorkerRequestDependencies &
   Pick<TermDependencies, 'authority'>;
 
-/** Pushes to machines under one epoch, and probes those that seem not to receive. */
+/** Sends direct commands to machines under one epoch, and probes machines that seem not to receive messages. */
 export class DirectCommandSender {
-  /** Machines with a push to be made, in the order in which it was asked for. */
-  private readonly pendingPushes = new Set<Machine>();
-  private pushScheduled = false;
-  private readonly calls: WorkerRequestSender;
-  private readonly probe: MachineProber;
-  /** Set while this process is behind: starts then go in replies, where each costs less than in a push. */
+  /** Machines that may have commands to be sent, in the order in which sending was requested. */
+  private readonly pendingMachines = new Set<Machine>();
+  private isSendScheduled = false;
+  private readonly requestSender: WorkerRequestSender;
+  private readonly prober: MachineProber;
+  /**
+   * Set while this controller falls behind. Start commands then go in heartbeat responses only, where each costs less
+   * than in a direct request.
+   */
   isControllerBusy = false;
 
   constructor(
@@ -51,11 +54,11 @@
     private readonly observer: StatusObserver,
     private readonly deps: DirectCommandSenderDependencies,
   ) {
-    this.calls = new WorkerRequestSender(epoch, placements.fleet, deps, {
+    this.requestSender = new WorkerRequestSender(epoch, placements.fleet, deps, {
       onRequestEnded: (machine) => this.scheduleDirectCommands(machine.id),
     });
-    this.probe = new MachineProber({
-      calls: this.calls,
+    this.prober = new MachineProber({
+      requestSender: this.requestSender,
       jobs: this.jobs,
       observer,
       deps,
@@ -64,7 +67,7 @@
   }
 
   close(): void {
-    this.calls.close();
+    this.requestSender.close();
   }
 
   private get jobs(): ReadonlyMap<JobId, Job> {
@@ -75,71 +78,84 @@
     return this.deps.authority() === this.epoch;
   }
 
-  /** Pushes what is due for a machine at the end of this turn, together with that for other machines. */
+  /** Sends the machine's due commands in the next turn of the event loop, together with those for other machines. */
   scheduleDirectCommands(id: MachineId): void {
     const machine = this.placements.fleet.machines.get(id);
     if (!machine) return;
-    this.pendingPushes.add(machine);
-    if (this.pushScheduled) return;
-    this.pushScheduled = true;
+    this.pendingMachines.add(machine);
+    if (this.isSendScheduled) return;
+    this.isSendScheduled = true;
     this.deps.clock.after(ms(0), () => {
-      this.pushScheduled = false;
-      this.pushPending();
+      this.isSendScheduled = false;
+      this.sendPending();
     });
   }
 
-  /** Machines for which no socket is free stay pending; the replies to their heartbeats carry the commands too. */
-  private pushPending(): void {
-    for (const machine of this.pendingPushes) {
-      if (!this.calls.hasFreeSocket) return;
-      this.pendingPushes.delete(machine);
+  /** Machines for which no socket is free stay pending; the responses to their heartbeats carry the commands too. */
+  private sendPending(): void {
+    for (const machine of this.pendingMachines) {
+      if (!this.requestSender.hasFreeSocket) return;
+      this.pendingMachines.delete(machine);
       if (machine.commandInFlight || !this.canSendTo(machine)) continue;
-      const push = prepareDirectCommands(machine, this.jobs, !this.isControllerBusy);
-      if (push.commands.length > 0) this.calls.start(machine, () => this.push(machine, push));
+      const batch = prepareDirectCommands(machine, this.jobs, !this.isControllerBusy);
+      if (batch.commands.length > 0)
+        this.requestSender.startExchange(machine, () => this.sendBatch(machine, batch));
     }
   }
 
-  /** Whether a command can be pushed to a machine now, or as soon as the one in flight is answered. */
+  /** Whether a command can be sent to a machine now, or as soon as the request in flight has ended. */
   canSendTo(machine: Machine): boolean {
-    if (this.calls.isClosed || !machine.isUp || !machine.address || !machine.status) return false;
+    if (this.requestSender.isClosed || !machine.isUp || !machine.address || !machine.status)
+      return false;
     if (machine.deleteSent) return false;
     const now = this.deps.clock.steady();
     return now >= machine.commandsPausedUntil && now <= machine.leaseExpiresAt && this.hasAuthority;
   }
 
-  private async push(machine: Machine, { commands, started }: DirectCommands): Promise<void> {
+  private async sendBatch(
+    machine: Machine,
+    { commands, startedAttempts }: DirectCommands,
+  ): Promise<void> {
     const wasUnconfirmed = machine.isUnconfirmed(this.epoch);
     const timeout = wasUnconfirmed ? UNCONFIRMED_MACHINE_REQUEST_TIMEOUT : WORKER_REQUEST_TIMEOUT;
-    const { outcome, reason, status } = await this.calls.send(machine, commands, timeout);
-    if (this.calls.isClosed) return;
+    const { outcome, reason, status } = await this.requestSender.sendRequest(
+      machine,
+      commands,
+      timeout,
+    );
+    if (this.requestSender.isClosed) return;
     if (outcome === 'answered') {
-      // Executed or refused: either way nothing of it is in flight any more.
-      for (const attempt of started) machine.pushedStarts.noteAcknowledged(attempt);
-      if (status && this.calls.recordResponse(machine, status))
+      // The worker executed or refused the commands: none of them is in flight any more.
+      for (const attempt of startedAttempts) machine.pushedStarts.noteAcknowledged(attempt);
+      if (status && this.requestSender.recordResponse(machine, status))
         this.observer.observe(machine, status, 'commandReply');
       return;
     }
-    this.deps.log.info({ machine: machine.id, reason }, 'command not answered');
-    machine.commandsPausedUntil = later(this.deps.clock.steady(), PUSH_PAUSE);
+    this.deps.log.info(
+      { machine: machine.id, reason },
+      'worker did not respond to direct commands; sending them in heartbeat responses for now',
+    );
+    machine.commandsPausedUntil = later(this.deps.clock.steady(), DIRECT_COMMAND_PAUSE);
     if (outcome !== 'undelivered') return;
-    for (const attempt of started) machine.pushedStarts.noteUndelivered(attempt);
-    if (wasUnconfirmed && machine.isUnconfirmed(this.epoch)) this.requeueUnsent(machine, started);
+    for (const attempt of startedAttempts) machine.pushedStarts.noteUndelivered(attempt);
+    if (wasUnconfirmed && machine.isUnconfirmed(this.epoch))
+      this.requeueUnsentTasks(machine, startedAttempts);
   }
 
-  /** Starts that were never sent need no proof of absence. */
-  private requeueUnsent(machine: Machine, started: readonly string[]): void {
-    const unsent = new Set(started);
+  /** Requeues tasks whose start command was never sent: they need no proof of absence from the machine. */
+  private requeueUnsentTasks(machine: Machine, startedAttempts: readonly string[]): void {
+    const unsentAttempts = new Set(startedAttempts);
     for (const [key, assigned] of [...machine.assignments]) {
       const job = this.jobs.get(assigned.job);
       const placement = job?.placements.get(assigned.index);
       if (!job || !placement || placement.sentInReplyTo || placement.isReported) continue;
-      if (!unsent.has(attemptKey(key, assigned.attempt))) continue;
-      this.placements.requeueTask(job, assigned.index, 'its start was not sent');
+      if (!unsentAttempts.has(attemptKey(key, assigned.attempt))) continue;
+      this.placements.requeueTask(job, assigned.index, 'its start command was not sent');
     }
   }
 
-  /** Probes machines that seem not to receive, or of which only stale statuses arrive. */
+  /** Probes machines that seem not to receive messages, or from which only stale statuses arrive. */
   probeSilentMachines(machines: Iterable<Machine>, silenceThreshold: DurationMs): void {
-    this.probe.probeDueMachines(machines, silenceThreshold);
+    this.prober.probeDueMachines(machines, silenceThreshold);
   }
 }
--- a/src/leader/direct-commands.ts
+++ b/src/leader/direct-commands.ts
@@ -1,4 +1,4 @@
-/** The commands that are pushed to a machine, without waiting for its next heartbeat. */
+/** Chooses the commands that are sent to a machine directly, without waiting for its next heartbeat. */
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey } from '../fleet/worker-status.js';
 import type { Job, Placement } from '../ledger/job.js';
@@ -8,37 +8,37 @@
 import { MAX_COMMANDS_PER_MESSAGE } from './response-commands.js';
 import { killCommand, startCommand } from './task-commands.js';
 
-/** Commands for one machine. */
+/** Commands for one machine, sent in one request. */
 export interface DirectCommands {
   readonly commands: Command[];
-  /** The attempts, by `attemptKey`, whose start is among the commands. */
-  readonly started: string[];
+  /** Attempts, as `attemptKey`, whose start command is included. */
+  readonly startedAttempts: string[];
 }
 
 /**
- * Chooses the commands for a machine, and marks them as pushed in the placements.
+ * Chooses the commands for a machine, and marks them in the placements as sent directly.
  *
- * @param mayStart whether starts are pushed too, rather than left to the replies to heartbeats
+ * @param canSendStarts whether start commands are included, rather than left to the responses to heartbeats
  */
 export function prepareDirectCommands(
   machine: Machine,
   jobs: ReadonlyMap<JobId, Job>,
-  mayStart: boolean,
+  canSendStarts: boolean,
 ): DirectCommands {
-  const push: DirectCommands = { commands: [], started: [] };
-  const mayStartHere = mayStart && !machine.isDraining;
+  const batch: DirectCommands = { commands: [], startedAttempts: [] };
+  const canStartOnMachine = canSendStarts && !machine.isDraining;
   for (const [key, { job: id, index, attempt }] of machine.assignments) {
-    if (push.commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
+    if (batch.commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
     const job = jobs.get(id);
     const placement = job?.placements.get(index);
     if (!job || !placement || !isCommitted(job, placement)) continue;
-    if (isToBeStopped(job, placement)) addStop(push, key, attempt, job, placement);
-    else if (mayStartHere && isStartUnsent(placement)) {
+    if (isToBeStopped(job, placement)) addStop(batch, key, attempt, job, placement);
+    else if (canStartOnMachine && isStartUnsent(placement)) {
       placement.isStartPushed = true;
-      addStart(push, machine, key, attempt);
+      addStart(batch, machine, key, attempt);
     }
   }
-  return push;
+  return batch;
 }
 
 function addStop(
@@ -55,13 +55,13 @@
 }
 
 function addStart(
-  { commands, started }: DirectCommands,
+  { commands, startedAttempts }: DirectCommands,
   machine: Machine,
   key: TaskKey,
   attempt: number,
 ): void {
   const startedAttempt = attemptKey(key, attempt);
   machine.pushedStarts.noteSent(startedAttempt);
-  started.push(startedAttempt);
+  startedAttempts.push(startedAttempt);
   commands.push(startCommand(key, attempt));
 }
--- a/src/leader/image-hints.ts
+++ b/src/leader/image-hints.ts
@@ -8,21 +8,21 @@
 
 const HINT_INTERVAL = seconds(4);
 /** Everything is sent again this often, for a node that has just been started. */
-const FULL_INTERVAL = seconds(20);
+const FULL_HINT_INTERVAL = seconds(20);
 /** What was not sent again for so long is forgotten. */
-const FORGET_AFTER = ms(FULL_INTERVAL * 3);
+const HINT_LIFETIME = ms(FULL_HINT_INTERVAL * 3);
 /** About how many bytes of hints go into one message: a frame holds a little more than 64 KiB. */
-const MESSAGE_BYTES = 40 * 1024;
+const MAX_HINT_MESSAGE_BYTES = 40 * 1024;
 /** What a machine's id and one image take in a message beside their names. */
-const OVERHEAD_BYTES = 12;
+const ENTRY_OVERHEAD_BYTES = 12;
 
-const sizeOf = ({ images, machine }: MachineImages): number =>
+const encodedBytes = ({ images, machine }: MachineImages): number =>
   images.reduce(
-    (bytes, image) => bytes + image.name.length + OVERHEAD_BYTES,
-    machine.length + OVERHEAD_BYTES,
+    (bytes, image) => bytes + image.name.length + ENTRY_OVERHEAD_BYTES,
+    machine.length + ENTRY_OVERHEAD_BYTES,
   );
 
-const fingerprint = ({ images }: MachineImages): string =>
+const imageFingerprint = ({ images }: MachineImages): string =>
   images.map((image) => image.name).join(' ');
 
 /** Sends the other nodes what changed since the last message, and everything now and then. */
@@ -39,11 +39,11 @@
   sendIfDue(machines: Iterable<Machine>, now: SteadyMs): void {
     if (durationBetween(this.sentAt, now) < HINT_INTERVAL) return;
     this.sentAt = now;
-    const known: MachineImages[] = [];
+    const hintsByMachine: MachineImages[] = [];
     for (const machine of machines) {
-      if (machine.isUp) known.push({ machine: machine.id, images: machine.images.list() });
+      if (machine.isUp) hintsByMachine.push({ machine: machine.id, images: machine.images.list() });
     }
-    for (const message of this.nextMessages(known, now)) this.broadcast(message);
+    for (const message of this.nextMessages(hintsByMachine, now)) this.broadcast(message);
   }
 
   /** What there is to send now, in parts that each fit a message. */
@@ -51,20 +51,23 @@
     machines: readonly MachineImages[],
     now: SteadyMs,
   ): readonly (readonly MachineImages[])[] {
-    if (this.fullySentAt === undefined || durationBetween(this.fullySentAt, now) >= FULL_INTERVAL) {
+    if (
+      this.fullySentAt === undefined ||
+      durationBetween(this.fullySentAt, now) >= FULL_HINT_INTERVAL
+    ) {
       this.fullySentAt = now;
       this.sentFingerprints.clear();
     }
     const messages: MachineImages[][] = [];
     let freeBytes = 0;
     for (const machine of machines) {
-      const print = fingerprint(machine);
+      const print = imageFingerprint(machine);
       if (this.sentFingerprints.get(machine.machine) === print) continue;
       this.sentFingerprints.set(machine.machine, print);
-      const bytes = sizeOf(machine);
+      const bytes = encodedBytes(machine);
       if (freeBytes < bytes || messages.length === 0) {
         messages.push([]);
-        freeBytes = MESSAGE_BYTES;
+        freeBytes = MAX_HINT_MESSAGE_BYTES;
       }
       freeBytes -= bytes;
       messages.at(-1)?.push(machine);
@@ -81,7 +84,7 @@
   recordHints(machines: readonly MachineImages[], now: SteadyMs): void {
     for (const machine of machines) this.known.set(machine.machine, { machine, at: now });
     for (const [id, { at }] of this.known)
-      if (durationBetween(at, now) > FORGET_AFTER) this.known.delete(id);
+      if (durationBetween(at, now) > HINT_LIFETIME) this.known.delete(id);
   }
 
   /** The images that a machine probably holds, least recently used first; none if nothing is known. */
--- a/src/leader/machine-prober.ts
+++ b/src/leader/machine-prober.ts
@@ -1,4 +1,4 @@
-/** Probes of machines whose heartbeats arrive, but which seem not to receive anything, or repeat old messages. */
+/** Probes machines whose heartbeats arrive but which seem to receive no responses, or repeat old messages. */
 import type { Machine } from '../fleet/machine.js';
 import { workerLeaseEnd } from '../fleet/worker-lease.js';
 import { isAfter, type WorkerStatus } from '../fleet/worker-status.js';
@@ -17,39 +17,39 @@
   type WorkerRequestSender,
 } from './worker-request-sender.js';
 
-/** How often a machine is probed. */
+/** Minimum interval between probes of the same machine. */
 const PROBE_INTERVAL = seconds(4);
-/** How many probes start at a time. */
-const MAX_PROBES = 8;
+/** Maximum number of probes that start in one call of `probeDueMachines`. */
+const MAX_PROBES_PER_CALL = 8;
 
-/** What the probe uses. */
+/** Dependencies of the prober. */
 export interface MachineProberOptions {
-  readonly calls: WorkerRequestSender;
+  readonly requestSender: WorkerRequestSender;
   readonly jobs: ReadonlyMap<JobId, Job>;
   readonly observer: StatusObserver;
   readonly deps: Pick<TermDependencies, 'clock' | 'log' | 'settings'>;
-  /** Whether commands may be sent under the current epoch now. */
+  /** Whether this controller may send commands under its epoch at present. */
   readonly hasAuthority: () => boolean;
 }
 
-/** Calls machines without commands, just for their status. */
+/** Sends requests without commands to machines, in order to get their status. */
 export class MachineProber {
   constructor(private readonly options: MachineProberOptions) {}
 
   /**
-   * Probes the machines for which that is due.
+   * Probes the suspect machines for which a probe is due.
    *
-   * @param silenceThreshold after this time without a fresh heartbeat, a machine counts as silent
+   * @param silenceThreshold time without a fresh heartbeat after which a machine counts as silent
    */
   probeDueMachines(machines: Iterable<Machine>, silenceThreshold: DurationMs): void {
     const now = this.options.deps.clock.steady();
-    let probesLeft = MAX_PROBES;
+    let probesLeft = MAX_PROBES_PER_CALL;
     for (const machine of machines) {
       if (probesLeft <= 0) return;
       if (!isSuspect(machine, silenceThreshold, now) || !this.canProbe(machine, now)) continue;
       machine.probedAt = now;
       probesLeft--;
-      this.options.calls.start(machine, () => this.probe(machine));
+      this.options.requestSender.startExchange(machine, () => this.probe(machine));
     }
   }
 
@@ -62,24 +62,31 @@
   }
 
   private async probe(machine: Machine): Promise<void> {
-    const { calls, observer, deps } = this.options;
+    const { requestSender, observer, deps } = this.options;
     const statusBefore = machine.status;
-    const { status } = await calls.send(machine, [], UNCONFIRMED_MACHINE_REQUEST_TIMEOUT);
-    if (calls.isClosed || !status || !statusBefore) return;
+    const { status } = await requestSender.sendRequest(
+      machine,
+      [],
+      UNCONFIRMED_MACHINE_REQUEST_TIMEOUT,
+    );
+    if (requestSender.isClosed || !status || !statusBefore) return;
     const now = deps.clock.steady();
     machine.noteReceiving();
-    // The status was made after the call, so one that counts as older comes from a restarted machine.
+    // The worker created the status after the request, so a status that counts as older shows a machine restart.
     if (!isAfter(status, statusBefore)) this.recordRestart(machine, status, now);
-    else if (!calls.recordResponse(machine, status)) return;
+    else if (!requestSender.recordResponse(machine, status)) return;
     observer.observe(machine, status, 'commandReply');
   }
 
   private recordRestart(machine: Machine, status: WorkerStatus, now: SteadyMs): void {
     const { deps, jobs } = this.options;
-    deps.log.warn({ machine: machine.id }, 'machine numbers its messages from the start again');
+    deps.log.warn(
+      { machine: machine.id },
+      'machine has restarted and numbers its sessions or messages from the start; accepting its new status',
+    );
     machine.noteRestarted(status, now);
     machine.extendLease(workerLeaseEnd(now, deps.settings.workers.lease));
-    // Replies that carried starts went to the machine as it was before the restart.
+    // The responses that carried start commands went to the machine before its restart.
     for (const assigned of machine.assignments.values()) {
       const placement = jobs.get(assigned.job)?.placements.get(assigned.index);
       if (placement) delete placement.sentInReplyTo;
@@ -87,14 +94,14 @@
   }
 }
 
-/** Whether a machine seems not to receive, or only stale statuses of it arrive. */
+/** Whether a machine seems not to receive messages, or only stale statuses arrive from it. */
 function isSuspect(machine: Machine, silenceThreshold: DurationMs, now: SteadyMs): boolean {
   if (machine.notReceivingSince !== undefined) return true;
-  const { staleStatusAt, lastStatusAt: lastHeardAt } = machine;
+  const { staleStatusAt, lastStatusAt } = machine;
   return (
     staleStatusAt !== undefined &&
     durationBetween(staleStatusAt, now) < silenceThreshold &&
-    lastHeardAt !== undefined &&
-    durationBetween(lastHeardAt, now) > silenceThreshold / 2
+    lastStatusAt !== undefined &&
+    durationBetween(lastStatusAt, now) > silenceThreshold / 2
   );
 }
--- a/src/leader/periodic-work.ts
+++ b/src/leader/periodic-work.ts
@@ -18,7 +18,7 @@
 import { ImageHintSender } from './image-hints.js';
 import type { MachineLoss } from './machine-loss.js';
 import type { Scheduler } from './scheduler.js';
-import { shouldRedirectWorkers } from './worker-redirection.js';
+import { shouldRedirectWorkers } from './worker-redirects.js';
 
 const TICK_INTERVAL = ms(500);
 /** So much later than it was due, a tick shows that this process does not keep up. */
@@ -124,9 +124,9 @@
   private reviewRedirects(): void {
     const { workers, limits } = this.parts.deps.settings;
     this.isRedirectingWorkers = shouldRedirectWorkers(this.isRedirectingWorkers, {
-      machines: this.parts.fleet.machines.size,
+      machineCount: this.parts.fleet.machines.size,
       heartbeatInterval: workers.heartbeatInterval,
-      cpu: limits.cpu,
+      cpusPerController: limits.cpu,
     });
   }
 
--- a/src/leader/placement-loop.ts
+++ b/src/leader/placement-loop.ts
@@ -1,18 +1,18 @@
-/** Batches the events that ask for a placing round, and limits the share of time that placing takes. */
+/** Batches events that request a placement round, and limits the share of time spent on placement. */
 import type { Logger } from 'pino';
 import { ms, durationBetween, type Clock, type Timer } from '../units/index.js';
 
-/** Events within this delay lead to one placing round. It grows with the time that a round takes. */
+/** Events within this delay share one placement round. The delay grows with the duration of the last round. */
 const MIN_BATCH_DELAY = ms(5);
 const MAX_BATCH_DELAY = ms(150);
-/** Placing takes about this share of the time at most, up to the largest delay. */
-const MAX_PLACING_SHARE = 0.2;
+/** Approximate limit for the share of time spent on placement, enforced until the delay reaches its maximum. */
+const MAX_PLACEMENT_TIME_SHARE = 0.2;
 
-/** Runs placing rounds on request, one at a time. An error in a round is logged; later rounds still run. */
+/** Runs requested placement rounds one at a time. An error in a round is logged, and later rounds still run. */
 export class PlacementLoop {
   private batchDelay = MIN_BATCH_DELAY;
   private timer: Timer | undefined;
-  private closed = false;
+  private isClosed = false;
 
   constructor(
     private readonly clock: Clock,
@@ -20,18 +20,18 @@
     private readonly placeWaitingTasks: () => void,
   ) {}
 
-  /** Asks for a round after the batch delay, unless one is due already. */
+  /** Schedules a round after the batch delay, unless one is already scheduled. */
   schedule(): void {
-    if (this.timer || this.closed) return;
+    if (this.timer || this.isClosed) return;
     this.timer = this.clock.after(this.batchDelay, () => {
       this.timer = undefined;
-      if (!this.closed) this.runRound();
+      if (!this.isClosed) this.runRound();
     });
   }
 
-  /** No round begins after this. */
+  /** Cancels the scheduled round and prevents any further one. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.timer?.cancel();
     this.timer = undefined;
   }
@@ -41,11 +41,14 @@
     try {
       this.placeWaitingTasks();
     } catch (error) {
-      this.log.error({ err: error }, 'placing failed');
+      this.log.error(
+        { err: error },
+        'placement round failed; the next event or tick starts another one',
+      );
     }
     const duration = durationBetween(startedAt, this.clock.steady());
     this.batchDelay = ms(
-      Math.min(MAX_BATCH_DELAY, Math.max(MIN_BATCH_DELAY, duration / MAX_PLACING_SHARE)),
+      Math.min(MAX_BATCH_DELAY, Math.max(MIN_BATCH_DELAY, duration / MAX_PLACEMENT_TIME_SHARE)),
     );
   }
 }
--- a/src/leader/response-commands.ts
+++ b/src/leader/response-commands.ts
@@ -1,4 +1,4 @@
-/** The commands with which a heartbeat is answered. */
+/** Chooses the commands that the response to a heartbeat carries. */
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey, type WorkerStatus } from '../fleet/worker-status.js';
 import type { Job, Placement } from '../ledger/job.js';
@@ -10,13 +10,13 @@
 import { isCommitted, isToBeStopped, placementOfAttempt } from './placement-state.js';
 import { clearCommand, killCommand, startCommand } from './task-commands.js';
 
-/** No start is added to a message that has this many commands, so that it fits a response to a worker. */
+/** A message with this many commands gets no further start commands, so that it fits in a response to a worker. */
 export const MAX_COMMANDS_PER_MESSAGE = 300;
 
 /**
- * Compares a machine's status, after it has been reconciled with the placements, with what should run there.
- * Nothing of a reply is remembered but which heartbeat a start was sent in reply to: it is sent again with each
- * reply until a status shows the attempt.
+ * Compares a machine's status, after it has been reconciled with the placements, with the tasks that should run there.
+ * The only state kept about a response is which heartbeat a start command was a response to. The start command is
+ * repeated in every response until a status shows the attempt.
  */
 export class ResponseCommands {
   private readonly clearance: AttemptClearance;
@@ -28,27 +28,27 @@
     this.clearance = new AttemptClearance(ledger, deps);
   }
 
-  /** The commands for the worker that sent this status with a heartbeat. */
+  /** Builds the commands for the worker that sent this status with a heartbeat. */
   commandsForHeartbeat(machine: Machine, status: WorkerStatus): Command[] {
     const commands: Command[] = [];
     for (const task of status.tasks) {
-      const command = this.commandForReported(machine, task);
+      const command = this.commandForReportedTask(machine, task);
       if (command) commands.push(command);
     }
     this.addStarts(commands, machine, status);
     return commands;
   }
 
-  private commandForReported(machine: Machine, status: TaskStatus): Command | undefined {
+  private commandForReportedTask(machine: Machine, status: TaskStatus): Command | undefined {
     const { task, attempt, state } = status;
     const ref = parseTaskKey(task);
-    // Not a task of this service.
+    // The task was not started by this service.
     if (!ref) return state === TaskState.exited ? clearCommand(task, attempt) : undefined;
     const job = this.ledger.jobs.get(ref.job);
     const placement = placementOfAttempt(job, ref.index, machine.id, attempt);
     if (state === TaskState.exited) {
-      const isClear = !placement && this.clearance.mayClear(machine, status, ref, job);
-      return isClear ? clearCommand(task, attempt) : undefined;
+      const shouldClear = !placement && this.clearance.mayClear(machine, status, ref, job);
+      return shouldClear ? clearCommand(task, attempt) : undefined;
     }
     if (!placement || job?.isCancelled) return killCommand(task, attempt, 0);
     const { evictionGraceSeconds } = placement;
@@ -57,7 +57,7 @@
       : killCommand(task, attempt, evictionGraceSeconds);
   }
 
-  /** Adds the starts of assigned tasks that the status doesn't show. */
+  /** Adds start commands for assigned tasks that the status doesn't show. */
   private addStarts(commands: Command[], machine: Machine, status: WorkerStatus): void {
     for (const [key, assigned] of machine.assignments) {
       if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
@@ -66,7 +66,8 @@
       const attempt = attemptKey(key, assigned.attempt);
       if (!job || !placement || status.byAttempt.has(attempt)) continue;
       if (isToBeStopped(job, placement)) {
-        // A pushed start may still be delivered. Executed and stopped here, it has no effect then.
+        // A start command that was sent directly may still be delivered. Once the attempt has been started and stopped
+        // here, that delivery has no effect.
         if (machine.pushedStarts.isUnacknowledged(attempt))
           commands.push(startCommand(key, assigned.attempt), killCommand(key, assigned.attempt, 0));
       } else if (
@@ -80,6 +81,6 @@
   }
 }
 
-/** An inherited placement is not started but queued again once its task is proven absent. */
+/** A task of an inherited placement isn't started, but requeued once it is proven absent from the machine. */
 const isStartable = (job: Job, placement: Placement): boolean =>
   !placement.isInherited && isCommitted(job, placement);
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -1,4 +1,4 @@
-/** Decides where waiting tasks go, in placing rounds, and records the placements. */
+/** Runs placement rounds, which assign waiting tasks to machines, and records the placements. */
 import { silenceThreshold } from '../capacity/lost-machines.js';
 import type { Machine } from '../fleet/machine.js';
 import { compareQueueEntries, queueEntryFor, type QueueEntry } from '../ledger/queue-order.js';
@@ -13,32 +13,32 @@
 import { remainingQuotas } from './remaining-quotas.js';
 import { TaskRequestBuilder } from './task-request-builder.js';
 
-/** The most array tasks that one placing round commits, so that no transaction grows too large. */
+/** Maximum number of array tasks that one placement round commits, which bounds the size of transactions. */
 const MAX_PLACEMENTS_PER_ROUND = 400;
 
-/** Places the waiting tasks of all jobs on the machines of one term, and preempts for urgent ones. */
+/** Places the waiting tasks of all jobs during one term, and preempts tasks in favor of urgent ones. */
 export class Scheduler {
-  /** Recent submissions, for which capacity is kept on standby. */
+  /** Forecasts submissions for which capacity is kept on standby. */
   readonly forecast: DemandForecast;
-  /** Set once the term knows all live jobs: before that nothing is placed on request. */
+  /** Set once the term knows all live jobs. Until then, `schedulePlacement` has no effect. */
   isReady = false;
-  private readonly loop: PlacementLoop;
-  private readonly requests: TaskRequestBuilder;
+  private readonly placementLoop: PlacementLoop;
+  private readonly requestBuilder: TaskRequestBuilder;
   private readonly preemption: Preemption;
 
   constructor(
     private readonly epoch: Epoch,
     private readonly placements: PlacementIndex,
-    commands: DirectCommandScheduler,
+    directCommands: DirectCommandScheduler,
     private readonly deps: TermDependencies,
   ) {
     this.forecast = new DemandForecast(deps.settings.objectives);
-    this.loop = new PlacementLoop(deps.clock, deps.log, () => this.placeWaitingTasks());
-    this.requests = new TaskRequestBuilder(placements, deps.recordLimits, this.forecast);
-    this.preemption = new Preemption(placements, commands);
+    this.placementLoop = new PlacementLoop(deps.clock, deps.log, () => this.placeWaitingTasks());
+    this.requestBuilder = new TaskRequestBuilder(placements, deps.recordLimits, this.forecast);
+    this.preemption = new Preemption(placements, directCommands);
   }
 
-  /** A machine that has been silent for longer gets no new tasks. */
+  /** Machines without a heartbeat for longer than this get no new tasks. */
   get silenceThreshold(): DurationMs {
     return silenceThreshold(this.deps.settings.workers.heartbeatInterval);
   }
@@ -47,9 +47,9 @@
     return this.placements.fleet.machines;
   }
 
-  /** No placing round begins after this. */
+  /** Prevents any further placement round. */
   close(): void {
-    this.loop.close();
+    this.placementLoop.close();
   }
 
   /** Jobs with waiting tasks, most urgent first. */
@@ -64,7 +64,7 @@
     return queue.sort(compareQueueEntries);
   }
 
-  /** Capacity to have on standby for work that has not been submitted yet. */
+  /** Submissions that are expected soon, for which capacity is kept on standby. */
   anticipatedSubmissions(): AnticipatedSubmission[] {
     let cpus = 0;
     for (const machine of this.machines.values()) {
@@ -73,25 +73,33 @@
     return this.forecast.anticipatedSubmissions(cpus, this.deps.clock.steady());
   }
 
-  /** Asks for a placing round soon: events that follow shortly are handled by the same one. */
+  /** Requests a placement round soon; events that follow within a short delay share it. */
   schedulePlacement(): void {
-    if (this.isReady) this.loop.schedule();
+    if (this.isReady) this.placementLoop.schedule();
   }
 
-  /** Runs a placing round at once. */
+  /** Runs a placement round immediately. */
   placeWaitingTasks(): void {
     const queue = this.jobQueue();
     if (queue.length === 0) return;
     const now = this.deps.clock.steady();
-    const assignments = this.assign(queue, now);
+    const assignments = this.computeAssignments(queue, now);
     if (!assignments) return;
     if (assignments.length < MAX_PLACEMENTS_PER_ROUND)
-      this.preemption.preemptForUrgentJobs({ queue, assignments, quotas: this.quotas(), now });
-    for (const [id, tasks] of byJob(assignments)) this.applyAssignments(id, tasks, now);
+      this.preemption.preemptForUrgentJobs({
+        queue,
+        assignments,
+        quotas: this.currentQuotas(),
+        now,
+      });
+    for (const [id, tasks] of groupByJob(assignments)) this.applyAssignments(id, tasks, now);
   }
 
-  /** The placer's decisions, not applied yet; undefined if no machine can take tasks. */
-  private assign(queue: readonly QueueEntry[], now: SteadyMs): Assignment[] | undefined {
+  /** Computes assignments without applying them; undefined if no machine can take tasks. */
+  private computeAssignments(
+    queue: readonly QueueEntry[],
+    now: SteadyMs,
+  ): Assignment[] | undefined {
     const machines = candidateMachines(
       {
         fleet: this.placements.fleet,
@@ -102,23 +110,23 @@
       now,
     );
     if (machines.length === 0) return undefined;
-    const requests = queue.map((entry) => this.requests.build(entry, now));
+    const requests = queue.map((entry) => this.requestBuilder.build(entry, now));
     const fleetCpus = machines.reduce((sum, machine) => sum + machine.capacity.cpus, 0);
     return place({
       requests,
       machines,
-      quotas: this.quotas(),
+      quotas: this.currentQuotas(),
       maxAssignments: MAX_PLACEMENTS_PER_ROUND,
       reserve: this.forecast.reservedCpus(fleetCpus, now),
     });
   }
 
-  private quotas(): Map<string, RemainingQuota> {
+  private currentQuotas(): Map<string, RemainingQuota> {
     const { ledger, fleet } = this.placements;
     return remainingQuotas(this.deps.settings.teams.values(), ledger, fleet);
   }
 
-  /** Places the tasks of a job in its record. Their starts are sent once that is committed. */
+  /** Records the placements of a job's tasks. Start commands are sent once the record is committed. */
   private applyAssignments(id: JobId, tasks: readonly Assignment[], now: SteadyMs): void {
     const job = this.placements.ledger.jobs.get(id);
     if (!job) return;
@@ -134,11 +142,11 @@
       const firstMachine = tasks[0] && this.machines.get(tasks[0].machine);
       job.boundZone = firstMachine?.kind.zone;
     }
-    this.deps.log.debug({ job: id, tasks: tasks.length }, 'placed');
+    this.deps.log.debug({ job: id, tasks: tasks.length }, 'tasks placed');
   }
 }
 
-function byJob(assignments: readonly Assignment[]): Map<JobId, Assignment[]> {
+function groupByJob(assignments: readonly Assignment[]): Map<JobId, Assignment[]> {
   const jobs = new Map<JobId, Assignment[]>();
   for (const assignment of assignments) {
     const tasks = jobs.get(assignment.job) ?? [];
--- a/src/leader/task-commands.ts
+++ b/src/leader/task-commands.ts
@@ -1,7 +1,7 @@
-/** Commands to workers for one attempt of a task. */
+/** Builds commands to workers for one attempt of a task. */
 import type { KillCommand, PlainCommand } from '../wire/index.js';
 
-/** Starts the task. Repeats have no effect until the worker has forgotten the attempt. */
+/** Starts the task. Repeated commands have no effect until the worker has forgotten the attempt. */
 export const startCommand = (task: string, attempt: number): PlainCommand => ({
   type: 'launch',
   task,
@@ -15,7 +15,7 @@
   attempt,
 });
 
-/** Stops the task, which may save a checkpoint within the grace period. */
+/** Stops the task. It may save a checkpoint within the grace period. */
 export const killCommand = (
   task: string,
   attempt: number,
--- a/src/leader/worker-request-sender.ts
+++ b/src/leader/worker-request-sender.ts
@@ -1,4 +1,4 @@
-/** Calls to workers under the leader's epoch: how many at a time, on which way, and what their replies show. */
+/** Sends requests to workers under the leader's epoch: limits their number, picks the route, records the responses. */
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
 import { workerLeaseEnd } from '../fleet/worker-lease.js';
@@ -10,39 +10,40 @@
 import type { Command } from '../wire/index.js';
 import type { TermDependencies } from './dependencies.js';
 
-/** The timeout of a call to a worker whose machine this epoch has seen. */
+/** Timeout of a request to a worker that has been heard from in this epoch. */
 export const WORKER_REQUEST_TIMEOUT = ms(2500);
-/** The timeout where the machine may be long gone, known only from late copies of heartbeats. */
+/** Timeout if the machine may no longer exist, because it may be known only from delayed copies of heartbeats. */
 export const UNCONFIRMED_MACHINE_REQUEST_TIMEOUT = ms(1200);
-/** The share of a node's sockets that calls in flight may take, and the least number of them. */
-const MAX_SOCKET_SHARE = 0.08;
-const MIN_CALL_LIMIT = 4;
+/** Share of a controller's sockets that requests in flight may use. */
+const MAX_REQUEST_SOCKET_SHARE = 0.08;
+/** Number of requests that may be in flight however few sockets the controller has. */
+const MIN_REQUEST_LIMIT = 4;
 
-/** What the calls need from outside. */
+/** Dependencies of the sender. */
 export type WorkerRequestDependencies = Pick<
   TermDependencies,
   'clock' | 'http' | 'log' | 'peers' | 'settings'
 >;
 
-/** Is notified of each call. */
+/** Receives the events of requests. */
 export interface WorkerRequestListener {
-  /** The call has ended, and a socket is free again. */
+  /** The request has ended, and its socket is free again. */
   onRequestEnded(machine: Machine): void;
 }
 
-/** The result of a call. */
+/** The result of a request. */
 export interface WorkerRequestResult {
   readonly outcome: CommandOutcome;
-  /** What went wrong; empty if the worker answered. */
+  /** Cause of the failure; empty if the worker responded. */
   readonly reason: string;
-  /** The machine's status after the commands; undefined without a valid reply. */
+  /** The machine's status after the commands; undefined without a valid response. */
   readonly status: WorkerStatus | undefined;
 }
 
-/** Makes calls to workers, one at a time for each machine. */
+/** Sends requests to workers, one at a time for each machine. */
 export class WorkerRequestSender {
-  private inFlight = 0;
-  private closed = false;
+  private requestsInFlight = 0;
+  private hasClosed = false;
 
   constructor(
     private readonly epoch: Epoch,
@@ -52,38 +53,43 @@
   ) {}
 
   close(): void {
-    this.closed = true;
+    this.hasClosed = true;
   }
 
-  /** Nothing may be concluded from replies that arrive from now on. */
+  /** Once hasClosed, responses that arrive must be ignored. */
   get isClosed(): boolean {
-    return this.closed;
+    return this.hasClosed;
   }
 
-  /** Whether calls in flight leave a socket for another one that need not be made at once. */
+  /** Whether the requests in flight leave a socket for another request that can wait. */
   get hasFreeSocket(): boolean {
     const { maxConnections } = this.deps.settings.limits;
-    return this.inFlight < Math.max(MIN_CALL_LIMIT, maxConnections * MAX_SOCKET_SHARE);
+    return (
+      this.requestsInFlight < Math.max(MIN_REQUEST_LIMIT, maxConnections * MAX_REQUEST_SOCKET_SHARE)
+    );
   }
 
-  /** Runs a call that counts against the limit; its failure is logged. */
-  start(machine: Machine, call: () => Promise<void>): void {
-    this.inFlight++;
+  /** Starts sending a request and handling its response. It counts against the limit, and its failure is logged. */
+  startExchange(machine: Machine, exchange: () => Promise<void>): void {
+    this.requestsInFlight++;
     machine.commandInFlight = true;
-    detach(this.run(machine, call), this.deps.log, 'follow-up of a command');
+    detach(this.runExchange(machine, exchange), this.deps.log, 'follow-up of a worker request');
   }
 
-  private async run(machine: Machine, call: () => Promise<void>): Promise<void> {
-    await call().catch((error: unknown) => {
-      this.deps.log.error({ err: error, machine: machine.id }, 'command failed');
+  private async runExchange(machine: Machine, exchange: () => Promise<void>): Promise<void> {
+    await exchange().catch((error: unknown) => {
+      this.deps.log.error(
+        { err: error, machine: machine.id },
+        'handling a worker request failed; heartbeat responses still carry the commands',
+      );
     });
-    this.inFlight--;
+    this.requestsInFlight--;
     machine.commandInFlight = false;
-    if (!this.closed) this.listener.onRequestEnded(machine);
+    if (!this.hasClosed) this.listener.onRequestEnded(machine);
   }
 
-  /** Sends commands directly, or through the node that relays the machine's heartbeats. */
-  async send(
+  /** Sends commands directly, or through the controller that relays the machine's heartbeats. */
+  async sendRequest(
     machine: Machine,
     commands: readonly Command[],
     timeout: DurationMs,
@@ -103,15 +109,15 @@
     const { outcome, reason, heartbeat } = peer?.responsive
       ? await callWorkerThrough(peer, request)
       : await callWorker(http, request);
-    // Another machine may have got the address; and one that is gone must not be brought back.
-    const isSound = heartbeat?.machine === machine.id && !this.fleet.isGone(machine.id);
-    return { outcome, reason, status: isSound ? toWorkerStatus(heartbeat) : undefined };
+    // Another machine may have been given the address, and a machine that is gone must not be added back.
+    const isUsable = heartbeat?.machine === machine.id && !this.fleet.isGone(machine.id);
+    return { outcome, reason, status: isUsable ? toWorkerStatus(heartbeat) : undefined };
   }
 
   /**
-   * Records the status in a reply; false if it is stale. It may be the first one of a new session, whose lease
-   * runs from its beginning although no heartbeat of it has been answered: until that lease has expired, nothing
-   * that is started there is gone, whenever the lease of the session before was to expire.
+   * Records the status in a response; returns false if it is stale. The status may be the first one of a new session,
+   * whose lease runs from the beginning of the session although none of its heartbeats has got a response. Tasks that
+   * are started there may run until that lease expires, whenever the lease of the previous session would have expired.
    */
   recordResponse(machine: Machine, status: WorkerStatus): boolean {
     const now = this.deps.clock.steady();
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -168,7 +168,7 @@
     const task = placedTask(fleet, id, SteadyMs(0));
     change(task, machine);
     const jobs = new Map([[task.job.id, task.job]]);
-    const { commands, started } = prepareDirectCommands(machine, jobs, mayStart);
+    const { commands, startedAttempts: started } = prepareDirectCommands(machine, jobs, mayStart);
     const shown = commands.map((command) =>
       command.type === 'kill' ? `kill ${command.gracePeriodSeconds}` : command.type,
     );
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -1,7 +1,7 @@
 /** Which heartbeats a leader answers, and when it sends workers to other nodes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { shouldRedirectWorkers } from '../../src/leader/worker-redirection.js';
+import { shouldRedirectWorkers } from '../../src/leader/worker-redirects.js';
 import { MAX_FRAME_BYTES } from '../../src/peer/framing.js';
 import { encodeResponse } from '../../src/peer/codec.js';
 import { NodeId, seconds } from '../../src/units/index.js';
@@ -81,7 +81,11 @@
     [50, 0.05, true, false],
   ];
   for (const [machines, cpu, before, redirects] of cases) {
-    const load = { machines, heartbeatInterval: seconds(3), cpu };
+    const load = {
+      machineCount: machines,
+      heartbeatInterval: seconds(3),
+      cpusPerController: cpu,
+    };
     assert.equal(shouldRedirectWorkers(before, load), redirects, `${machines}`);
   }
 });
