--- a/src/leader/candidate-machines.ts
+++ b/src/leader/candidate-machines.ts
@@ -6,12 +6,12 @@
 import type { CandidateMachine } from '../placer/placer.js';
 import { durationBetween, type DurationMs, type Epoch, type SteadyMs } from '../units/index.js';
 
-/** What the selection is made from. */
+/** Input of the selection. */
 export interface CandidateMachineSource {
   readonly fleet: Fleet;
   readonly catalog: MachineCatalog;
   readonly epoch: Epoch;
-  /** A machine that has not reported for longer gets no new tasks. */
+  /** Machines without a heartbeat for longer than this get no new tasks. */
   readonly silenceThreshold: DurationMs;
 }
 
@@ -22,20 +22,20 @@
 ): CandidateMachine[] {
   const candidates: CandidateMachine[] = [];
   for (const machine of fleet.machines.values()) {
-    if (!acceptsTasks(machine, now) || machine.isUnconfirmedWithFailedPush(epoch, now)) continue;
+    if (!canAcceptTasks(machine, now) || machine.isUnconfirmedWithFailedPush(epoch, now)) continue;
     if (
       machine.lastStatusAt === undefined ||
       durationBetween(machine.lastStatusAt, now) > silenceThreshold
     )
       continue;
-    const candidate = describe(machine, fleet, catalog);
+    const candidate = describeCandidate(machine, fleet, catalog);
     if (candidate) candidates.push(candidate);
   }
   return candidates;
 }
 
-/** Up, with a known address and status, and neither about to go nor in quarantine after failures. */
-const acceptsTasks = (machine: Machine, now: SteadyMs): boolean =>
+/** Whether a machine is up, has a known address and status, and is neither leaving nor quarantined after failures. */
+const canAcceptTasks = (machine: Machine, now: SteadyMs): boolean =>
   machine.isUp &&
   !machine.isDraining &&
   !machine.deleteSent &&
@@ -43,8 +43,8 @@
   Boolean(machine.address) &&
   machine.status !== undefined;
 
-/** Undefined if the size of the machine, or of a task on it, is not known: then nor is its free capacity. */
-function describe(
+/** Undefined if the size of the machine, or of a task on it, is unknown: its free capacity is then unknown too. */
+function describeCandidate(
   machine: Machine,
   fleet: Fleet,
   catalog: MachineCatalog,
--- a/src/leader/task-request-builder.ts
+++ b/src/leader/task-requests.ts
@@ -5,19 +5,19 @@
 import type { RecordLimits } from '../ledger/record-limits.js';
 import type { TaskRequest } from '../placer/placer.js';
 import { parseTaskKey, taskKey, type MachineId, type SteadyMs } from '../units/index.js';
-import type { DemandForecast } from './demand-forecast.js';
+import type { DemandForecast } from './anticipated-work.js';
 import type { PlacementIndex } from './placement-index.js';
 
-/** The zone of machines of which only a record is known, until they are listed or report. */
+/** Stands for the zone of a machine known only from a record, until the cloud lists it or it sends a heartbeat. */
 const UNKNOWN_ZONE = '';
 
-interface PlaceableLimits {
-  /** How many tasks to yield at most. */
+interface PlaceableTaskLimits {
+  /** Maximum number of tasks to yield. */
   readonly maxTasks: number;
-  /** How many tasks above the highest open one may be opened, so that the record of the job fits the store. */
-  readonly maxNewlyOpened: number;
-  /** The job has a constraint on the zones of its tasks. */
-  readonly hasZoneRule: boolean;
+  /** Maximum number of never-placed tasks to open, so that the job's record stays within the store's size limit. */
+  readonly maxNewOpenTasks: number;
+  /** Whether the job has a constraint on the zones of its tasks. */
+  readonly hasZoneConstraint: boolean;
 }
 
 /** Builds the placer's requests from queue entries. */
@@ -25,19 +25,23 @@
   constructor(
     private readonly placements: PlacementIndex,
     private readonly recordLimits: RecordLimits,
-    private readonly anticipatedWork: DemandForecast,
+    private readonly demandForecast: DemandForecast,
   ) {}
 
-  /** The request for the waiting tasks of one job. Its `waitingIndexes` can be iterated once. */
+  /** Builds the request for the waiting tasks of one job. Its `waitingIndexes` can be iterated only once. */
   build({ job, rank, taskCount, mustStart }: QueueEntry, now: SteadyMs): TaskRequest {
     const { spec } = job;
-    const hasZoneRule = spec.singleZone || spec.spreadZones;
-    const placedByZone = hasZoneRule ? this.placedByZone(job) : new Map<string, number>();
+    const hasZoneConstraint = spec.singleZone || spec.spreadZones;
+    const placedByZone = hasZoneConstraint ? this.placedByZone(job) : new Map<string, number>();
     const hasPlacements = job.placements.size > 0;
-    // The next attempt of a gang begins only when the one before is gone.
-    const isGangHeld = job.isGang && hasPlacements;
+    // The next attempt of a gang is placed only when no task of the previous one can be on a machine.
+    const isGangBlocked = job.isGang && hasPlacements;
     const count = job.isGang ? job.waiting.size : taskCount;
-    const limits = { maxTasks: count, maxNewlyOpened: this.maxNewlyOpened(job), hasZoneRule };
+    const limits = {
+      maxTasks: count,
+      maxNewOpenTasks: this.maxNewOpenTasks(job),
+      hasZoneConstraint,
+    };
     return {
       id: job.id,
       team: spec.team,
@@ -48,16 +52,16 @@
       requiredZone: spec.zone,
       allowSpot: spec.allowSpot,
       singleZone: spec.singleZone,
-      // While none of its tasks may be on a machine, the job is free to start in another zone.
+      // A job may start in another zone only while none of its tasks can be on a machine.
       boundZone: hasPlacements ? (job.boundZone ?? UNKNOWN_ZONE) : undefined,
       maxPerZone: maxPerZone(job, placedByZone),
       placedByZone,
-      waitingIndexes: isGangHeld ? [] : this.placeableTasks(job, limits),
-      taskCount: isGangHeld ? 0 : count,
+      waitingIndexes: isGangBlocked ? [] : this.placeableTasks(job, limits),
+      taskCount: isGangBlocked ? 0 : count,
       isGang: job.isGang,
       avoidedMachines: machinesToAvoid(job, now),
       isUrgent: isUrgent(spec.priority) || rank < 0,
-      usesReserve: this.anticipatedWork.isAnticipated(spec),
+      usesReserve: this.demandForecast.isAnticipated(spec),
       rank,
       mustStart,
     };
@@ -73,31 +77,31 @@
     return counts;
   }
 
-  private maxNewlyOpened(job: Job): number {
+  private maxNewOpenTasks(job: Job): number {
     const maxOpen = this.recordLimits.openTasks(job.spec, this.placements.fleet.longestOtherName);
     return Math.max(0, maxOpen - job.openTaskCount);
   }
 
   /**
-   * The waiting tasks that may start now. Tasks with an orphaned attempt are left out: it may still be on some machine.
-   * Whether there is one is looked up as the placer iterates, so nothing is done for a job that it does not reach.
+   * Yields the waiting tasks that may start now. Tasks with an orphaned attempt are omitted, because the attempt may still
+   * be on some machine. The lookup happens as the placer iterates, so jobs that the placer doesn't reach cost nothing.
    */
   private *placeableTasks(
     job: Job,
-    { maxTasks, maxNewlyOpened, hasZoneRule }: PlaceableLimits,
+    { maxTasks, maxNewOpenTasks, hasZoneConstraint }: PlaceableTaskLimits,
   ): IterableIterator<number> {
     const { fleet } = this.placements;
-    const tail = job.waiting.last();
-    const tailStart = tail?.[1] === job.spec.taskCount ? tail[0] : Infinity;
-    // An orphaned attempt counts for the zones too, but its zone is not known here; it is gone soon.
-    if (hasZoneRule && this.hasOrphanedTask(job)) return;
+    const lastRange = job.waiting.last();
+    const neverPlacedStart = lastRange?.[1] === job.spec.taskCount ? lastRange[0] : Infinity;
+    // An orphaned attempt counts toward the zone constraint too, but its zone is unknown here. It will soon be gone.
+    if (hasZoneConstraint && this.hasOrphanedTask(job)) return;
     let tasksLeft = maxTasks;
-    let newlyOpenedLeft = maxNewlyOpened;
+    let newOpenTasksLeft = maxNewOpenTasks;
     for (const index of job.waiting.indexes()) {
       if (tasksLeft <= 0) return;
       if (fleet.isOrphaned(taskKey(job.id, index))) continue;
-      // Only tasks of the tail, of which none was ever placed, make the record grow; the others are counted already.
-      if (index >= tailStart && newlyOpenedLeft-- <= 0) return;
+      // Only tasks of the last range, none of which was ever placed, make the record grow. The others are already counted.
+      if (index >= neverPlacedStart && newOpenTasksLeft-- <= 0) return;
       tasksLeft--;
       yield index;
     }
@@ -109,7 +113,7 @@
   }
 }
 
-/** Tasks on machines whose zone is not known yet may be in any zone, so they count against each. */
+/** Tasks on machines whose zone is still unknown may be in any zone, so they count against the limit of each. */
 function maxPerZone({ spec }: Job, placedByZone: ReadonlyMap<string, number>): number {
   if (!spec.spreadZones) return Infinity;
   return Math.ceil(spec.taskCount / 2) - (placedByZone.get(UNKNOWN_ZONE) ?? 0);
--- a/src/leader/worker-request-sender.ts
+++ b/src/leader/worker-calls.ts
@@ -15,7 +15,7 @@
 /** Timeout if the machine may no longer exist, because it may be known only from delayed copies of heartbeats. */
 export const UNCONFIRMED_MACHINE_REQUEST_TIMEOUT = ms(1200);
 /** Share of a controller's sockets that requests in flight may use. */
-const MAX_REQUEST_SOCKET_SHARE = 0.08;
+const MAX_SOCKET_SHARE = 0.08;
 /** Number of requests that may be in flight however few sockets the controller has. */
 const MIN_REQUEST_LIMIT = 4;
 
@@ -42,7 +42,7 @@
 
 /** Sends requests to workers, one at a time for each machine. */
 export class WorkerRequestSender {
-  private requestsInFlight = 0;
+  private inFlightCount = 0;
   private hasClosed = false;
 
   constructor(
@@ -64,14 +64,12 @@
   /** Whether the requests in flight leave a socket for another request that can wait. */
   get hasFreeSocket(): boolean {
     const { maxConnections } = this.deps.settings.limits;
-    return (
-      this.requestsInFlight < Math.max(MIN_REQUEST_LIMIT, maxConnections * MAX_REQUEST_SOCKET_SHARE)
-    );
+    return this.inFlightCount < Math.max(MIN_REQUEST_LIMIT, maxConnections * MAX_SOCKET_SHARE);
   }
 
   /** Starts sending a request and handling its response. It counts against the limit, and its failure is logged. */
   startExchange(machine: Machine, exchange: () => Promise<void>): void {
-    this.requestsInFlight++;
+    this.inFlightCount++;
     machine.commandInFlight = true;
     detach(this.runExchange(machine, exchange), this.deps.log, 'follow-up of a worker request');
   }
@@ -83,7 +81,7 @@
         'handling a worker request failed; heartbeat responses still carry the commands',
       );
     });
-    this.requestsInFlight--;
+    this.inFlightCount--;
     machine.commandInFlight = false;
     if (!this.hasClosed) this.listener.onRequestEnded(machine);
   }
