--- a/src/leader/anticipated-work.ts
+++ b/src/leader/anticipated-work.ts
@@ -1,6 +1,6 @@
 /**
- * Forecasts work that must start at once when it is submitted, so that capacity for it can be kept free. The forecast
- * is an exponential moving average of the processors that such submissions asked for, one for each image.
+ * Forecasts demand by jobs that should start as soon as they are submitted, so that capacity for them can be kept free.
+ * The forecast for each image is an exponential moving average of the CPUs that such submissions requested.
  */
 import type { Objective } from '../config/settings.js';
 import { isGang } from '../ledger/job.js';
@@ -9,91 +9,94 @@
 import { seconds, durationBetween, type SteadyMs } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
 
-/** Smoothing factor: the weight of the newest submission in the moving average. */
+/** Weight of the latest submission in the moving average. */
 const SMOOTHING_FACTOR = 0.2;
-/** The reserve that running machines keep, as a multiple of the average submission. */
-const RESERVE_FACTOR = 2;
-/** An image for which no such work was submitted for this long is not expected again. */
+/** Capacity kept free on running machines for an image, as a multiple of the average submission. */
+const RESERVED_SUBMISSIONS = 2;
+/** An image without an anticipated kind of submission for this long is dropped from the forecast. */
 const MAX_SUBMISSION_AGE = seconds(180);
-/** The largest share of the fleet's processors that is kept free for one image. */
-const MAX_RESERVE_SHARE = 0.1;
+/** Maximum share of the fleet's CPUs that is kept free for one image. */
+const MAX_RESERVED_FLEET_SHARE = 0.1;
 
 interface RecentSubmissions {
-  /** Of the newest submission: stands for the next one. */
+  /** Specification of the latest submission, by which the next one is predicted. */
   readonly spec: JobSpec;
-  /** Exponential moving average of the processors that a submission asked for. */
+  /** Exponential moving average of the CPUs that a submission requests. */
   readonly averageCpus: number;
   readonly lastSubmittedAt: SteadyMs;
 }
 
-/** A submission to be expected: so many tasks like those of `spec`. */
+/** An expected submission: `count` tasks like those of `spec`. */
 export interface AnticipatedSubmission {
   readonly spec: JobSpec;
   readonly count: number;
 }
 
 /**
- * Recent submissions of urgent jobs, and of gangs whose users wait for their start, by image.
+ * Tracks recent submissions by image. It counts those of urgent jobs, and of gangs in a job class with an objective on
+ * the time until the start.
  *
- * The first submission with an image sets the average of that image; each later one moves it by `SMOOTHING_FACTOR` of
- * the difference. An image is dropped when nothing was submitted with it for `MAX_SUBMISSION_AGE`.
+ * The first submission with an image sets the average of that image. Each later one moves it by `SMOOTHING_FACTOR` of
+ * the difference. An image is dropped when no counted submission has used it for `MAX_SUBMISSION_AGE`.
  */
 export class DemandForecast {
   private readonly recentByImage = new Map<string, RecentSubmissions>();
-  /** Job classes with an objective on the time until they start. */
-  private readonly awaitedClasses = new Set<string>();
+  /** Job classes with an objective on the time until the start. */
+  private readonly waitObjectiveClasses = new Set<string>();
 
   constructor(objectives: readonly Objective[]) {
     for (const { kind, jobClass } of objectives)
-      if (kind === 'wait' && jobClass !== undefined) this.awaitedClasses.add(jobClass);
+      if (kind === 'wait' && jobClass !== undefined) this.waitObjectiveClasses.add(jobClass);
   }
 
   /**
-   * Whether capacity is kept free for jobs like this one: urgent ones, and gangs whose users wait for their start.
-   * Other arrays start task by task in the capacity there is, which costs less than keeping some free for them.
+   * Whether capacity is kept free for jobs of this kind: urgent ones, and gangs with an objective on the time until the
+   * start. Other array jobs start task by task in the available capacity, which costs less than keeping capacity free.
    */
   isAnticipated(spec: JobSpec): boolean {
-    return isUrgent(spec.priority) || (isGang(spec) && this.awaitedClasses.has(spec.jobClass));
+    return (
+      isUrgent(spec.priority) || (isGang(spec) && this.waitObjectiveClasses.has(spec.jobClass))
+    );
   }
 
-  /** Takes a submission into the average of its image, if it is of the kind that is anticipated. */
+  /** Updates the average of the submission's image, if submissions of this kind are anticipated. */
   recordSubmission(spec: JobSpec, now: SteadyMs): void {
     if (!this.isAnticipated(spec)) return;
     const cpus = spec.taskCount * spec.cpus;
-    const recent = this.recentByImage.get(spec.image);
+    const previous = this.recentByImage.get(spec.image);
     this.recentByImage.set(spec.image, {
       spec,
-      averageCpus: recent
-        ? recent.averageCpus + SMOOTHING_FACTOR * (cpus - recent.averageCpus)
+      averageCpus: previous
+        ? previous.averageCpus + SMOOTHING_FACTOR * (cpus - previous.averageCpus)
         : cpus,
       lastSubmittedAt: now,
     });
   }
 
-  /** Processors to keep free on machines that hold each image, given those of the whole fleet. */
+  /** The CPUs to keep free for each image, on machines that hold it. `fleetCpus` are those of the whole fleet. */
   reservedCpus(fleetCpus: number, now: SteadyMs): ImageReserve {
-    this.dropOld(now);
-    const maxCpus = fleetCpus * MAX_RESERVE_SHARE;
+    this.dropOutdated(now);
+    const maxCpus = fleetCpus * MAX_RESERVED_FLEET_SHARE;
     return new Map(
       [...this.recentByImage].map(([image, { averageCpus }]) => [
         image,
-        Math.min(averageCpus * RESERVE_FACTOR, maxCpus),
+        Math.min(averageCpus * RESERVED_SUBMISSIONS, maxCpus),
       ]),
     );
   }
 
-  /** The next submission with each image, by which capacity is rented ahead. */
+  /** The next expected submission with each image, for which capacity is rented in advance. */
   anticipatedSubmissions(fleetCpus: number, now: SteadyMs): AnticipatedSubmission[] {
-    this.dropOld(now);
-    const maxCpus = fleetCpus * MAX_RESERVE_SHARE;
+    this.dropOutdated(now);
+    const maxCpus = fleetCpus * MAX_RESERVED_FLEET_SHARE;
     return [...this.recentByImage.values()].map(({ spec, averageCpus }) => ({
       spec,
       count: Math.ceil(Math.min(averageCpus, maxCpus) / spec.cpus),
     }));
   }
 
-  /** Called by each reader, so that idle machines are not paid for after such work has stopped coming. */
-  private dropOld(now: SteadyMs): void {
+  /** Drops outdated images. Each reader calls this, so that no idle machines are paid for once submissions stop. */
+  private dropOutdated(now: SteadyMs): void {
     for (const [image, { lastSubmittedAt }] of this.recentByImage) {
       if (durationBetween(lastSubmittedAt, now) > MAX_SUBMISSION_AGE)
         this.recentByImage.delete(image);
--- a/src/leader/gang-controller.ts
+++ b/src/leader/gang-controller.ts
@@ -17,8 +17,8 @@
 /** Carries out the actions that `nextGangAction` chooses for gangs. */
 export class GangManager {
   /**
-   * Gangs with a lost task, to be reviewed in the next turn of the event loop. The change in which the task was lost may
-   * be incomplete until then.
+   * Gangs with a lost task, to be reviewed in the next turn of the event loop. The change in which the task was lost
+   * may be incomplete until then.
    */
   private readonly brokenGangs = new Set<Job>();
 
--- a/src/leader/gang-lifecycle.ts
+++ b/src/leader/gang-lifecycle.ts
@@ -77,8 +77,8 @@
 }
 
 /**
- * Whether the gang should save a checkpoint now, because one of its machines is about to be reclaimed. The checkpoint is
- * saved as late as possible, since the gang makes progress until then and may complete. It fails unless all tasks
+ * Whether the gang should save a checkpoint now, because one of its machines is about to be reclaimed. The checkpoint
+ * is saved as late as possible, since the gang makes progress until then and may complete. It fails unless all tasks
  * take part, so it isn't attempted if one of the machines can't be reached.
  */
 function shouldCheckpoint({ tasks, checkpointDuration }: GangState): boolean {
--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -1,4 +1,4 @@
-/** Stops less urgent tasks that have only just started, where urgent ones find no capacity. */
+/** Stops less urgent tasks that started recently when urgent tasks find no capacity. */
 import type { Machine } from '../fleet/machine.js';
 import type { Job } from '../ledger/job.js';
 import { isUrgent, rankOf, type QueueEntry } from '../ledger/queue-order.js';
@@ -7,81 +7,83 @@
 import { JobKind } from '../wire/index.js';
 import { RECENT_START_WINDOW, type PlacementIndex, type RecentStart } from './placement-index.js';
 
-/** How many tasks are stopped in one placing round at most. */
+/** Maximum number of tasks that one placement round stops. */
 const MAX_PREEMPTIONS_PER_ROUND = 8;
 
-/** Sends a machine what was decided for it, without waiting for its next report. */
+/** Schedules direct commands to machines. */
 export interface DirectCommandScheduler {
+  /** Soon sends the machine the commands that are due for it, without waiting for its next heartbeat. */
   scheduleDirectCommands(machine: MachineId): void;
 }
 
-/** A placing round whose assignments are not applied yet. */
+/** A placement round whose assignments have not been applied yet. */
 export interface PlacementRound {
   readonly queue: readonly QueueEntry[];
   readonly assignments: readonly Assignment[];
-  /** Remaining quotas before the assignments. */
+  /** Remaining quotas, before the assignments are subtracted. */
   readonly quotas: ReadonlyMap<string, RemainingQuota>;
   readonly now: SteadyMs;
 }
 
 interface PreemptionCandidate extends RecentStart {
-  /** Whether the machine has the image of the job that is to run there instead. */
+  /** Whether the machine has the image of the job that would run there instead. */
   readonly machineHasImage: boolean;
-  /** How long the task has run, which is the work that is lost. */
-  readonly lostWork: DurationMs;
+  /** How long the task has run: the work that stopping it loses. */
+  readonly lostRunTime: DurationMs;
 }
 
 /**
- * Preempts running tasks for urgent jobs. Only tasks within `RECENT_START_WINDOW` of their start are stopped, so that
- * little work is lost. They wait again, behind the urgent ones in the queue.
+ * Preempts running tasks in favor of urgent jobs. Only tasks that started within `RECENT_START_WINDOW` are stopped, so
+ * that little work is lost. They are requeued behind the urgent ones.
  */
 export class Preemption {
   constructor(
     private readonly placements: PlacementIndex,
-    private readonly commands: DirectCommandScheduler,
+    private readonly directCommands: DirectCommandScheduler,
   ) {}
 
-  /** Stops tasks until enough processors are being freed for the urgent tasks that the round left waiting. */
+  /** Stops tasks until enough CPUs are being freed for the urgent tasks that the round leaves waiting. */
   preemptForUrgentJobs({ queue, assignments, quotas, now }: PlacementRound): void {
-    let budget = MAX_PREEMPTIONS_PER_ROUND;
+    let preemptionsLeft = MAX_PREEMPTIONS_PER_ROUND;
     for (const { job } of queue) {
-      if (budget <= 0) return;
+      if (preemptionsLeft <= 0) return;
       if (!isUrgent(job.spec.priority)) continue;
       const assigned = assignments.filter((assignment) => assignment.job === job.id).length;
       const unplaced = job.waiting.size - assigned;
       let missingCpus = unplaced * job.spec.cpus - this.placements.cpusBeingFreed;
       if (unplaced <= 0 || missingCpus <= 0) continue;
-      // Freed capacity would not help a team that has used up its quota.
+      // Freed capacity doesn't help a team that has used up its quota.
       const quota = quotas.get(job.spec.team);
       if (quota && quota.cpus < job.spec.cpus) continue;
       for (const candidate of this.candidates(job, now)) {
-        if (missingCpus <= 0 || budget <= 0) break;
+        if (missingCpus <= 0 || preemptionsLeft <= 0) break;
         missingCpus -= candidate.job.spec.cpus;
-        budget--;
+        preemptionsLeft--;
         this.placements.preempt(candidate.job, candidate.index, candidate.placement);
-        this.commands.scheduleDirectCommands(candidate.placement.machine);
+        this.directCommands.scheduleDirectCommands(candidate.placement.machine);
       }
     }
   }
 
-  /** Tasks that may be stopped for a job: on machines with its image first, then those that lose least work. */
+  /** Tasks that may be stopped for a job: those on machines with its image first, then by least lost work. */
   private candidates(job: Job, now: SteadyMs): PreemptionCandidate[] {
     const candidates: PreemptionCandidate[] = [];
     for (const start of this.placements.startedRecently(now)) {
       if (!isPreemptibleFor(job, start)) continue;
-      const lostWork = durationBetween(start.startedAt, now);
+      const lostRunTime = durationBetween(start.startedAt, now);
       const machine = this.placements.fleet.machines.get(start.placement.machine);
-      if (!machine || lostWork > RECENT_START_WINDOW || !canRunOn(job, machine)) continue;
+      if (!machine || lostRunTime > RECENT_START_WINDOW || !canRunOn(job, machine)) continue;
       if (!this.isStillPlaced(start)) continue;
       const machineHasImage = machine.images.has(job.spec.image);
-      candidates.push({ ...start, lostWork, machineHasImage });
+      candidates.push({ ...start, lostRunTime, machineHasImage });
     }
     return candidates.sort(
-      (a, b) => Number(b.machineHasImage) - Number(a.machineHasImage) || a.lostWork - b.lostWork,
+      (a, b) =>
+        Number(b.machineHasImage) - Number(a.machineHasImage) || a.lostRunTime - b.lostRunTime,
     );
   }
 
-  /** The task may have ended, or have been taken off its machine, since it started. */
+  /** Whether the task is still placed: since its start it may have ended, or its placement may have been removed. */
   private isStillPlaced({ job, index, placement }: RecentStart): boolean {
     return (
       this.placements.ledger.jobs.get(job.id) === job && job.placements.get(index) === placement
@@ -89,7 +91,7 @@
   }
 }
 
-/** Only array tasks of less urgent jobs, unless they are being stopped already. */
+/** Whether the task belongs to an array job that is less urgent than `job`, and isn't already being stopped. */
 function isPreemptibleFor(job: Job, { job: other, placement }: RecentStart): boolean {
   return (
     rankOf(other.spec.priority) > rankOf(job.spec.priority) &&
--- a/src/leader/remaining-quotas.ts
+++ b/src/leader/remaining-quotas.ts
@@ -1,4 +1,4 @@
-/** Works out what each team may still start under its quota. */
+/** Computes how much of its quota each team has left for new tasks. */
 import type { Team } from '../config/settings.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Ledger } from '../ledger/ledger.js';
@@ -7,8 +7,8 @@
 import type { JobSpec } from '../wire/index.js';
 
 /**
- * The remaining quota of each limited team; teams without a limit have no entry. All tasks that may be on machines
- * count: those placed by record, and orphaned ones, which no placement accounts for.
+ * Computes the remaining quota of each limited team; teams without a limit have no entry. All tasks that may be on
+ * machines count: those with a recorded placement, and orphaned ones, which have none.
  */
 export function remainingQuotas(
   teams: Iterable<Team>,
@@ -22,12 +22,12 @@
     const id = parseTaskKey(key)?.job ?? JobId('');
     const spec = ledger.jobs.get(id)?.spec;
     if (spec) subtractTasks(quotas, spec, machines.size);
-    else exhaust(quotas, ledger.finalState(id)?.team);
+    else exhaustQuota(quotas, ledger.finalState(id)?.team);
   }
   return quotas;
 }
 
-/** A limit of 0 or less in the settings means no limit. */
+/** The quotas of all limited teams before any use. A limit of 0 or less in the settings means no limit. */
 function fullQuotas(teams: Iterable<Team>): Map<string, RemainingQuota> {
   const quotas = new Map<string, RemainingQuota>();
   for (const { name, maxCpus, maxGpus } of teams) {
@@ -43,19 +43,20 @@
 function subtractTasks(
   quotas: ReadonlyMap<string, RemainingQuota>,
   spec: JobSpec,
-  tasks: number,
+  taskCount: number,
 ): void {
   const quota = quotas.get(spec.team);
   if (!quota) return;
-  quota.cpus -= tasks * spec.cpus;
-  quota.gpus -= tasks * spec.gpus;
+  quota.cpus -= taskCount * spec.cpus;
+  quota.gpus -= taskCount * spec.gpus;
 }
 
 /**
- * The task size of a job that is over is not known any more. Until its orphaned task is gone, its team, or if that is
- * not known either every team, may start nothing: otherwise it could exceed its quota.
+ * Leaves a team without any quota. This is needed for an orphaned task of a finished job, because the size of the task
+ * is no longer known. Until the task is gone, its team must not start anything, since it could exceed its quota. If the
+ * team is unknown too, this applies to every team.
  */
-function exhaust(quotas: ReadonlyMap<string, RemainingQuota>, team: string | undefined): void {
+function exhaustQuota(quotas: ReadonlyMap<string, RemainingQuota>, team: string | undefined): void {
   for (const [name, quota] of quotas) {
     if (team !== undefined && team !== name) continue;
     quota.cpus = Math.min(0, quota.cpus);
--- a/src/leader/task-requests.ts
+++ b/src/leader/task-requests.ts
@@ -83,8 +83,9 @@
   }
 
   /**
-   * Yields the waiting tasks that may start now. Tasks with an orphaned attempt are omitted, because the attempt may still
-   * be on some machine. The lookup happens as the placer iterates, so jobs that the placer doesn't reach cost nothing.
+   * Yields the waiting tasks that may start now. Tasks with an orphaned attempt are omitted, because the attempt may
+   * still be on some machine. The lookup happens as the placer iterates, so jobs that the placer doesn't reach cost
+   * nothing.
    */
   private *placeableTasks(
     job: Job,
@@ -100,7 +101,8 @@
     for (const index of job.waiting.indexes()) {
       if (tasksLeft <= 0) return;
       if (fleet.isOrphaned(taskKey(job.id, index))) continue;
-      // Only tasks of the last range, none of which was ever placed, make the record grow. The others are already counted.
+      // Only tasks of the last range, none of which was ever placed, make the record grow. The others are already
+      // counted.
       if (index >= neverPlacedStart && newOpenTasksLeft-- <= 0) return;
       tasksLeft--;
       yield index;
