--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,11 +1,11 @@
-/** What `npm run lint` holds every file to. Reasons stand beside each option that departs from a plugin's own. */
+/** Lint rules for all files. A comment gives the reason for each option that differs from a plugin's default. */
 import js from '@eslint/js';
 import { defineConfig } from 'eslint/config';
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 import topazpin from './tools/eslint-rules.mjs';
 
-/** The packages of `src`, lowest first: each may import only those before it. */
+/** The packages in `src`, lowest layer first. Each may import only packages that precede it. */
 const PACKAGES = [
   'units',
   'wire',
@@ -24,7 +24,7 @@
   'cli',
 ];
 
-const importsOneWay = PACKAGES.map((name, i) => ({
+const layeredImports = PACKAGES.map((name, i) => ({
   files: [`src/${name}/**/*.ts`],
   rules: {
     'no-restricted-imports': [
@@ -41,32 +41,32 @@
   },
 }));
 
-const COUNTED = { skipBlankLines: true, skipComments: true };
+const LINE_COUNT_OPTIONS = { skipBlankLines: true, skipComments: true };
 
-/** The limits of size, by the files that they are for. */
+/** Size and complexity limits by file pattern. */
 export const LIMITS = [
   {
     files: ['src/**/*.ts'],
     values: { complexity: 12, 'max-lines': 300, 'max-lines-per-function': 50 },
   },
   {
-    // Tables of cases are long, and are read from top to bottom.
+    // Tables of test cases are long, but are read from top to bottom.
     files: ['test/**/*.ts', 'tools/**', 'eslint.config.js'],
     values: { complexity: 12, 'max-lines': 400, 'max-lines-per-function': 150 },
   },
 ];
 
-/** Limits of size, as entries of `rules`. */
+/** Converts limits to entries of `rules`. */
 export const limits = (values) =>
   Object.fromEntries(
     Object.entries(values).map(([rule, max]) => [
       rule,
-      ['error', rule === 'complexity' ? { max } : { max, ...COUNTED }],
+      ['error', rule === 'complexity' ? { max } : { max, ...LINE_COUNT_OPTIONS }],
     ]),
   );
 
-/** Every export has a doc comment, every file one at its head. */
-const documented = {
+/** Requires a doc comment on every export and at the top of every file. */
+const documentationRules = {
   plugins: { jsdoc, topazpin },
   rules: {
     'topazpin/module-comment': 'error',
@@ -74,16 +74,16 @@
       'error',
       {
         publicOnly: { esm: true, cjs: false, window: false },
-        // The fixer would write empty comments.
+        // The fixer would insert empty comments.
         enableFixer: false,
-        // Methods: the names say enough in most of them, and the class has its comment.
+        // Most method names are self-explanatory, and the class has a comment.
         require: { ClassDeclaration: true, FunctionDeclaration: true, MethodDefinition: false },
         contexts: [
           'TSInterfaceDeclaration',
-          // A type that is derived from the value of its name has the comment of that value.
+          // A type derived from the value of the same name is documented by the comment of that value.
           'TSTypeAliasDeclaration:not([typeAnnotation.type="TSIndexedAccessType"]):not([typeAnnotation.typeName.right.name="infer"])',
           'TSEnumDeclaration',
-          // Likewise the function of a brand's name, which only casts: the type has the comment.
+          // Likewise, a function that only casts to the branded type of its name is documented by that type.
           'ExportNamedDeclaration > VariableDeclaration:not(:has(> VariableDeclarator[id.name=/^[A-Z][a-z]/][init.type="ArrowFunctionExpression"]))',
         ],
       },
@@ -98,7 +98,7 @@
   { ignores: ['target/', 'node_modules/', 'journal/'] },
   { linterOptions: { reportUnusedDisableDirectives: 'error' } },
   js.configs.recommended,
-  documented,
+  documentationRules,
   {
     files: ['**/*.ts'],
     extends: [tseslint.configs.strictTypeChecked, tseslint.configs.stylisticTypeChecked],
@@ -107,16 +107,16 @@
     },
     rules: {
       '@typescript-eslint/consistent-type-imports': 'error',
-      // What a callback is passed but doesn't need is named all the same.
+      // Callback parameters that aren't used are named all the same.
       '@typescript-eslint/no-unused-vars': ['error', { argsIgnorePattern: '^_' }],
-      // `() => timer.cancel()` has nothing to confuse: its result has the type `void` there too.
+      // `() => timer.cancel()` isn't confusing: the type of its result is `void` as well.
       '@typescript-eslint/no-confusing-void-expression': ['error', { ignoreArrowShorthand: true }],
-      // `path.join('.') || 'file'`: an empty text stands for none as well.
+      // In `path.join('.') || 'file'`, an empty string also means that there is no value.
       '@typescript-eslint/prefer-nullish-coalescing': [
         'error',
         { ignorePrimitives: { string: true } },
       ],
-      // A number in a text is as plain as a string; what may be undefined, and objects, stay forbidden.
+      // Numbers are as clear as strings in a template. Objects and values that may be undefined stay forbidden.
       '@typescript-eslint/restrict-template-expressions': ['error', { allowNumber: true }],
     },
   },
@@ -125,14 +125,14 @@
     extends: [tseslint.configs.strict, tseslint.configs.stylistic],
   },
   { rules: { eqeqeq: 'error' } },
-  ...importsOneWay,
+  ...layeredImports,
   {
     files: ['src/**/*.ts'],
     rules: {
-      // TypeScript takes a field that it saw false as false beyond an `await` too: what the rule found in src
-      // (six guards) were questions asked again after one, each of them needed.
+      // TypeScript keeps the narrowed type of a field across an `await`, although the value may change during it. The
+      // rule reported six conditions in src, all of them necessary checks that are repeated after an `await`.
       '@typescript-eslint/no-unnecessary-condition': 'off',
-      // It asks for `!`, which `no-non-null-assertion` forbids here: `as` at least names the type.
+      // This rule asks for `!`, which `no-non-null-assertion` forbids. `as` at least names the type.
       '@typescript-eslint/non-nullable-type-assertion-style': 'off',
       '@typescript-eslint/naming-convention': [
         'error',
@@ -155,9 +155,9 @@
   {
     files: ['test/**/*.ts'],
     rules: {
-      // A test that meets undefined fails there, which is what it is to do.
+      // A test fails where it encounters undefined, which is the desired outcome.
       '@typescript-eslint/no-non-null-assertion': 'off',
-      // A stand-in has just the members that its test needs; the compiler compares their types.
+      // A test double has only the members that its test needs. The compiler still checks their types.
       '@typescript-eslint/no-unsafe-class-instance-assignment': 'off',
     },
   },
@@ -178,7 +178,7 @@
   {
     files: ['tools/**/*.cjs'],
     languageOptions: { sourceType: 'commonjs' },
-    // The rule is for modules: a CommonJS script has nothing else.
+    // The rule is for ES modules; a CommonJS script can only use `require`.
     rules: { '@typescript-eslint/no-require-imports': 'off' },
   },
 ];
@@ -186,8 +186,8 @@
 /**
  * EXCEPTIONS: files that still exceed a limit, as [file, rule, value, reason].
  *
- * The value is what the file has today, so it can only shrink. `npm run limits` prints what
- * is missing and what is stale here. Nothing is added for new code: it is divided.
+ * The value is the current one of the file, so it can only decrease. `npm run limits` prints missing and outdated
+ * entries. New code gets no exception: it must be split instead.
  */
 // prettier-ignore
 export const EXCEPTIONS = [
--- a/src/leader/anticipated-work.ts
+++ b/src/leader/anticipated-work.ts
@@ -42,11 +42,11 @@
 export class DemandForecast {
   private readonly recentByImage = new Map<string, RecentSubmissions>();
   /** Job classes with an objective on the time until the start. */
-  private readonly waitObjectiveClasses = new Set<string>();
+  private readonly waitJobClasses = new Set<string>();
 
   constructor(objectives: readonly Objective[]) {
     for (const { kind, jobClass } of objectives)
-      if (kind === 'wait' && jobClass !== undefined) this.waitObjectiveClasses.add(jobClass);
+      if (kind === 'wait' && jobClass !== undefined) this.waitJobClasses.add(jobClass);
   }
 
   /**
@@ -54,9 +54,7 @@
    * start. Other array jobs start task by task in the available capacity, which costs less than keeping capacity free.
    */
   isAnticipated(spec: JobSpec): boolean {
-    return (
-      isUrgent(spec.priority) || (isGang(spec) && this.waitObjectiveClasses.has(spec.jobClass))
-    );
+    return isUrgent(spec.priority) || (isGang(spec) && this.waitJobClasses.has(spec.jobClass));
   }
 
   /** Updates the average of the submission's image, if submissions of this kind are anticipated. */
--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -1,7 +1,7 @@
 /**
- * Makes what is deployed of what was compiled: one file with all libraries in it, and the code that V8
- * makes of it. On a small share of a processor, reading and compiling a few hundred files takes seconds,
- * in which a restarted controller can't answer.
+ * Builds the deployed artifacts from the compiled sources: one bundle that includes all libraries, and its V8 code
+ * cache. With a small share of a CPU, reading and compiling a few hundred files takes seconds, during which a restarted
+ * controller can't respond.
  */
 import { spawnSync } from 'node:child_process';
 import { readFileSync, writeFileSync } from 'node:fs';
@@ -10,7 +10,7 @@
 const ENTRY = 'target/main.js';
 const BUNDLE = 'target/topazpin.bundle.cjs';
 
-const result = await build({
+const buildResult = await build({
   entryPoints: [ENTRY],
   outfile: BUNDLE,
   bundle: true,
@@ -22,14 +22,18 @@
   legalComments: 'external',
   logLevel: 'warning',
 });
-if (result.errors.length > 0) process.exit(1);
-// A first line for the shell is no script for the loader.
+if (buildResult.errors.length > 0) process.exit(1);
+// The loader wraps the bundle in a function, where a shebang line is a syntax error.
 writeFileSync(BUNDLE, readFileSync(BUNDLE, 'utf8').replace(/^#!.*\n/, ''));
 writeFileSync('target/topazpin.cjs', readFileSync(new URL('loader.cjs', import.meta.url)));
 
-// Compiled by the flags that the service runs with: V8 takes no cache that was made with others.
+// V8 rejects a code cache that was created with other flags, so the cache is created with those of the service.
 const flags = process.argv.slice(2);
-const made = spawnSync(process.execPath, [...flags, 'target/topazpin.cjs', '--make-cache'], {
-  stdio: ['ignore', 'ignore', 'inherit'],
-});
-process.exit(made.status ?? 1);
+const cacheProcess = spawnSync(
+  process.execPath,
+  [...flags, 'target/topazpin.cjs', '--make-cache'],
+  {
+    stdio: ['ignore', 'ignore', 'inherit'],
+  },
+);
+process.exit(cacheProcess.status ?? 1);
--- a/tools/eslint-rules.mjs
+++ b/tools/eslint-rules.mjs
@@ -1,7 +1,7 @@
-/** Rules of this project for eslint, beside those of its plugins. `eslint.config.js` turns them on. */
+/** ESLint rules specific to this project. `eslint.config.js` enables them. */
 
-/** Words of the outside protocols' messages. Only `src/wire` knows them; the other packages have plain names. */
-const PROTOCOL_WORDS = new Set([
+/** Field names of the external protocols. Only `src/wire` uses them; other packages use descriptive names. */
+const PROTOCOL_FIELD_NAMES = new Set([
   'docket',
   'desk',
   'hall',
@@ -33,8 +33,8 @@
   'ledger_rev',
 ]);
 
-/** Places in which a string is the name of a field. */
-const KEY_STRINGS = [
+/** Selectors of string nodes that name a field. */
+const FIELD_NAME_STRINGS = [
   ':matches(Property, PropertyDefinition, MethodDefinition, TSPropertySignature, TSMethodSignature) > Literal.key',
   'MemberExpression[computed=true] > Literal.property',
   'MemberExpression[computed=true] > TemplateLiteral.property',
@@ -42,7 +42,7 @@
   'BinaryExpression[operator="in"] > Literal.left',
 ];
 
-const textOf = (node) => {
+const nameOf = (node) => {
   if (node.type === 'TemplateLiteral') {
     return node.quasis.length === 1 ? node.quasis[0].value.cooked : undefined;
   }
@@ -52,34 +52,38 @@
 const protocolWords = {
   meta: {
     type: 'problem',
-    docs: { description: 'Words of the protocol stand in src/wire alone' },
+    docs: { description: 'Restrict field names of the external protocols to src/wire' },
     schema: [],
     messages: {
-      word: "'{{word}}' is a word of the protocol: outside src/wire use the plain name.",
+      word: "'{{word}}' is a field name of an external protocol: use a descriptive name outside src/wire.",
     },
   },
   create(context) {
-    // `{ desk }` has the same name twice, as the key and as the value.
+    // `{ desk }` contains the same identifier twice, as the key and as the value.
     const reported = new Set();
     const check = (node) => {
-      const word = textOf(node);
-      if (!PROTOCOL_WORDS.has(word) || reported.has(node.range[0])) return;
+      const word = nameOf(node);
+      if (!PROTOCOL_FIELD_NAMES.has(word) || reported.has(node.range[0])) return;
       reported.add(node.range[0]);
       context.report({ node, messageId: 'word', data: { word } });
     };
-    return { Identifier: check, PrivateIdentifier: check, [KEY_STRINGS.join(', ')]: check };
+    return { Identifier: check, PrivateIdentifier: check, [FIELD_NAME_STRINGS.join(', ')]: check };
   },
 };
 
-/** Statements that a comment above them can't be meant for. */
-const WITHOUT_DOCS = new Set(['ImportDeclaration', 'ExportAllDeclaration']);
+/** Statements that have no doc comment of their own. */
+const UNDOCUMENTED_STATEMENTS = new Set(['ImportDeclaration', 'ExportAllDeclaration']);
 
-const isDoc = (comment) => comment?.type === 'Block' && comment.value.startsWith('*');
+const isDocComment = (comment) => comment?.type === 'Block' && comment.value.startsWith('*');
 
-/** Whether the first comment is about the file, and not the doc comment of the first declaration. */
-const isOfFile = (comment, source) => {
+/** Whether the first comment documents the file, rather than the first declaration. */
+const isFileComment = (comment, source) => {
   const [first] = source.ast.body;
-  if (first === undefined || WITHOUT_DOCS.has(first.type) || first.directive !== undefined)
+  if (
+    first === undefined ||
+    UNDOCUMENTED_STATEMENTS.has(first.type) ||
+    first.directive !== undefined
+  )
     return true;
   const next = source.getTokenAfter(comment, { includeComments: true });
   return next.type === 'Block' || next.loc.start.line > comment.loc.end.line + 1;
@@ -88,24 +92,27 @@
 const moduleComment = {
   meta: {
     type: 'suggestion',
-    docs: { description: 'Each file says at its head what it is for' },
+    docs: { description: 'Require a comment at the top of each file that states its purpose' },
     schema: [],
     messages: {
-      missing: 'The file has no comment at its head that says what it is for.',
+      missing: 'Missing comment at the top of the file that states its purpose.',
       ofDeclaration:
-        'The comment at the head documents the first declaration: put one of the file above it, or an empty line below.',
+        'The first comment documents the first declaration: add one for the file above it, or a blank line below it.',
     },
   },
   create(context) {
     const source = context.sourceCode;
     return {
       Program() {
-        const head = source.getAllComments().find((c) => c.type !== 'Shebang');
-        const body = source.ast.body[0];
+        const firstComment = source.getAllComments().find((c) => c.type !== 'Shebang');
+        const firstStatement = source.ast.body[0];
         const loc = { line: 1, column: 0 };
-        if (!isDoc(head) || (body !== undefined && head.range[0] > body.range[0])) {
+        if (
+          !isDocComment(firstComment) ||
+          (firstStatement !== undefined && firstComment.range[0] > firstStatement.range[0])
+        ) {
           context.report({ loc, messageId: 'missing' });
-        } else if (!isOfFile(head, source)) {
+        } else if (!isFileComment(firstComment, source)) {
           context.report({ loc, messageId: 'ofDeclaration' });
         }
       },
@@ -113,7 +120,7 @@
   },
 };
 
-/** The plugin, named `topazpin` in the configuration. */
+/** The ESLint plugin, registered as `topazpin` in the configuration. */
 export default {
   rules: { 'protocol-words': protocolWords, 'module-comment': moduleComment },
 };
--- a/tools/limits.mjs
+++ b/tools/limits.mjs
@@ -1,6 +1,7 @@
 /**
- * Compares the EXCEPTIONS of `eslint.config.js` with what the files need: prints a line to add for each limit
- * that a file exceeds without one, and the lines whose file needs less. Ends with 1 if there is any.
+ * Compares the EXCEPTIONS in `eslint.config.js` with the actual size of the files. Prints an entry to add for each
+ * limit that a file exceeds without an exception, and each entry that is out of date. Exits with status 1 if it prints
+ * anything.
  *
  *     npm run limits
  */
@@ -10,38 +11,38 @@
 
 const RULES = new Set(LIMITS.flatMap(({ values }) => Object.keys(values)));
 
-/** The measure that a message states: a complexity, or a number of lines in brackets. */
-const measureOf = (message) =>
+/** Extracts the measured value from a lint message: a complexity, or a number of lines in parentheses. */
+const measuredValue = (message) =>
   Number(/complexity of (\d+)|\((\d+)\)/.exec(message).slice(1).join(''));
 
 const eslint = new ESLint({
-  // The limits once more, after the exceptions, so that these don't count.
+  // Repeats the limits after the exceptions, which overrides the exceptions.
   overrideConfig: LIMITS.map(({ files, values }) => ({ files, rules: limits(values) })),
   ruleFilter: ({ ruleId }) => RULES.has(ruleId),
 });
 
-const needed = new Map();
+const actualValues = new Map();
 for (const { filePath, messages } of await eslint.lintFiles(['.'])) {
   const file = relative(process.cwd(), filePath);
   for (const { ruleId, message } of messages) {
     if (!RULES.has(ruleId)) continue;
     const key = `${file} ${ruleId}`;
-    needed.set(key, Math.max(needed.get(key) ?? 0, measureOf(message)));
+    actualValues.set(key, Math.max(actualValues.get(key) ?? 0, measuredValue(message)));
   }
 }
 
-const wrong = [];
+const problems = [];
 for (const [file, rule, value] of EXCEPTIONS) {
   const key = `${file} ${rule}`;
-  const need = needed.get(key);
-  needed.delete(key);
-  if (need === undefined) wrong.push(`remove: ${key}, now within the limit`);
-  else if (need < value) wrong.push(`lower: ${key}, ${value} to ${need}`);
-  else if (need > value) wrong.push(`exceeds its exception: ${key}, ${need} of ${value}`);
+  const actual = actualValues.get(key);
+  actualValues.delete(key);
+  if (actual === undefined) problems.push(`remove: ${key}, the file is within the limit`);
+  else if (actual < value) problems.push(`lower: ${key}, ${value} to ${actual}`);
+  else if (actual > value) problems.push(`exceeds its exception: ${key}, ${actual} of ${value}`);
 }
-for (const [key, need] of needed) {
+for (const [key, actual] of actualValues) {
   const [file, rule] = key.split(' ');
-  wrong.push(`add or divide: ['${file}', '${rule}', ${need}, 'REASON'],`);
+  problems.push(`add, or split the code: ['${file}', '${rule}', ${actual}, 'REASON'],`);
 }
-for (const line of wrong) console.log(line);
-process.exit(wrong.length > 0 ? 1 : 0);
+for (const line of problems) console.log(line);
+process.exit(problems.length > 0 ? 1 : 0);
--- a/tools/loader.cjs
+++ b/tools/loader.cjs
@@ -1,29 +1,39 @@
-/** Runs the bundle beside it, with the code that V8 made of it earlier if that fits. */
+/** Runs the bundle in the same directory, with its V8 code cache if that is valid. */
 'use strict';
 const fs = require('node:fs');
 const { createRequire, wrap } = require('node:module');
 const path = require('node:path');
 const vm = require('node:vm');
 
-const file = path.join(__dirname, 'topazpin.bundle.cjs');
+const bundleFile = path.join(__dirname, 'topazpin.bundle.cjs');
 const cacheFile = path.join(__dirname, 'topazpin.cache');
-const making = process.argv[2] === '--make-cache';
+const isMakingCache = process.argv[2] === '--make-cache';
 
 let cachedData;
 try {
-  if (!making) cachedData = fs.readFileSync(cacheFile);
+  if (!isMakingCache) cachedData = fs.readFileSync(cacheFile);
 } catch {
-  // Without it the bundle is compiled as any other script.
+  // Without a code cache, V8 compiles the bundle like any other script.
 }
-const script = new vm.Script(wrap(fs.readFileSync(file, 'utf8')), { filename: file, cachedData });
-const module_ = { exports: {} };
-const run = () =>
+const script = new vm.Script(wrap(fs.readFileSync(bundleFile, 'utf8')), {
+  filename: bundleFile,
+  cachedData,
+});
+const bundleModule = { exports: {} };
+const runBundle = () =>
   script
     .runInThisContext()
-    .call(module_.exports, module_.exports, createRequire(file), module_, file, __dirname);
+    .call(
+      bundleModule.exports,
+      bundleModule.exports,
+      createRequire(bundleFile),
+      bundleModule,
+      bundleFile,
+      __dirname,
+    );
 
-if (making) {
+if (isMakingCache) {
   process.argv.splice(2, 1, '--help');
-  run();
+  runBundle();
   setTimeout(() => fs.writeFileSync(cacheFile, script.createCachedData()), 100);
-} else run();
+} else runBundle();
--- a/tools/record-production.mjs
+++ b/tools/record-production.mjs
@@ -1,10 +1,10 @@
 /**
- * Writes down what another version of the service says: each message between controllers as its bytes, and
- * records of jobs in several states. The tests compare this version with them.
+ * Records the output of another version of the service: the encoded bytes of each message between controllers, and the
+ * records of jobs in several states. The compatibility tests compare the current version with the recording.
  *
  *     node tools/record-production.mjs BUILD COMMIT > test/data/production.json
  *
- * BUILD is the folder into which that version was compiled (`npx tsc --outDir BUILD` in its checkout).
+ * BUILD is the directory into which that version was compiled (`npx tsc --outDir BUILD` in its checkout).
  */
 import { pathToFileURL } from 'node:url';
 import { resolve } from 'node:path';
@@ -15,19 +15,19 @@
   console.error('usage: record-production.mjs BUILD COMMIT');
   process.exit(2);
 }
-const load = (path) => import(pathToFileURL(resolve(build, path)).href);
-const { encodeRequest, encodeResponse } = await load('peer/messages.js');
-const { encodeJob, encodeFinal } = await load('ledger/codec.js');
-const { Job } = await load('ledger/job.js');
+const importModule = (path) => import(pathToFileURL(resolve(build, path)).href);
+const { encodeRequest, encodeResponse } = await importModule('peer/messages.js');
+const { encodeJob, encodeFinal } = await importModule('ledger/codec.js');
+const { Job } = await importModule('ledger/job.js');
 
-const bytes = (encode, messages) =>
+const encodeAll = (encode, messages) =>
   messages.map((message, id) => ({
     id,
-    message: plain(message),
+    message: toJson(message),
     bytes: encode(id, message).toString('hex'),
   }));
-/** As JSON has it: bodies as hexadecimal text. */
-const plain = (message) =>
+/** Converts a message to JSON values: the body becomes a hexadecimal string. */
+const toJson = (message) =>
   message.body === undefined ? message : { ...message, body: message.body.toString('hex') };
 
 const records = jobs(Job).map(({ name, job }) => ({
@@ -35,10 +35,10 @@
   live: encodeJob(job, 41),
   final: job.settled ? encodeFinal(job.final()) : null,
 }));
-const recorded = {
+const recording = {
   commit,
-  requests: bytes(encodeRequest, requests),
-  responses: bytes(encodeResponse, responses),
+  requests: encodeAll(encodeRequest, requests),
+  responses: encodeAll(encodeResponse, responses),
   records,
 };
-console.log(JSON.stringify(recorded, undefined, 1));
+console.log(JSON.stringify(recording, undefined, 1));
--- a/tools/samples.mjs
+++ b/tools/samples.mjs
@@ -1,6 +1,9 @@
-/** What `record-production.mjs` has a version say: one message of each kind, with and without what is optional. */
+/**
+ * Sample messages and jobs that `record-production.mjs` encodes with another version: every kind of message, with and
+ * without optional fields.
+ */
 
-const beat = {
+const fullHeartbeat = {
   box: 'vm-000231',
   addr: '10.1.0.232:9000',
   build: 'g8',
@@ -15,7 +18,7 @@
     { entry: 'run-000398/0', try: 1, status: 'exited', cause: 'halted', kept: true },
   ],
 };
-const quiet = { ...beat, recall_s: null, entries: [] };
+const minimalHeartbeat = { ...fullHeartbeat, recall_s: null, entries: [] };
 const orders = [
   { verb: 'launch', entry: 'run-000412/4', try: 2 },
   { verb: 'kill', entry: 'run-000377/1', try: 1, wind_down_s: 10 },
@@ -23,7 +26,7 @@
 ];
 const status = { leader: 'worker-1', epoch: 5_000_000_000, storeReachable: true };
 
-/** Each kind of request between controllers. */
+/** Requests of each kind between controllers. */
 export const requests = [
   { type: 'heartbeat', status },
   { type: 'heartbeat', status: { leader: '', epoch: 0, storeReachable: false } },
@@ -40,8 +43,8 @@
     node: 'worker-2',
     epoch: 41,
     reports: [
-      { kind: 'full', report: beat },
-      { kind: 'full', report: quiet },
+      { kind: 'full', report: fullHeartbeat },
+      { kind: 'full', report: minimalHeartbeat },
       {
         kind: 'unchanged',
         machine: 'vm-000232',
@@ -55,7 +58,7 @@
   { type: 'command', address: '10.1.0.232:9000', token: 41, session: 3, timeoutMs: 2500, orders },
 ];
 
-/** Each kind of response to them. */
+/** Responses of each kind between controllers. */
 export const responses = [
   { type: 'status', status },
   { type: 'acknowledged', ok: true },
@@ -69,7 +72,7 @@
       { outcome: 'baselineUnknown', baseline: 0, orders: [] },
     ],
   },
-  { type: 'commandResult', outcome: 'answered', why: '', report: beat },
+  { type: 'commandResult', outcome: 'answered', why: '', report: fullHeartbeat },
   { type: 'commandResult', outcome: 'unknown', why: 'no response', report: null },
 ];
 
@@ -95,45 +98,45 @@
   stamp_s: 4,
   due_s: 900,
 };
-const onMachines = (indexes, from) =>
+const assignments = (indexes, from) =>
   indexes.map((index) => ({ index, machine: `vm-${String(from + (index % 7)).padStart(6, '0')}` }));
 const range = (from, to) => Array.from({ length: to - from }, (_, i) => from + i);
 
-/** Jobs in the states in which a leader may have left them. */
+/** Jobs in states in which a leader may have stored them. */
 export function jobs(Job) {
-  const make = (name, change, play) => {
-    const job = new Job(spec.name_id, { ...spec, ...change }, 1_789_999_999_999, 7);
-    play(job);
+  const make = (name, specChanges, applyChanges) => {
+    const job = new Job(spec.name_id, { ...spec, ...specChanges }, 1_789_999_999_999, 7);
+    applyChanges(job);
     return { name, job };
   };
   return [
     make('waiting', {}, () => undefined),
     make('partly placed', {}, (job) => {
       job.zone = 'a';
-      job.place(onMachines(range(0, 20), 100), 0);
+      job.place(assignments(range(0, 20), 100), 0);
       for (const index of [0, 3, 4, 11]) job.finish(index);
       job.unplace(7);
-      job.place(onMachines([7, ...range(20, 31)], 300), 0);
+      job.place(assignments([7, ...range(20, 31)], 300), 0);
     }),
     make('cancelled while it runs', {}, (job) => {
-      job.place(onMachines(range(0, 5), 100), 0);
+      job.place(assignments(range(0, 5), 100), 0);
       job.abort();
     }),
     make('done', { entries: 3 }, (job) => {
-      job.place(onMachines(range(0, 3), 100), 0);
+      job.place(assignments(range(0, 3), 100), 0);
       for (const index of range(0, 3)) job.finish(index);
     }),
     make('a gang that was divided', { shape: 'ensemble', entries: 4 }, (job) => {
-      job.place(onMachines(range(0, 4), 100), 0);
+      job.place(assignments(range(0, 4), 100), 0);
       job.unplace(2);
     }),
     make('a gang partly done', { shape: 'ensemble', entries: 4 }, (job) => {
-      job.place(onMachines(range(0, 4), 100), 0);
+      job.place(assignments(range(0, 4), 100), 0);
       job.finish(1);
     }),
     make('as large as it may be', { entries: 2000, together: false }, (job) => {
       for (let batch = 0; batch < 46; batch++) {
-        job.place(onMachines(range(batch * 3, batch * 3 + 3), 1000 + batch * 11), 0);
+        job.place(assignments(range(batch * 3, batch * 3 + 3), 1000 + batch * 11), 0);
       }
       for (const index of range(0, 138)) if (index % 2 === 0) job.unplace(index);
     }),
