--- a/src/leader/worker-calls.ts
+++ b/src/leader/worker-calls.ts
@@ -56,7 +56,7 @@
     this.hasClosed = true;
   }
 
-  /** Once hasClosed, responses that arrive must be ignored. */
+  /** Whether the sender is closed. Responses that arrive afterwards must be ignored. */
   get isClosed(): boolean {
     return this.hasClosed;
   }
