--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -12,7 +12,7 @@
 /** Decides the response commands for a heartbeat. */
 export interface ResponseCommandSource {
   /** Must be called after the status has been reconciled with the placements. */
-  commandsForResponse(machine: Machine, status: WorkerStatus): Command[];
+  commandsForHeartbeat(machine: Machine, status: WorkerStatus): Command[];
 }
 
 /** The dependencies of the heartbeat handler. */
@@ -98,6 +98,9 @@
     machine.relayControllerId = relayId;
     if (!wasUp) onMachineUp();
     observer.observe(machine, status, 'heartbeat');
-    return { fencingToken: epoch, commands: responseCommands.commandsForResponse(machine, status) };
+    return {
+      fencingToken: epoch,
+      commands: responseCommands.commandsForHeartbeat(machine, status),
+    };
   }
 }
--- a/src/leader/periodic-work.ts
+++ b/src/leader/periodic-work.ts
@@ -10,11 +10,11 @@
   type SteadyMs,
   type Timer,
 } from '../units/index.js';
-import type { CommandSender } from './command-sender.js';
+import type { DirectCommandSender } from './command-sender.js';
 import type { ContactHistory } from './contact-history.js';
 import type { TermDependencies } from './term-dependencies.js';
 import { FleetLog } from './fleet-log.js';
-import type { GangController } from './gang-controller.js';
+import type { GangManager } from './gang-controller.js';
 import { ImageHintSender } from './image-hints.js';
 import type { MachineLossHandler } from './machine-loss-handler.js';
 import type { Scheduler } from './scheduler.js';
@@ -34,8 +34,8 @@
   readonly deps: TermDependencies;
   readonly ledger: Ledger;
   readonly fleet: Fleet;
-  readonly commands: CommandSender;
-  readonly gangs: GangController;
+  readonly commands: DirectCommandSender;
+  readonly gangs: GangManager;
   readonly scheduler: Scheduler;
   readonly autoscaler: Autoscaler;
   readonly contactHistory: ContactHistory;
@@ -103,7 +103,7 @@
       now,
     );
     contactHistory.recordUnreachablePeers(now);
-    commands.isBusy = sinceLastTick > TICK_INTERVAL + BUSY_TICK_THRESHOLD;
+    commands.isControllerBusy = sinceLastTick > TICK_INTERVAL + BUSY_TICK_THRESHOLD;
     machineLossHandler.expireLeases();
     if (hasAuthority) this.tickAsLeader();
     ledger.scheduleCommit();
@@ -117,20 +117,20 @@
   private tickAsLeader(): void {
     const { commands, deps, fleet, gangs, scheduler } = this.components;
     this.updateWorkerRedirects();
-    gangs.reviewReclaimed();
-    this.imageHintSender.tick(fleet.machines.values(), deps.clock.steady());
+    gangs.reviewReclaimedGangs();
+    this.imageHintSender.sendIfDue(fleet.machines.values(), deps.clock.steady());
     this.fleetLog.tick(deps.clock.steady());
-    scheduler.schedulePlacing();
+    scheduler.schedulePlacement();
     this.scalingTimer = deps.clock.after(SCALING_DELAY, () => this.scaleCapacity());
-    commands.probeSilent(fleet.machines.values(), scheduler.silenceThreshold);
+    commands.probeSilentMachines(fleet.machines.values(), scheduler.silenceThreshold);
   }
 
   private updateWorkerRedirects(): void {
     const { workers, limits } = this.components.deps.settings;
     this.isRedirecting = shouldRedirectWorkers(this.isRedirecting, {
-      machines: this.components.fleet.machines.size,
+      machineCount: this.components.fleet.machines.size,
       heartbeatInterval: workers.heartbeatInterval,
-      cpu: limits.cpu,
+      cpusPerController: limits.cpu,
     });
   }
 
--- a/src/leader/push-commands.ts
+++ b/src/leader/push-commands.ts
@@ -1,48 +1,48 @@
-/** The commands that are pushed to a machine, without waiting for its next heartbeat. */
+/** Chooses the commands that are sent to a machine directly, without waiting for its next heartbeat. */
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey } from '../fleet/worker-status.js';
 import type { Job, Placement } from '../ledger/job.js';
 import type { JobId, TaskKey } from '../units/index.js';
 import type { Command } from '../wire/index.js';
 import { isCommitted, isStartUnsent, shouldStopTask } from './placement-state.js';
-import { MAX_COMMANDS } from './reply-commands.js';
-import { kill, launch } from './task-commands.js';
+import { MAX_COMMANDS_PER_MESSAGE } from './reply-commands.js';
+import { killCommand, startCommand } from './task-commands.js';
 
-/** Commands for one machine. */
-export interface Push {
+/** Commands for one machine, sent in one request. */
+export interface DirectCommands {
   readonly commands: Command[];
-  /** The attempts, by `attemptKey`, whose start is among the commands. */
-  readonly started: string[];
+  /** Attempts, as `attemptKey`, whose start command is included. */
+  readonly startedAttempts: string[];
 }
 
 /**
- * Chooses the commands for a machine, and marks them as pushed in the placements.
+ * Chooses the commands for a machine, and marks them in the placements as sent directly.
  *
- * @param mayStart whether starts are pushed too, rather than left to the replies to heartbeats
+ * @param canSendStarts whether start commands are included, rather than left to the responses to heartbeats
  */
-export function preparePush(
+export function prepareDirectCommands(
   machine: Machine,
   jobs: ReadonlyMap<JobId, Job>,
-  mayStart: boolean,
-): Push {
-  const push: Push = { commands: [], started: [] };
-  const mayStartHere = mayStart && !machine.isDraining;
+  canSendStarts: boolean,
+): DirectCommands {
+  const batch: DirectCommands = { commands: [], startedAttempts: [] };
+  const canStartOnMachine = canSendStarts && !machine.isDraining;
   for (const [key, { job: id, index, attempt }] of machine.assignments) {
-    if (push.commands.length >= MAX_COMMANDS) break;
+    if (batch.commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
     const job = jobs.get(id);
     const placement = job?.placements.get(index);
     if (!job || !placement || !isCommitted(job, placement)) continue;
-    if (shouldStopTask(job, placement)) addStop(push, key, attempt, job, placement);
-    else if (mayStartHere && isStartUnsent(placement)) {
+    if (shouldStopTask(job, placement)) addStop(batch, key, attempt, job, placement);
+    else if (canStartOnMachine && isStartUnsent(placement)) {
       placement.isStartSentDirectly = true;
-      addStart(push, machine, key, attempt);
+      addStart(batch, machine, key, attempt);
     }
   }
-  return push;
+  return batch;
 }
 
 function addStop(
-  { commands }: Push,
+  { commands }: DirectCommands,
   key: TaskKey,
   attempt: number,
   job: Job,
@@ -51,17 +51,17 @@
   if (placement.isStopSentDirectly || isStartUnsent(placement)) return;
   placement.isStopSentDirectly = true;
   const graceSeconds = job.isCancelled ? 0 : (placement.evictionGraceSeconds ?? 0);
-  commands.push(kill(key, attempt, graceSeconds));
+  commands.push(killCommand(key, attempt, graceSeconds));
 }
 
 function addStart(
-  { commands, started }: Push,
+  { commands, startedAttempts }: DirectCommands,
   machine: Machine,
   key: TaskKey,
   attempt: number,
 ): void {
   const startedAttempt = attemptKey(key, attempt);
   machine.directStarts.recordSent(startedAttempt);
-  started.push(startedAttempt);
-  commands.push(launch(key, attempt));
+  startedAttempts.push(startedAttempt);
+  commands.push(startCommand(key, attempt));
 }
--- a/src/leader/term-dependencies.ts
+++ b/src/leader/term-dependencies.ts
@@ -11,7 +11,7 @@
 import type { Peer } from '../peer/channel.js';
 import type { MachineImages } from '../peer/messages.js';
 import type { Clock, Epoch, NodeId, Random } from '../units/index.js';
-import type { ImageHints } from './image-hints.js';
+import type { ImageHintCache } from './image-hints.js';
 
 /** Shared by the components of a term. All of these objects outlive the term. */
 export interface TermDependencies {
@@ -33,7 +33,7 @@
   /** Called when the machine types in the catalog have changed. */
   readonly onMachineTypesChanged: () => void;
   /** The images on machines, according to the hints of this leader and of earlier ones. */
-  readonly imageHints: ImageHints;
+  readonly imageHints: ImageHintCache;
   /** Sends hints to the other controllers about which images machines hold. */
   readonly broadcastImageHints: (machines: readonly MachineImages[]) => void;
   /** The connections to the other controllers, which relay heartbeats of workers and commands to them. */
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -81,7 +81,11 @@
     [50, 0.05, true, false],
   ];
   for (const [machines, cpu, before, redirects] of cases) {
-    const load = { machines, heartbeatInterval: seconds(3), cpu };
+    const load = {
+      machineCount: machines,
+      heartbeatInterval: seconds(3),
+      cpusPerController: cpu,
+    };
     assert.equal(shouldRedirectWorkers(before, load), redirects, `${machines}`);
   }
 });
