--- a/src/leader/command-sender.ts
+++ b/src/leader/direct-command-sender.ts
@@ -12,15 +12,15 @@
   type MachineId,
 } from '../units/index.js';
 import type { TermDependencies } from './dependencies.js';
-import { MachineProber } from './machine-probe.js';
+import { MachineProber } from './machine-prober.js';
 import type { PlacementIndex } from './placement-index.js';
-import { prepareDirectCommands, type DirectCommands } from './push-commands.js';
+import { prepareDirectCommands, type DirectCommands } from './direct-commands.js';
 import {
   WORKER_REQUEST_TIMEOUT,
   UNCONFIRMED_MACHINE_REQUEST_TIMEOUT,
   WorkerRequestSender,
   type WorkerRequestDependencies,
-} from './worker-calls.js';
+} from './worker-request-sender.js';
 
 /** After a request without a response, commands go to the machine only in heartbeat responses for this long. */
 const DIRECT_COMMAND_PAUSE = seconds(8);
--- a/src/leader/push-commands.ts
+++ b/src/leader/direct-commands.ts
@@ -5,7 +5,7 @@
 import type { JobId, TaskKey } from '../units/index.js';
 import type { Command } from '../wire/index.js';
 import { isCommitted, isStartUnsent, isToBeStopped } from './placement-state.js';
-import { MAX_COMMANDS_PER_MESSAGE } from './reply-commands.js';
+import { MAX_COMMANDS_PER_MESSAGE } from './response-commands.js';
 import { killCommand, startCommand } from './task-commands.js';
 
 /** Commands for one machine, sent in one request. */
--- a/src/leader/gang-lifecycle.ts
+++ b/src/leader/gang-lifecycle.ts
@@ -1,6 +1,6 @@
 /**
  * The life cycle of a gang: a job whose tasks all run at the same time or not at all. The functions here are pure and
- * take the known state of the tasks; `gang-controller.ts` carries out the actions that they choose.
+ * take the known state of the tasks; `gang-manager.ts` carries out the actions that they choose.
  *
  * All tasks of an attempt are placed in one transaction under one attempt number. An attempt that loses a task
  * is stopped as a whole, whether or not it had begun to run, and the next one is placed only when every task
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -5,7 +5,7 @@
 import type { UnchangedHeartbeat } from '../peer/messages.js';
 import { MachineId, type Clock, type DurationMs, type Epoch, type NodeId } from '../units/index.js';
 import type { Command, Heartbeat, HeartbeatReply } from '../wire/index.js';
-import type { StatusObserver } from './command-sender.js';
+import type { StatusObserver } from './direct-command-sender.js';
 import type { PlacementIndex } from './placement-index.js';
 import { ReceptionCheck } from './reception-check.js';
 
--- a/src/leader/job-requests.ts
+++ b/src/leader/job-requests.ts
@@ -4,7 +4,7 @@
 import type { Ledger } from '../ledger/ledger.js';
 import { JobId, Revision, ms, type Clock, type DurationMs } from '../units/index.js';
 import type { JobSpec } from '../wire/index.js';
-import type { DirectCommandSender } from './command-sender.js';
+import type { DirectCommandSender } from './direct-command-sender.js';
 import type { PlacementIndex } from './placement-index.js';
 import { isStartUnsent } from './placement-state.js';
 import type { Scheduler } from './scheduler.js';
--- a/src/leader/machine-probe.ts
+++ b/src/leader/machine-prober.ts
@@ -10,9 +10,12 @@
   type JobId,
   type SteadyMs,
 } from '../units/index.js';
-import type { StatusObserver } from './command-sender.js';
+import type { StatusObserver } from './direct-command-sender.js';
 import type { TermDependencies } from './dependencies.js';
-import { UNCONFIRMED_MACHINE_REQUEST_TIMEOUT, type WorkerRequestSender } from './worker-calls.js';
+import {
+  UNCONFIRMED_MACHINE_REQUEST_TIMEOUT,
+  type WorkerRequestSender,
+} from './worker-request-sender.js';
 
 /** Minimum interval between probes of the same machine. */
 const PROBE_INTERVAL = seconds(4);
--- a/src/leader/periodic-work.ts
+++ b/src/leader/periodic-work.ts
@@ -10,11 +10,11 @@
   type SteadyMs,
   type Timer,
 } from '../units/index.js';
-import type { DirectCommandSender } from './command-sender.js';
+import type { DirectCommandSender } from './direct-command-sender.js';
 import type { ContactHistory } from './contact-history.js';
 import type { TermDependencies } from './dependencies.js';
 import { FleetLog } from './fleet-log.js';
-import type { GangManager } from './gang-controller.js';
+import type { GangManager } from './gang-manager.js';
 import { ImageHintSender } from './image-hints.js';
 import type { MachineLoss } from './machine-loss.js';
 import type { Scheduler } from './scheduler.js';
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -4,14 +4,14 @@
 import { compareQueueEntries, queueEntryFor, type QueueEntry } from '../ledger/queue-order.js';
 import { place, type Assignment, type RemainingQuota } from '../placer/placer.js';
 import type { DurationMs, Epoch, JobId, MachineId, SteadyMs } from '../units/index.js';
-import { DemandForecast, type AnticipatedSubmission } from './anticipated-work.js';
+import { DemandForecast, type AnticipatedSubmission } from './demand-forecast.js';
 import { candidateMachines } from './candidate-machines.js';
 import type { TermDependencies } from './dependencies.js';
 import type { PlacementIndex } from './placement-index.js';
-import { PlacementLoop } from './placing-loop.js';
+import { PlacementLoop } from './placement-loop.js';
 import { Preemption, type DirectCommandScheduler } from './preemption.js';
 import { remainingQuotas } from './remaining-quotas.js';
-import { TaskRequestBuilder } from './task-requests.js';
+import { TaskRequestBuilder } from './task-request-builder.js';
 
 /** Maximum number of array tasks that one placement round commits, which bounds the size of transactions. */
 const MAX_PLACEMENTS_PER_ROUND = 400;
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -13,7 +13,7 @@
   type TaskKey,
 } from '../units/index.js';
 import { ExitReason, TaskState, type TaskStatus } from '../wire/index.js';
-import type { StatusObserver } from './command-sender.js';
+import type { StatusObserver } from './direct-command-sender.js';
 import type { TermDependencies } from './dependencies.js';
 import { FailureBackoff } from './failure-backoff.js';
 import type { PlacementIndex } from './placement-index.js';
--- a/src/leader/task-requests.ts
+++ b/src/leader/task-request-builder.ts
@@ -5,7 +5,7 @@
 import type { RecordLimits } from '../ledger/record-limits.js';
 import type { TaskRequest } from '../placer/placer.js';
 import { parseTaskKey, taskKey, type MachineId, type SteadyMs } from '../units/index.js';
-import type { DemandForecast } from './anticipated-work.js';
+import type { DemandForecast } from './demand-forecast.js';
 import type { PlacementIndex } from './placement-index.js';
 
 /** Stands for the zone of a machine known only from a record, until the cloud lists it or it sends a heartbeat. */
--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/anticipated-work.test.ts
@@ -1,7 +1,7 @@
 /** For which submissions capacity is kept on standby, how much, and for how long. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DemandForecast } from '../../src/leader/anticipated-work.js';
+import { DemandForecast } from '../../src/leader/demand-forecast.js';
 import { SteadyMs, seconds } from '../../src/units/index.js';
 import type { JobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -11,9 +11,9 @@
 import {
   DirectCommandSender,
   type DirectCommandSenderDependencies,
-} from '../../src/leader/command-sender.js';
-import { prepareDirectCommands } from '../../src/leader/push-commands.js';
-import { ResponseCommands } from '../../src/leader/reply-commands.js';
+} from '../../src/leader/direct-command-sender.js';
+import { prepareDirectCommands } from '../../src/leader/direct-commands.js';
+import { ResponseCommands } from '../../src/leader/response-commands.js';
 import { Epoch, MachineId, SteadyMs, seconds } from '../../src/units/index.js';
 import { encodeHeartbeat, type Priority } from '../../src/wire/index.js';
 import { emptyFleet, placedTask, type PlacedTask } from '../support/fleet.js';
--- a/test/unit/gangs.test.ts
+++ b/test/unit/gangs.test.ts
@@ -11,7 +11,7 @@
   type GangState,
 } from '../../src/leader/gang-lifecycle.js';
 import { PlacementIndex } from '../../src/leader/placement-index.js';
-import { GangManager } from '../../src/leader/gang-controller.js';
+import { GangManager } from '../../src/leader/gang-manager.js';
 import { Job } from '../../src/ledger/job.js';
 import type { Ledger } from '../../src/ledger/ledger.js';
 import {
--- a/test/unit/placing-loop.test.ts
+++ b/test/unit/placing-loop.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import { PlacementLoop } from '../../src/leader/placing-loop.js';
+import { PlacementLoop } from '../../src/leader/placement-loop.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 /** A loop whose rounds take so many milliseconds, and the times at which they began. */
