--- a/src/capacity/planner.ts
+++ b/src/capacity/planner.ts
@@ -1,12 +1,12 @@
 /**
- * Plans which machines to rent, as a bin packing. Pure: waiting tasks are packed into the machines that
- * are up or boot; of the rest, a part is left to machines whose tasks end before a new machine could be
- * up, and for what then remains bins are opened, each of the offer that serves the tasks at the least cost.
+ * Plans which machines to rent, as a pure bin-packing function. Waiting tasks are first packed into machines that
+ * are up or booting. Some of the remaining tasks wait for machines whose tasks end before a new machine could be
+ * up. For the rest, bins are opened, each for the offer with the lowest cost per task.
  */
 import { fits, machineResources } from '../fleet/resources.js';
 import { isAllowed } from '../placer/placer.js';
-import { createBin, packTasks, slotCount, type Bin } from './bin-packing.js';
-import { cheapestOffer, type Market } from './cheapest-offer.js';
+import { createBin, packTasks, countTaskSlots, type Bin } from './bin-packing.js';
+import { findCheapestOffer, type Market } from './cheapest-offer.js';
 import {
   offerKey,
   type AvailableCapacity,
@@ -16,27 +16,27 @@
 } from './types.js';
 import { WaitEstimator } from './wait-estimator.js';
 
-/** What a plan is made from. */
+/** What a plan is computed from. */
 export interface PlanningInput extends Market {
-  /** Served in this order. */
+  /** In the order in which they get machines. */
   readonly demands: readonly Demand[];
   readonly available: readonly AvailableCapacity[];
   readonly turnover: readonly Turnover[];
-  /** The most machines to rent. */
+  /** The maximum number of machines to rent. */
   readonly maxMachines: number;
 }
 
-/** A plan while it is being made. */
+/** The state of a plan under construction. */
 interface Plan {
   readonly input: PlanningInput;
-  /** The machines that are available, and after them the opened ones. */
+  /** The available machines, followed by the opened bins. */
   readonly bins: Bin[];
-  /** The bins of machines to rent. */
+  /** The bins for machines to rent. */
   readonly opened: Bin[];
   readonly waits: WaitEstimator;
 }
 
-/** The machines to rent, by offer, in the order in which they are needed. */
+/** Returns the machines to rent, by offer, in the order in which they are needed. */
 export function planScaleOut(input: PlanningInput): PlannedScaleOut[] {
   const plan: Plan = {
     input,
@@ -45,13 +45,13 @@
     waits: new WaitEstimator(input.turnover),
   };
   for (const demand of input.demands) {
-    for (const part of splitByZone(demand, plan)) packDemand(part, plan);
+    for (const zoneDemand of splitByZone(demand, plan)) packDemand(zoneDemand, plan);
   }
   return countByOffer(plan.opened);
 }
 
 function packDemand(demand: Demand, plan: Plan): void {
-  const unpacked = packAvailable(demand, plan.bins);
+  const unpacked = packIntoBins(demand, plan.bins);
   if (unpacked === 0) return;
   const [waiting = 0, late = 0] = plan.waits.enqueue(demand, unpacked, [
     demand.acceptableWait,
@@ -60,8 +60,8 @@
   openBins(demand, { total: Math.max(waiting, late), late }, plan);
 }
 
-/** Packs tasks into the bins that there are; returns how many found no place. */
-function packAvailable(demand: Demand, bins: readonly Bin[]): number {
+/** Packs tasks into existing bins; returns how many did not fit. */
+function packIntoBins(demand: Demand, bins: readonly Bin[]): number {
   let remaining = demand.taskCount;
   for (const bin of bins) {
     if (remaining === 0) break;
@@ -71,22 +71,22 @@
   return remaining;
 }
 
-/** Opens bins for tasks that wait too long otherwise, `late` of them so long that they would be late. */
+/** Opens bins for tasks that would otherwise wait too long; `tasks.late` of them would be late. */
 function openBins(
   demand: Demand,
   tasks: { readonly total: number; readonly late: number },
   { input, bins, opened }: Plan,
 ): void {
   let remaining = tasks.total;
-  let late = tasks.late;
+  let lateRemaining = tasks.late;
   while (remaining > 0 && opened.length < input.maxMachines) {
-    const request = { demand, taskCount: remaining, isPressing: late > 0 };
-    const best = cheapestOffer(request, input);
+    const request = { demand, taskCount: remaining, hasLateTasks: lateRemaining > 0 };
+    const best = findCheapestOffer(request, input);
     if (!best) return;
     const bin = createBin(best.offer, machineResources(best.type));
     const packed = packTasks(bin, demand.resources, remaining);
     remaining -= packed;
-    late -= packed;
+    lateRemaining -= packed;
     bins.push(bin);
     opened.push(bin);
   }
@@ -101,19 +101,19 @@
   return [...counts.values()];
 }
 
-/** Binds a gang with a zone rule to zones: as a whole, or in parts that each may be in one zone. */
+/** Assigns a gang with a zone constraint to zones: as a whole, or in parts that fit the limit per zone. */
 function splitByZone(demand: Demand, { input, bins }: Plan): Demand[] {
   const isZoned = demand.isGang && (demand.singleZone || demand.spreadZones);
   if (!isZoned || demand.requiredZone !== null) return [demand];
   const maxPerZone = demand.singleZone ? demand.taskCount : Math.ceil(demand.taskCount / 2);
   const zones = zonesByFreeSlots(demand, bins, input);
-  // A zone without enough free slots is of use only if machines can be rented there.
-  const usable = zones.filter(
+  // A zone without enough free slots is usable only if machines can be rented there.
+  const usableZones = zones.filter(
     ({ zone, slots }) => slots >= maxPerZone || canRentIn(zone, demand, maxPerZone, input),
   );
   const parts: Demand[] = [];
   let remaining = demand.taskCount;
-  for (const { zone } of usable.length > 0 ? usable : zones) {
+  for (const { zone } of usableZones.length > 0 ? usableZones : zones) {
     if (remaining === 0) break;
     const taskCount = Math.min(remaining, maxPerZone);
     parts.push({ ...demand, requiredZone: zone, taskCount });
@@ -124,10 +124,10 @@
 
 function canRentIn(zone: string, demand: Demand, taskCount: number, market: Market): boolean {
   const inZone = { ...demand, requiredZone: zone };
-  return cheapestOffer({ demand: inZone, taskCount, isPressing: true }, market) !== undefined;
+  return findCheapestOffer({ demand: inZone, taskCount, hasLateTasks: true }, market) !== undefined;
 }
 
-/** The zones with a machine type that suits a gang and how many of its tasks fit there, most first. */
+/** The zones with a machine type that suits a gang, and how many of its tasks fit there now, most first. */
 function zonesByFreeSlots(
   demand: Demand,
   bins: readonly Bin[],
@@ -144,7 +144,7 @@
   for (const bin of bins) {
     if (!isAllowed(demand, bin.offer)) continue;
     const { zone } = bin.offer;
-    const slots = Math.max(0, slotCount(bin, demand.resources));
+    const slots = Math.max(0, countTaskSlots(bin, demand.resources));
     slotsByZone.set(zone, (slotsByZone.get(zone) ?? 0) + slots);
   }
   return Array.from(slotsByZone, ([zone, slots]) => ({ zone, slots })).sort(
--- a/src/config/settings-file.ts
+++ b/src/config/settings-file.ts
@@ -85,12 +85,10 @@
 
 /** Returns the first contradiction between fields, which the schema cannot check; undefined if there is none. */
 export function findContradiction(file: SettingsFile): string | undefined {
-  return (
-    findControllerContradiction(file) ?? findTeamContradiction(file) ?? findLeaseContradiction(file)
-  );
+  return findPeerContradiction(file) ?? findTeamContradiction(file) ?? findLeaseContradiction(file);
 }
 
-function findControllerContradiction({
+function findPeerContradiction({
   node,
   others,
   params,
--- /dev/null
+++ b/src/fleet/attempt-absence.ts
@@ -0,0 +1,50 @@
+/** Proves that an attempt of a task is not on its machine and can no longer be started there. */
+import type { Epoch } from '../units/index.js';
+import { TaskState } from '../wire/index.js';
+import type { MessageOrder, StatusSource, WorkerStatus } from './worker-status.js';
+
+/** How the start command of an attempt was sent. `Placement` satisfies this interface. */
+export interface StartRecord {
+  /** An earlier leader placed the attempt and may have sent a direct start command without recording it. */
+  readonly isInherited: boolean;
+  /** The heartbeat whose response last carried the start command; undefined if none did. */
+  readonly startSentInResponseTo?: MessageOrder;
+}
+
+/** What the leader knows about one attempt and its machine. */
+export interface AbsenceEvidence {
+  /** The machine's newest status. */
+  readonly status: WorkerStatus;
+  readonly source: StatusSource;
+  /** The key of the attempt (`attemptKey`). */
+  readonly attempt: string;
+  readonly start: StartRecord;
+  /** Attempts on this machine whose direct start command is unacknowledged and may be delivered at any time. */
+  readonly unacknowledgedStarts: ReadonlySet<string>;
+  /** The current leader's epoch. A worker that has seen it refuses start commands of earlier leaders. */
+  readonly epoch: Epoch;
+}
+
+/**
+ * Whether the evidence proves that the attempt is not running and will not run. A worker processes the response
+ * to a heartbeat before it sends the next heartbeat, or never. A start command that was sent in the response to
+ * an earlier heartbeat is therefore no longer in flight when a later heartbeat arrives. A response to direct
+ * commands proves this only if it belongs to a later session, since it may overtake the response to a heartbeat.
+ * If no response carried the start command, a status from either source is proof.
+ */
+export function isProvenAbsent({
+  status,
+  source,
+  attempt,
+  start,
+  unacknowledgedStarts,
+  epoch,
+}: AbsenceEvidence): boolean {
+  const reported = status.byAttempt.get(attempt);
+  if (reported && reported.state !== TaskState.exited) return false;
+  if (unacknowledgedStarts.has(attempt)) return false;
+  if (start.isInherited && status.fencingToken < epoch) return false;
+  const { startSentInResponseTo } = start;
+  if (!startSentInResponseTo || status.session > startSentInResponseTo.session) return true;
+  return source === 'heartbeat' && status.sequence > startSentInResponseTo.sequence;
+}
--- a/src/fleet/worker-lease.ts
+++ b/src/fleet/worker-lease.ts
@@ -1,4 +1,4 @@
-/** When a worker's lease has certainly expired, as computed on the leader's clock. */
+/** Computes on the leader's clock when a worker's lease has certainly expired. */
 import {
   addDuration,
   ms,
@@ -7,8 +7,8 @@
   type SteadyMs,
 } from '../units/index.js';
 
-/** Added to the lease beyond clock drift, for imprecise timers of the worker. */
-const LEASE_MARGIN = ms(500);
+/** Added to the lease, beyond clock drift, for imprecise timers of the worker. */
+const WORKER_TIMER_MARGIN = ms(500);
 
 /**
  * The time by which a worker's lease has expired on every clock.
@@ -17,4 +17,4 @@
  * @param lease the length of the lease
  */
 export const workerLeaseEnd = (from: SteadyMs, lease: DurationMs): SteadyMs =>
-  addDuration(from, ms(upperBoundUnderDrift(lease) + LEASE_MARGIN));
+  addDuration(from, ms(upperBoundUnderDrift(lease) + WORKER_TIMER_MARGIN));
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -11,14 +11,14 @@
   type ControllerId,
 } from '../units/index.js';
 import type { Command, Heartbeat, WorkerHeartbeatResponse } from '../wire/index.js';
-import type { StatusObserver } from './command-sender.js';
+import type { StatusObserver } from './direct-command-sender.js';
 import type { PlacementIndex } from './placement-index.js';
 import { ResponseDeliveryCheck } from './response-delivery-check.js';
 
 /** Decides the response commands for a heartbeat. */
 export interface ResponseCommandSource {
   /** Must be called after the status has been reconciled with the placements. */
-  commandsForResponse(machine: Machine, status: WorkerStatus): Command[];
+  commandsForHeartbeat(machine: Machine, status: WorkerStatus): Command[];
 }
 
 /** The dependencies of the heartbeat handler. */
@@ -104,9 +104,12 @@
     // A stale heartbeat gets a response too, and its worker then renews the lease from when the heartbeat was sent.
     machine.extendLease(workerLeaseEnd(now, lease));
     if (!isFresh) return this.emptyResponse;
-    machine.relayNode = relayId;
+    machine.relayControllerId = relayId;
     if (!wasUp) onMachineUp();
     observer.observe(machine, status, 'heartbeat');
-    return { fencingToken: epoch, commands: responseCommands.commandsForResponse(machine, status) };
+    return {
+      fencingToken: epoch,
+      commands: responseCommands.commandsForHeartbeat(machine, status),
+    };
   }
 }
--- a/src/leader/inbox-watcher.ts
+++ b/src/leader/inbox-watcher.ts
@@ -14,26 +14,26 @@
   private isClosed = false;
 
   constructor(
-    private readonly jobRecords: Pick<JobRecords, 'notices' | 'watchNotices'>,
+    private readonly jobRecords: Pick<JobRecords, 'readInbox' | 'watchInbox'>,
     private readonly jobs: Pick<JobRequests, 'find' | 'cancel'>,
-    private readonly ledger: Pick<Ledger, 'deleteNotice'>,
+    private readonly ledger: Pick<Ledger, 'deleteInboxEntry'>,
     private readonly clock: Clock,
   ) {}
 
   /** Runs until `close`. */
   async run(): Promise<void> {
     while (!this.isClosed) {
-      const listed = await this.jobRecords.notices();
+      const listed = await this.jobRecords.readInbox();
       if (this.isClosed) return;
       if (listed) {
         // All in one function, because another await for each entry would spread the deletions over more transactions.
-        for (const { key, id, isCancellation } of listed.notices) {
+        for (const { key, id, isCancellation } of listed.entries) {
           const result = isCancellation ? await this.jobs.cancel(id) : await this.jobs.find(id);
           if (this.isClosed) return;
           // If the entry is written again during its deletion, nothing is lost: what it asks for is already done.
-          if (result.kind !== 'unknown') this.ledger.deleteNotice(key);
+          if (result.kind !== 'unknown') this.ledger.deleteInboxEntry(key);
         }
-        if (await this.jobRecords.watchNotices(listed.revision)) continue;
+        if (await this.jobRecords.watchInbox(listed.revision)) continue;
       }
       await sleep(this.clock, RETRY_DELAY);
     }
--- a/src/leader/job-recovery.ts
+++ b/src/leader/job-recovery.ts
@@ -1,6 +1,6 @@
 /** Recovery at the start of a term: the new leader reads the records of all live jobs. */
 import type { Logger } from 'pino';
-import { decodeJob } from '../ledger/codec.js';
+import { decodeJob } from '../ledger/job-codec.js';
 import { LIVE_PREFIX } from '../ledger/store-keys.js';
 import type { Job } from '../ledger/job.js';
 import type { RecordLimits } from '../ledger/record-limits.js';
@@ -15,7 +15,7 @@
 /** The dependencies of recovery on the rest of the controller. */
 export interface JobRecoveryDependencies {
   readonly store: Pick<StoreClient, 'list'>;
-  readonly recordLimits: Pick<RecordLimits, 'noteRecord'>;
+  readonly recordLimits: Pick<RecordLimits, 'onRecordRead'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
@@ -47,7 +47,7 @@
         for (const item of listed.items) {
           const id = JobId(item.key.slice(LIVE_PREFIX.length));
           try {
-            this.deps.recordLimits.noteRecord(item.data);
+            this.deps.recordLimits.onRecordRead(item.data);
             this.onJobRead(decodeJob(id, item.data, item.revision, now));
           } catch (error) {
             const message =
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -97,7 +97,7 @@
       'task released from its machine; it is queued again',
     );
     this.releaseTask(job, index);
-    job.requeue(index);
+    job.requeueTask(index);
     this.checkGangIntact(job);
   }
 
@@ -113,13 +113,13 @@
 
   completeTask(job: Job, index: number): void {
     this.releaseTask(job, index);
-    job.complete(index);
+    job.completeTask(index);
   }
 
   /** Completes all tasks of a gang: when one of them is done, all are done, even if their machines are lost. */
   completeGang(job: Job): void {
     for (let index = 0; index < job.spec.taskCount; index++) {
-      if (!job.isDone(index)) this.completeTask(job, index);
+      if (!job.isTaskDone(index)) this.completeTask(job, index);
     }
   }
 
@@ -147,7 +147,7 @@
     const { evictionGraceSeconds } = placement;
     if (evictionGraceSeconds !== undefined && evictionGraceSeconds <= graceSeconds) return;
     placement.evictionGraceSeconds = graceSeconds;
-    placement.isStopPushed = false;
+    placement.isStopSentDirectly = false;
     this.stoppingCpus.set(taskKey(job.id, index), job.spec.cpus);
   }
 
@@ -181,14 +181,15 @@
         this.requeueTask(job, assigned.index, reason);
     }
     for (const key of [...machine.assignments.keys()]) machine.unassign(key);
-    this.fleet.sweepOrphans(machine, undefined);
+    this.fleet.removeEndedOrphans(machine, undefined);
     this.events.onCapacityChanged();
   }
 }
 
 /** Whether the tasks of a job are in different states among placed, waiting and done. */
 const hasMixedTaskStates = (job: Job): boolean =>
-  [job.placements.size, job.waiting.size, job.doneCount].filter((count) => count > 0).length > 1;
+  [job.placements.size, job.waitingTasks.size, job.doneCount].filter((count) => count > 0).length >
+  1;
 
 /** Whether a task of the job can save a checkpoint when it is stopped. */
 export const canCheckpoint = (job: Job): boolean => job.spec.checkpointIntervalSeconds > 0;
--- a/src/leader/placement-state.ts
+++ b/src/leader/placement-state.ts
@@ -20,8 +20,8 @@
 export const isStartUnsent = (placement: Placement): boolean =>
   !placement.isInherited &&
   !placement.isReported &&
-  !placement.isStartPushed &&
-  !placement.sentInReplyTo;
+  !placement.isStartSentDirectly &&
+  !placement.startSentInResponseTo;
 
 /** Whether the task must be stopped, because its job is cancelled or the task is evicted. */
 export const shouldStopTask = (job: Job, placement: Placement): boolean =>
--- a/src/leader/response-delivery-check.ts
+++ b/src/leader/response-delivery-check.ts
@@ -27,15 +27,15 @@
   /** Must be called after a heartbeat has been recorded and before it extends the lease. */
   check(machine: Machine, status: WorkerStatus, previous: WorkerStatus, now: SteadyMs): void {
     if (status.fencingToken >= this.epoch && previous.fencingToken < this.epoch)
-      machine.noteReceiving();
+      machine.recordDelivery();
     if (previous.fencingToken >= this.epoch && this.hasLostLease(machine, status, previous, now)) {
       machine.notReceivingSince ??= now;
       return;
     }
     const effect = this.effectOfResponses(machine, status);
-    if (effect === 'visible') machine.noteReceiving();
+    if (effect === 'visible') machine.recordDelivery();
     else if (effect === 'missing' || status.fencingToken < this.epoch)
-      machine.noteIgnoredReply(now);
+      machine.recordIgnoredResponse(now);
   }
 
   /** Whether the worker's lease has expired although the last heartbeat got a response in time. */
@@ -59,9 +59,9 @@
     let isMissing = false;
     for (const [key, assigned] of machine.assignments) {
       const placement = this.jobs.get(assigned.job)?.placements.get(assigned.index);
-      if (!placement?.sentInReplyTo || placement.isReported) continue;
+      if (!placement?.startSentInResponseTo || placement.isReported) continue;
       if (status.byAttempt.has(attemptKey(key, assigned.attempt))) return 'visible';
-      isMissing ||= isAfter(status, placement.sentInReplyTo);
+      isMissing ||= isAfter(status, placement.startSentInResponseTo);
     }
     return isMissing ? 'missing' : 'noneExpected';
   }
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -13,10 +13,10 @@
 import { runInBackground } from '../units/run-in-background.js';
 import type { Epoch, JobId, ControllerId, SteadyMs } from '../units/index.js';
 import type { Heartbeat, WorkerHeartbeatResponse, JobSpec } from '../wire/index.js';
-import { CommandSender } from './command-sender.js';
+import { DirectCommandSender } from './direct-command-sender.js';
 import { ContactHistory } from './contact-history.js';
 import type { TermDependencies } from './term-dependencies.js';
-import { GangController } from './gang-controller.js';
+import { GangManager } from './gang-manager.js';
 import { HeartbeatHandler } from './heartbeat-handler.js';
 import { JobRequests, type JobLookupResult, type SubmitOutcome } from './job-requests.js';
 import { MachineLossHandler } from './machine-loss-handler.js';
@@ -24,7 +24,7 @@
 import { PeriodicWork } from './periodic-work.js';
 import { PlacementIndex } from './placement-index.js';
 import { JobRecovery } from './job-recovery.js';
-import { ReplyCommands } from './reply-commands.js';
+import { ResponseCommands } from './response-commands.js';
 import { Scheduler } from './scheduler.js';
 import { StatusReconciler } from './status-reconciler.js';
 
@@ -33,8 +33,8 @@
   private readonly ledger: Ledger;
   private readonly fleet: Fleet;
   private readonly placements: PlacementIndex;
-  private readonly commands: CommandSender;
-  private readonly gangs: GangController;
+  private readonly commands: DirectCommandSender;
+  private readonly gangs: GangManager;
   private readonly heartbeatHandler: HeartbeatHandler;
   private readonly scheduler: Scheduler;
   private readonly contactHistory: ContactHistory;
@@ -57,8 +57,8 @@
     this.fleet = this.createFleet(startedAt);
     this.placements = this.createPlacementIndex();
     const observer = new StatusReconciler(epoch, this.placements, deps);
-    this.commands = new CommandSender(epoch, this.placements, observer, deps);
-    this.gangs = new GangController(this.placements, this.commands, clock);
+    this.commands = new DirectCommandSender(epoch, this.placements, observer, deps);
+    this.gangs = new GangManager(this.placements, this.commands, clock);
     this.heartbeatHandler = this.createHeartbeatHandler(observer);
     this.scheduler = new Scheduler(epoch, this.placements, this.commands, deps);
     this.contactHistory = new ContactHistory(deps.peers, startedAt);
@@ -101,7 +101,7 @@
       onFinished: (job, final) => {
         log.info({ job: job.id, team: final.team, status: final.status }, 'job finished');
       },
-      onDeposed: () => onDeposed(this.epoch),
+      onLeadershipLost: () => onDeposed(this.epoch),
     };
     return new Ledger({
       store,
@@ -120,7 +120,7 @@
       startedAt,
       lease: settings.workers.lease,
       cacheSizeOf: (machineType) => catalog.machineType(machineType)?.cacheGb,
-      imageHintsFor: (id) => imageHints.imagesOf(id),
+      imageHintsFor: (id) => imageHints.imagesOnMachine(id),
       resourcesOf: (id) => {
         const job = this.ledger.jobs.get(id);
         return job && taskResources(job.spec);
@@ -136,8 +136,8 @@
       clock,
       log,
       events: {
-        onCapacityChanged: () => this.scheduler.schedulePlacing(),
-        onGangBroken: (job) => this.gangs.noteBroken(job),
+        onCapacityChanged: () => this.scheduler.schedulePlacement(),
+        onGangBroken: (job) => this.gangs.onGangBroken(job),
       },
     });
   }
@@ -150,8 +150,8 @@
       lease: settings.workers.lease,
       placements: this.placements,
       observer,
-      responseCommands: new ReplyCommands(this.ledger, this.deps),
-      onMachineUp: () => this.scheduler.schedulePlacing(),
+      responseCommands: new ResponseCommands(this.ledger, this.deps),
+      onMachineUp: () => this.scheduler.schedulePlacement(),
     });
   }
 
@@ -160,12 +160,12 @@
     const autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        answeringSince: () => this.contactHistory.respondingSince,
+        respondingSince: () => this.contactHistory.respondingSince,
         unreachableAt: this.contactHistory.unreachableAt,
-        queue: () => this.scheduler.queue(),
+        queue: () => this.scheduler.jobQueue(),
         specOf: (id) => this.ledger.jobs.get(id)?.spec,
         anticipatedWork: () => this.scheduler.anticipatedSubmissions(),
-        noteRemoved: (machine, reason) => this.machineLossHandler.remove(machine, reason),
+        onMachineRemoved: (machine, reason) => this.machineLossHandler.remove(machine, reason),
       },
       { cloud, catalog, epoch: this.epoch, settings, operator, clock, random, log },
     );
@@ -239,9 +239,9 @@
   /** Schedules the starts of a job's committed placements. */
   private scheduleStarts(job: Job): void {
     for (const placement of job.placements.values()) {
-      const isStartDue = !placement.isReported && !placement.isStartPushed;
+      const isStartDue = !placement.isReported && !placement.isStartSentDirectly;
       if (isStartDue && placement.version <= job.committedVersion) {
-        this.commands.schedulePush(placement.machine);
+        this.commands.scheduleDirectCommands(placement.machine);
       }
     }
   }
--- a/src/leader/worker-redirects.ts
+++ b/src/leader/worker-redirects.ts
@@ -1,33 +1,33 @@
-/** When a leader sends the workers that report to it to the other nodes. */
+/** Decides when the leader redirects the workers that send it heartbeats to the followers. */
 import type { DurationMs } from '../units/index.js';
 
 /**
- * About what a heartbeat that comes straight from its worker costs a leader, in processor time, all in
- * all: the request, the commands that answer it, and the work that it brings.
+ * Approximate CPU time, in milliseconds, that the leader spends on a heartbeat which it receives directly from a
+ * worker. It includes the HTTP request, the commands in the response, and the work that the heartbeat triggers.
  */
-const HEARTBEAT_COST_MS = 1;
-/** Of a node's processor time, what heartbeats may take before the other nodes carry them. */
-const START_SHARE = 0.5;
-/** Below this share it stops again; lower than the other, so that workers are not sent to and fro. */
-const STOP_SHARE = 0.35;
+const HEARTBEAT_CPU_MS = 1;
+/** Redirection starts when heartbeats take more than this share of the leader's CPU time. */
+const REDIRECT_START_CPU_SHARE = 0.5;
+/** Redirection stops at or below this share, which is lower so that workers aren't moved back and forth. */
+const REDIRECT_STOP_CPU_SHARE = 0.35;
 
-/** What decides how much processor time heartbeats take. */
+/** Determines the share of the leader's CPU time that heartbeats take. */
 export interface HeartbeatLoad {
-  readonly machines: number;
+  readonly machineCount: number;
   readonly heartbeatInterval: DurationMs;
-  /** The share of a processor that a node has. */
-  readonly cpu: number;
+  /** CPUs available to one controller; usually a fraction. */
+  readonly cpusPerController: number;
 }
 
 /**
- * Whether workers are to be redirected, given whether they are now. Requests of hundreds of workers, each
- * on a connection of its own, cost a small leader more than what they say: then the other nodes take them,
- * and pass them on in batches over the one connection that each has to the leader.
+ * Whether workers should be redirected, given whether they currently are. When hundreds of workers each send requests
+ * over their own connection, handling the requests costs a small leader more than processing their content. Followers
+ * then receive the heartbeats and forward them in batches, each over its single connection to the leader.
  */
 export function shouldRedirectWorkers(
   isRedirecting: boolean,
-  { machines, heartbeatInterval, cpu }: HeartbeatLoad,
+  { machineCount, heartbeatInterval, cpusPerController }: HeartbeatLoad,
 ): boolean {
-  const share = (machines * HEARTBEAT_COST_MS) / heartbeatInterval / cpu;
-  return share > (isRedirecting ? STOP_SHARE : START_SHARE);
+  const cpuShare = (machineCount * HEARTBEAT_CPU_MS) / heartbeatInterval / cpusPerController;
+  return cpuShare > (isRedirecting ? REDIRECT_STOP_CPU_SHARE : REDIRECT_START_CPU_SHARE);
 }
--- a/src/ledger/admission.ts
+++ b/src/ledger/admission-control.ts
@@ -1,12 +1,12 @@
-/** Whether a submitted job can ever run here. Every node gives the same answer. */
-import type { Verdict } from '../cloud/feasibility.js';
+/** Whether a submitted job can ever run in this cluster. Every controller reaches the same verdict. */
+import type { Feasibility } from '../cloud/feasibility.js';
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Team } from '../config/settings.js';
 import { TASK_COUNT_FIELD, type JobSpec } from '../wire/index.js';
 import { isGang } from './job.js';
 import type { RecordLimits } from './record-limits.js';
 
-/** Judges submissions by the size of their records, the machine types and the limits of the teams. */
+/** Checks submissions against the size limit of records, the machine types and the limits of the teams. */
 export class AdmissionControl {
   constructor(
     private readonly catalog: MachineCatalog,
@@ -14,15 +14,15 @@
     private readonly recordLimits: RecordLimits,
   ) {}
 
-  judge(spec: JobSpec): Verdict {
-    // A gang is placed in one transaction, so all of it has to fit one record.
+  check(spec: JobSpec): Feasibility {
+    // A gang is placed in one transaction, so all its tasks have to fit into one record as placed tasks.
     const openTasks = isGang(spec) ? spec.taskCount : 1;
-    if (!this.recordLimits.canRecord(spec, openTasks)) {
+    if (!this.recordLimits.canStoreRecord(spec, openTasks)) {
       return {
-        kind: 'impossible',
+        kind: 'infeasible',
         reason: `${TASK_COUNT_FIELD}: its record would exceed the limits of the state service`,
       };
     }
-    return this.catalog.judge(spec, this.teams);
+    return this.catalog.checkFeasibility(spec, this.teams);
   }
 }
--- a/test/unit/attempt-clearance.test.ts
+++ b/test/unit/attempt-clearance.test.ts
@@ -38,14 +38,14 @@
   const clock = new ProcessClock(time, 0, 0);
   const fleet = emptyFleet(lease);
   const { job, placement, key } = placedTask(fleet, id, clock.steady(), attempt.spec);
-  if (attempt.exitReason === 'done') job.complete(0);
-  else job.requeue(0);
+  if (attempt.exitReason === 'done') job.completeTask(0);
+  else job.requeueTask(0);
   if (attempt.job !== 'completionUnstored') job.committedVersion = job.version;
   const machine = fleet.machines.get(id);
   assert.ok(machine);
   const pushed = attemptKey(key, placement.attempt);
-  if (attempt.push !== 'none') machine.pushedStarts.noteSent(pushed);
-  if (attempt.push === 'acknowledged') machine.pushedStarts.noteAcknowledged(pushed);
+  if (attempt.push !== 'none') machine.directStarts.recordSent(pushed);
+  if (attempt.push === 'acknowledged') machine.directStarts.recordAcknowledged(pushed);
   const final = typeof attempt.job === 'string' ? undefined : attempt.job;
   const isLive = attempt.job === 'live' || attempt.job === 'completionUnstored';
   const subject = new AttemptClearance({ finalState: () => final }, { clock, settings });
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -8,7 +8,7 @@
 import { defaultOperatorSettings } from '../../src/config/operator-settings.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { Job } from '../../src/ledger/job.js';
-import type { QueueEntry } from '../../src/ledger/queue-order.js';
+import type { QueueEntry } from '../../src/ledger/placement-order.js';
 import type { HttpOutcome, HttpRequest } from '../../src/net/http.js';
 import { Endpoint, Epoch, JobId, Revision, SteadyMs, ms } from '../../src/units/index.js';
 import { encodeMachineTypes, type JobSpec } from '../../src/wire/index.js';
@@ -75,12 +75,12 @@
   const autoscaler = new Autoscaler(
     {
       fleet,
-      answeringSince: () => SteadyMs(0),
+      respondingSince: () => SteadyMs(0),
       unreachableAt: new Map(),
       queue: () => [entry],
       specOf: () => job.spec,
       anticipatedWork: () => [],
-      noteRemoved: () => undefined,
+      onMachineRemoved: () => undefined,
     },
     {
       cloud: new CloudClient(http, Endpoint('10.2.0.2:8443'), clock, 4),
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -114,12 +114,14 @@
   ];
   for (const [name, body, status] of cases) {
     const parsed = parseSubmission(encode(body));
-    const verdict = parsed.ok ? catalog.judge(parsed.value, settings.teams) : undefined;
-    const refusal = !parsed.ok ? 400 : verdict?.kind === 'impossible' ? 422 : 0;
+    const verdict = parsed.ok ? catalog.checkFeasibility(parsed.value, settings.teams) : undefined;
+    const refusal = !parsed.ok ? 400 : verdict?.kind === 'infeasible' ? 422 : 0;
     assert.equal(refusal, status, name);
   }
   const gang = parseSubmission(encode(submission({ kind: 'ensemble', spreadZones: true })));
-  assert.ok(gang.ok && singleZoneCatalog.judge(gang.value, settings.teams).kind === 'impossible');
+  assert.ok(
+    gang.ok && singleZoneCatalog.checkFeasibility(gang.value, settings.teams).kind === 'infeasible',
+  );
 });
 
 void test('a follower without a leader: a late answer of the store is given only if it is final', async () => {
@@ -141,7 +143,7 @@
   for (const [name, stored, took, status] of cases) {
     const node = leadingNode({ kind: 'absent' });
     node.loseAuthority();
-    node.jobRecords.lookup = async () => {
+    node.jobRecords.lookUp = async () => {
       await sleep(node.clock, ms(took));
       return stored;
     };
@@ -206,13 +208,13 @@
         ),
     });
     let creations = 0;
-    node.jobRecords.createWait = () => ms(wait);
+    node.jobRecords.creationWait = () => ms(wait);
     node.jobRecords.create = async () => {
       creations++;
       await sleep(node.clock, ms(took));
       return create ?? 'unknown';
     };
-    node.jobRecords.lookup = () => Promise.resolve(stored ?? { kind: 'unknown' });
+    node.jobRecords.lookUp = () => Promise.resolve(stored ?? { kind: 'unknown' });
     const replies: Reply[] = [];
     void node.userRequests
       .handle('POST', '/v1/jobs', encode(encodeJobSpec(spec({}))))
