--- a/tools/record-production.mjs
+++ b/tools/record-production.mjs
@@ -17,7 +17,7 @@
 }
 const importModule = (path) => import(pathToFileURL(resolve(build, path)).href);
 const { encodeRequest, encodeResponse } = await importModule('peer/messages.js');
-const { encodeJob, encodeFinal } = await importModule('ledger/job-codec.js');
+const { encodeJob, encodeFinal } = await importModule('ledger/codec.js');
 const { Job } = await importModule('ledger/job.js');
 
 const encodeAll = (encode, messages) =>
