--- a/src/api/app.ts
+++ b/src/api/app.ts
@@ -3,18 +3,18 @@
 import type { Logger } from 'pino';
 import { readBody } from '../net/body.js';
 import { CONTENT_TYPE, MAX_BODY, encode } from '../wire/index.js';
-import { BODY_TOO_LONG, METHOD_NOT_ALLOWED, TRY_AGAIN, type Reply } from './reply.js';
-import type { UserRequests } from './user-requests.js';
-import type { WorkerHeartbeats } from './worker-heartbeats.js';
+import { BODY_TOO_LONG, METHOD_NOT_ALLOWED, TRY_AGAIN, type ApiResponse } from './api-response.js';
+import type { UserRequestHandler } from './user-request-handler.js';
+import type { WorkerHeartbeatHandler } from './worker-heartbeat-handler.js';
 
 const HEALTH_PATH = '/up';
 const HEARTBEAT_PATH = '/agent/beat';
 
 /** What answers the requests of each kind. */
 export interface RequestHandlers {
-  readonly userRequests: Pick<UserRequests, 'handle'>;
-  readonly workerHeartbeats: Pick<WorkerHeartbeats, 'handle'>;
-  health(): Reply;
+  readonly userRequests: Pick<UserRequestHandler, 'handle'>;
+  readonly workerHeartbeats: Pick<WorkerHeartbeatHandler, 'handle'>;
+  health(): ApiResponse;
 }
 
 /** The application that reads each request, has it answered and encodes the reply. */
@@ -25,14 +25,18 @@
     const reply = await answer(handlers, ctx, log);
     ctx.status = reply.status;
     if (reply.retryAfter !== undefined) ctx.set('Retry-After', String(reply.retryAfter));
-    if (reply.close) ctx.set('Connection', 'close');
+    if (reply.shouldCloseConnection) ctx.set('Connection', 'close');
     ctx.type = CONTENT_TYPE;
     ctx.body = Buffer.isBuffer(reply.body) ? reply.body : encode(reply.body ?? {});
   });
   return app;
 }
 
-async function answer(handlers: RequestHandlers, ctx: Koa.Context, log: Logger): Promise<Reply> {
+async function answer(
+  handlers: RequestHandlers,
+  ctx: Koa.Context,
+  log: Logger,
+): Promise<ApiResponse> {
   try {
     if (ctx.path === HEALTH_PATH) {
       return ctx.method === 'GET' ? handlers.health() : METHOD_NOT_ALLOWED;
--- a/src/api/job-replies.ts
+++ b/src/api/job-responses.ts
@@ -4,25 +4,25 @@
 import type { JobAnswer } from '../leader/job-requests.js';
 import { ms, type DurationMs } from '../units/index.js';
 import { JobStatus, encodeJobState } from '../wire/index.js';
-import { NO_SUCH_JOB, TRY_AGAIN, type Reply } from './reply.js';
+import { NO_SUCH_JOB, TRY_AGAIN, type ApiResponse } from './api-response.js';
 
 /** What the store said longer ago than this may not be the latest any more. */
-export const STORE_ANSWER_TTL = ms(250);
+export const STORE_RESPONSE_TTL = ms(250);
 
 /** The job is in the store, by this submission. */
-export const createdReply = (id: string): Reply => ({
+export const createdResponse = (id: string): ApiResponse => ({
   status: 201,
   body: encodeJobState({ id, status: JobStatus.pending }),
 });
 
 /** A submission can't be written soon: when to come back, in whole seconds. */
-export const busyReply = (wait: DurationMs): Reply => ({
+export const busyResponse = (wait: DurationMs): ApiResponse => ({
   status: 429,
   retryAfter: Math.max(1, Math.ceil(wait / 1000)),
 });
 
 /** The job as the store holds it. */
-export function storedJobReply(id: string, stored: StoredJob): Reply {
+export function storedJobResponse(id: string, stored: StoredJob): ApiResponse {
   switch (stored.kind) {
     case 'live':
       return { status: 200, body: liveBody(stored.job) };
@@ -36,7 +36,7 @@
 }
 
 /** The job as the leader knows it; `absent` is the reply if there is none. */
-export function jobAnswerReply(id: string, answer: JobAnswer, absent: Reply): Reply {
+export function leaderJobResponse(id: string, answer: JobAnswer, absent: ApiResponse): ApiResponse {
   switch (answer.kind) {
     case 'live':
       // Not committed yet: the job may still come to nothing.
--- a/src/api/leadership.ts
+++ b/src/api/leader-view.ts
@@ -1,11 +1,11 @@
 /** Who leads, as far as a request is concerned: this node, another that can be reached, or none. */
 import type { Election } from '../leader/election.js';
 import type { Term } from '../leader/term.js';
-import type { Peer } from '../peer/channel.js';
+import type { Peer } from '../peer/peer.js';
 import type { NodeId } from '../units/index.js';
 
 /** Whether a request may be passed on to the leader: one that another node passed on to us may not. */
-export type Relaying = 'relay' | 'answerHere';
+export type RelayPolicy = 'relay' | 'answerHere';
 
 /** What a user's request is answered by. */
 export type RequestRoute =
@@ -34,7 +34,7 @@
   }
 
   /** What a user's request is answered by at this moment. */
-  routeFor(relaying: Relaying): RequestRoute {
+  routeFor(relaying: RelayPolicy): RequestRoute {
     const term = this.authorisedTerm();
     if (term?.isReady) return { kind: 'term', term };
     // A leader that still reads the records has no other to ask, and requests must not go in circles.
@@ -43,19 +43,19 @@
   }
 
   /** Who holds the leader key, as far as this node knows. */
-  leaderNode(): NodeId | undefined {
+  leaderId(): NodeId | undefined {
     return this.election.leader();
   }
 
   /** The way to another node that leads, if that node answers. */
   leaderPeer(): Peer | undefined {
-    const node = this.leaderNode();
+    const node = this.leaderId();
     const peer = node === undefined ? undefined : this.peers.get(node);
-    return peer?.responsive ? peer : undefined;
+    return peer?.isResponsive ? peer : undefined;
   }
 
   /** The other nodes that answer. */
-  responsivePeers(): NodeId[] {
-    return [...this.peers].filter(([, peer]) => peer.responsive).map(([node]) => node);
+  responsivePeerIds(): NodeId[] {
+    return [...this.peers].filter(([, peer]) => peer.isResponsive).map(([node]) => node);
   }
 }
--- a/src/api/peer-requests.ts
+++ b/src/api/peer-request-handler.ts
@@ -1,13 +1,13 @@
 /** What the other controllers ask of this one. */
 import type { HttpClient } from '../net/http.js';
 import type { MachineImages, PeerRequest, PeerResponse, PeerStatus } from '../peer/messages.js';
-import { callWorker } from '../relay/worker-call.js';
+import { sendCommandsToWorker } from '../relay/worker-commands.js';
 import { JobId } from '../units/index.js';
 import { encode } from '../wire/index.js';
-import type { LeaderView } from './leadership.js';
-import type { Reply } from './reply.js';
-import type { UserRequests } from './user-requests.js';
-import type { WorkerHeartbeats } from './worker-heartbeats.js';
+import type { LeaderView } from './leader-view.js';
+import type { ApiResponse } from './api-response.js';
+import type { UserRequestHandler } from './user-request-handler.js';
+import type { WorkerHeartbeatHandler } from './worker-heartbeat-handler.js';
 
 /** What the rest of the node does with what peers say. */
 export interface PeerEvents {
@@ -19,14 +19,14 @@
 /** What peers' requests need of the rest of the node. */
 export interface PeerRequestDependencies {
   readonly leadership: LeaderView;
-  readonly userRequests: UserRequests;
-  readonly workerHeartbeats: WorkerHeartbeats;
+  readonly userRequests: UserRequestHandler;
+  readonly workerHeartbeats: WorkerHeartbeatHandler;
   readonly http: HttpClient;
   readonly events: PeerEvents;
 }
 
 /** Answers the other controllers. */
-export class PeerRequests {
+export class PeerRequestHandler {
   constructor(private readonly deps: PeerRequestDependencies) {}
 
   /** The response to a request, by its type. */
@@ -43,7 +43,7 @@
       case 'workerHeartbeats':
         return workerHeartbeats.handleRelayed(request.node, request.epoch, request.heartbeats);
       case 'sendCommands':
-        return callWorker(http, request);
+        return sendCommandsToWorker(http, request);
       case 'submitJob':
       case 'readJob':
       case 'cancelJob':
@@ -60,7 +60,7 @@
   }
 }
 
-const toUserResponse = ({ status, retryAfter, body }: Reply): PeerResponse => ({
+const toUserResponse = ({ status, retryAfter, body }: ApiResponse): PeerResponse => ({
   type: 'userResponse',
   status,
   retryAfter: retryAfter ?? 0,
--- a/src/api/submissions.ts
+++ b/src/api/submission-handler.ts
@@ -10,11 +10,11 @@
 import { detach } from '../units/detach.js';
 import { JobId, ms, durationBetween, type Clock, type DurationMs } from '../units/index.js';
 import { parseSubmission, submissionId, type JobSpec, type Parsed } from '../wire/index.js';
-import type { JobQueries } from './job-queries.js';
-import { STORE_ANSWER_TTL, busyReply, createdReply } from './job-replies.js';
-import { askLeader } from './leader-call.js';
-import type { LeaderView, Relaying } from './leadership.js';
-import { TRY_AGAIN, type Reply } from './reply.js';
+import type { JobHandler } from './job-handler.js';
+import { STORE_RESPONSE_TTL, busyResponse, createdResponse } from './job-responses.js';
+import { sendToLeader } from './leader-request.js';
+import type { LeaderView, RelayPolicy } from './leader-view.js';
+import { TRY_AGAIN, type ApiResponse } from './api-response.js';
 
 /**
  * A node that gets no response in time writes the record itself, if there is none. That costs more than an
@@ -30,7 +30,7 @@
   readonly admission: AdmissionControl;
   readonly leadership: LeaderView;
   readonly jobRecords: JobRecords;
-  readonly queries: Pick<JobQueries, 'read' | 'replyIfAuthorised'>;
+  readonly queries: Pick<JobHandler, 'read' | 'responseIfAuthorised'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
@@ -40,14 +40,14 @@
   | { readonly kind: 'admitted'; readonly spec: JobSpec }
   /** The machine types are not known yet: a repeat can be answered, a new job can't be judged. */
   | { readonly kind: 'undecided'; readonly spec: JobSpec }
-  | { readonly kind: 'refused'; readonly refusal: Reply };
+  | { readonly kind: 'refused'; readonly refusal: ApiResponse };
 
 /** What became of a submission. */
 type CommitOutcome =
   /** Our term took it in, or knew it already, or could not tell. */
   | { readonly kind: 'term'; readonly term: Term; readonly outcome: SubmitOutcome }
   /** The leader answered for us. */
-  | { readonly kind: 'answered'; readonly reply: Reply }
+  | { readonly kind: 'answered'; readonly reply: ApiResponse }
   /** We wrote the record, and know so at once (`isLate` false) or after some time. */
   | { readonly kind: 'written'; readonly isLate: boolean }
   /** A record holds the job already. */
@@ -59,11 +59,11 @@
 const UNKNOWN: CommitOutcome = { kind: 'unknown' };
 
 /** Takes jobs in. */
-export class Submissions {
+export class SubmissionHandler {
   constructor(private readonly deps: SubmissionDependencies) {}
 
   /** Answers 201 only once the job is in the store. */
-  async submit(body: Buffer, relaying: Relaying): Promise<Reply> {
+  async submit(body: Buffer, relaying: RelayPolicy): Promise<ApiResponse> {
     const admission = this.admit(parseSubmission(body));
     if (admission.kind === 'refused') return this.refuse(body, admission.refusal, relaying);
     const outcome = await this.commit(admission, body, relaying);
@@ -86,7 +86,11 @@
   }
 
   /** A repeat of a job that was accepted is answered with its state, whatever it says now. */
-  private async refuse(body: Buffer, refusal: Reply, relaying: Relaying): Promise<Reply> {
+  private async refuse(
+    body: Buffer,
+    refusal: ApiResponse,
+    relaying: RelayPolicy,
+  ): Promise<ApiResponse> {
     const id = submissionId(body);
     if (id === undefined) return refusal;
     const known = await this.deps.queries.read(id, relaying);
@@ -96,7 +100,7 @@
   private async commit(
     { kind, spec }: Admission & { readonly spec: JobSpec },
     body: Buffer,
-    relaying: Relaying,
+    relaying: RelayPolicy,
   ): Promise<CommitOutcome> {
     const isUndecided = kind === 'undecided';
     const responder = this.deps.leadership.routeFor(relaying);
@@ -107,7 +111,7 @@
     }
     if (responder.kind === 'leader') {
       const request = { type: 'submitJob', body } as const;
-      const response = await askLeader(responder.peer, request, SUBMIT_TIMEOUT);
+      const response = await sendToLeader(responder.peer, request, SUBMIT_TIMEOUT);
       if (response.kind === 'answered') return response;
     }
     return isUndecided ? UNKNOWN : this.writeRecord(spec);
@@ -125,7 +129,7 @@
         this.notifyLeader(JobId(spec.id));
         return {
           kind: 'written',
-          isLate: durationBetween(askedAt, clock.steady()) > STORE_ANSWER_TTL,
+          isLate: durationBetween(askedAt, clock.steady()) > STORE_RESPONSE_TTL,
         };
       case 'exists':
       case 'unknown':
@@ -141,11 +145,17 @@
       if (term.isReady) detach(term.findJob(id), log, 'reading a job that this node wrote');
       return;
     }
-    const notice = leadership.leaderPeer()?.request({ type: 'jobNotice', job: id }, NOTICE_TIMEOUT);
+    const notice = leadership
+      .leaderPeer()
+      ?.sendRequest({ type: 'jobNotice', job: id }, NOTICE_TIMEOUT);
     if (notice) detach(notice, log, 'notice of a job to the leader');
   }
 
-  private async answer(id: string, outcome: CommitOutcome, relaying: Relaying): Promise<Reply> {
+  private async answer(
+    id: string,
+    outcome: CommitOutcome,
+    relaying: RelayPolicy,
+  ): Promise<ApiResponse> {
     const { queries } = this.deps;
     switch (outcome.kind) {
       case 'term':
@@ -154,26 +164,26 @@
         return outcome.reply;
       case 'written':
         // The store answered late: the job may be cancelled since, and its user may know that.
-        return outcome.isLate ? queries.read(id, relaying) : createdReply(id);
+        return outcome.isLate ? queries.read(id, relaying) : createdResponse(id);
       case 'exists': {
         const known = await queries.read(id, relaying);
         return known.status === 404 ? TRY_AGAIN : known;
       }
       case 'busy':
-        return busyReply(outcome.wait);
+        return busyResponse(outcome.wait);
       case 'unknown':
         return TRY_AGAIN;
     }
   }
 
-  private answerFromTerm(term: Term, id: string, outcome: SubmitOutcome): Reply {
+  private answerFromTerm(term: Term, id: string, outcome: SubmitOutcome): ApiResponse {
     switch (outcome.kind) {
       case 'created':
-        return createdReply(id);
+        return createdResponse(id);
       case 'busy':
-        return busyReply(outcome.wait);
+        return busyResponse(outcome.wait);
       default:
-        return this.deps.queries.replyIfAuthorised(term, id, outcome, TRY_AGAIN);
+        return this.deps.queries.responseIfAuthorised(term, id, outcome, TRY_AGAIN);
     }
   }
 }
--- a/src/api/user-requests.ts
+++ b/src/api/user-request-handler.ts
@@ -8,10 +8,16 @@
 import type { JobRecords } from '../ledger/job-records.js';
 import type { UserPeerRequest } from '../peer/messages.js';
 import { ms, type Clock } from '../units/index.js';
-import { JobQueries } from './job-queries.js';
-import type { LeaderView } from './leadership.js';
-import { ISOLATED, METHOD_NOT_ALLOWED, NO_SUCH_PATH, TRY_AGAIN, type Reply } from './reply.js';
-import { Submissions } from './submissions.js';
+import { JobHandler } from './job-handler.js';
+import type { LeaderView } from './leader-view.js';
+import {
+  ISOLATED,
+  METHOD_NOT_ALLOWED,
+  NO_SUCH_PATH,
+  TRY_AGAIN,
+  type ApiResponse,
+} from './api-response.js';
+import { SubmissionHandler } from './submission-handler.js';
 
 /** The longest a user's request is worked on before it gets its final answer. */
 const MAX_REQUEST_TIME = ms(2500);
@@ -32,17 +38,17 @@
 }
 
 /** Answers users, whether they ask this node or another that passes their requests on. */
-export class UserRequests {
-  private readonly queries: JobQueries;
-  private readonly submissions: Submissions;
+export class UserRequestHandler {
+  private readonly queries: JobHandler;
+  private readonly submissions: SubmissionHandler;
 
   constructor(private readonly deps: UserRequestDependencies) {
-    this.queries = new JobQueries(deps.leadership, deps.jobRecords, deps.clock);
-    this.submissions = new Submissions({ ...deps, queries: this.queries });
+    this.queries = new JobHandler(deps.leadership, deps.jobRecords, deps.clock);
+    this.submissions = new SubmissionHandler({ ...deps, queries: this.queries });
   }
 
   /** A request that came over HTTP. */
-  async handle(method: string, path: string, body: Buffer): Promise<Reply> {
+  async handle(method: string, path: string, body: Buffer): Promise<ApiResponse> {
     if (this.deps.isIsolated()) return ISOLATED;
     if (path === JOBS_PATH) {
       if (method !== 'POST') return METHOD_NOT_ALLOWED;
@@ -65,7 +71,7 @@
    * A request that another node passed on: answered under our own authority or not at all, since it
    * must not be passed on in circles.
    */
-  async handleRelayed(request: UserPeerRequest): Promise<Reply> {
+  async handleRelayed(request: UserPeerRequest): Promise<ApiResponse> {
     if (!this.deps.leadership.authorisedTerm()?.isReady) return TRY_AGAIN;
     switch (request.type) {
       case 'submitJob':
@@ -78,7 +84,7 @@
   }
 
   /** Whatever is still being worked on after a while gets its final answer: try again. */
-  private withDeadline(work: Promise<Reply>): Promise<Reply> {
+  private withDeadline(work: Promise<ApiResponse>): Promise<ApiResponse> {
     return new Promise((resolve) => {
       const timer = this.deps.clock.after(MAX_REQUEST_TIME, () => resolve(TRY_AGAIN));
       work.then(
--- a/src/api/worker-heartbeats.ts
+++ b/src/api/worker-heartbeat-handler.ts
@@ -24,8 +24,8 @@
   encodeRedirect,
   type Heartbeat,
 } from '../wire/index.js';
-import type { LeaderView } from './leadership.js';
-import { NOT_A_HEARTBEAT, NOT_AUTHORISED, type Reply } from './reply.js';
+import type { LeaderView } from './leader-view.js';
+import { INVALID_HEARTBEAT, CANNOT_ANSWER_HEARTBEAT, type ApiResponse } from './api-response.js';
 
 /**
  * A leader that has ended is replaced after about its lease. One that has not answered us for longer
@@ -63,7 +63,7 @@
 /** What heartbeats need of the rest of the node. */
 export interface WorkerHeartbeatDependencies {
   /** This node. */
-  readonly node: NodeId;
+  readonly controllerId: NodeId;
   readonly leadership: LeaderView;
   readonly relay: HeartbeatRelay;
   readonly clock: Clock;
@@ -72,7 +72,7 @@
 }
 
 /** Answers workers, whether they report to this node or to another that passes their heartbeats on. */
-export class WorkerHeartbeats {
+export class WorkerHeartbeatHandler {
   private readonly redirects = new ExpiringMap<MachineId, Redirect>(REDIRECT_TTL);
   /** Since when the leader that we know of has not answered us. */
   private leaderUnreachableSince: SteadyMs | undefined;
@@ -85,13 +85,13 @@
   }
 
   /** A heartbeat that came straight from its worker. */
-  async handle(body: Buffer): Promise<Reply> {
+  async handle(body: Buffer): Promise<ApiResponse> {
     const heartbeat = parseHeartbeat(body);
-    if (!heartbeat) return NOT_A_HEARTBEAT;
+    if (!heartbeat) return INVALID_HEARTBEAT;
     const term = this.leadership.authorisedTerm();
     if (term) return this.answerHere(heartbeat, term);
     // The node that we take for the leader may be gone for long.
-    if (this.deps.isIsolated()) return NOT_AUTHORISED;
+    if (this.deps.isIsolated()) return CANNOT_ANSWER_HEARTBEAT;
     const leader = this.unreachableLeader();
     // The worker may reach the leader where we don't.
     if (leader !== undefined && !this.isRedirectFailed(heartbeat.machine))
@@ -100,13 +100,13 @@
     if (reply) return { status: 200, body: encodeHeartbeatReply(reply) };
     // This node may have come to lead while it waited for the leader.
     const own = this.leadership.authorisedTerm();
-    return own ? this.answerHere(heartbeat, own) : NOT_AUTHORISED;
+    return own ? this.answerHere(heartbeat, own) : CANNOT_ANSWER_HEARTBEAT;
   }
 
   /** The leader, if it is another node that we have not reached for longer than a failover takes. */
   private unreachableLeader(): NodeId | undefined {
-    const leader = this.leadership.leaderNode();
-    if (leader === undefined || leader === this.deps.node || this.leadership.leaderPeer()) {
+    const leader = this.leadership.leaderId();
+    if (leader === undefined || leader === this.deps.controllerId || this.leadership.leaderPeer()) {
       this.leaderUnreachableSince = undefined;
       return undefined;
     }
@@ -117,17 +117,17 @@
       : undefined;
   }
 
-  private async answerHere(heartbeat: Heartbeat, term: Term): Promise<Reply> {
+  private async answerHere(heartbeat: Heartbeat, term: Term): Promise<ApiResponse> {
     // It has seen a newer token than ours: we have no right to act any more.
-    if (heartbeat.fencingToken > term.epoch) return NOT_AUTHORISED;
+    if (heartbeat.fencingToken > term.epoch) return CANNOT_ANSWER_HEARTBEAT;
     const follower = term.redirectsWorkers ? this.followerFor(heartbeat.machine) : undefined;
     if (follower !== undefined && !this.isRedirectFailed(heartbeat.machine))
       return redirectTo(follower);
-    if (!(await this.isRebuilt(term))) return NOT_AUTHORISED;
+    if (!(await this.isRebuilt(term))) return CANNOT_ANSWER_HEARTBEAT;
     const reply = term.handleHeartbeat(heartbeat);
     return this.leadership.authorisedTerm() === term
       ? { status: 200, body: encodeHeartbeatReply(reply) }
-      : NOT_AUTHORISED;
+      : CANNOT_ANSWER_HEARTBEAT;
   }
 
   /**
@@ -184,7 +184,7 @@
 
   /** The node through which a worker is to report; none if no other answers. */
   private followerFor(machine: string): NodeId | undefined {
-    const nodes = this.leadership.responsivePeers();
+    const nodes = this.leadership.responsivePeerIds();
     let hash = 0;
     for (let i = 0; i < machine.length; i++) hash = (hash * 31 + machine.charCodeAt(i)) >>> 0;
     return nodes[hash % Math.max(1, nodes.length)];
@@ -210,7 +210,7 @@
 const isServedHere = ({ at, servedUntil }: Redirect, now: SteadyMs): boolean =>
   servedUntil === undefined ? durationBetween(at, now) < BOUNCE_WINDOW : now < servedUntil;
 
-const redirectTo = (node: NodeId): Reply => ({ status: 421, body: encodeRedirect(node) });
+const redirectTo = (node: NodeId): ApiResponse => ({ status: 421, body: encodeRedirect(node) });
 
 const allRefused = (count: number): PeerResponse => ({
   type: 'heartbeatResponses',
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -1,10 +1,10 @@
 /** One controller: everything but the sockets it listens on, so that tests can drive it. */
 import type { Logger } from 'pino';
-import { LeaderView } from './api/leadership.js';
-import { PeerRequests } from './api/peer-requests.js';
-import { ISOLATED, TRY_AGAIN, type Reply } from './api/reply.js';
-import { UserRequests } from './api/user-requests.js';
-import { WorkerHeartbeats } from './api/worker-heartbeats.js';
+import { LeaderView } from './api/leader-view.js';
+import { PeerRequestHandler } from './api/peer-request-handler.js';
+import { ISOLATED, TRY_AGAIN, type ApiResponse } from './api/api-response.js';
+import { UserRequestHandler } from './api/user-request-handler.js';
+import { WorkerHeartbeatHandler } from './api/worker-heartbeat-handler.js';
 import { CloudClient } from './cloud/client.js';
 import { MachineCatalog } from './cloud/machine-catalog.js';
 import type { OperatorSettings } from './config/operator.js';
@@ -17,8 +17,8 @@
 import { StoredCatalog } from './leader/stored-catalog.js';
 import { Term } from './leader/term.js';
 import type { HttpClient } from './net/http.js';
-import type { Peer } from './peer/channel.js';
-import { PeerLiveness, isRecent } from './peer/liveness.js';
+import type { Peer } from './peer/peer.js';
+import { PeerLiveness, isRecentResponse } from './peer/peer-liveness.js';
 import type { MachineImages, PeerStatus } from './peer/messages.js';
 import { HeartbeatRelay } from './relay/heartbeat-relay.js';
 import { StoreClient } from './store/client.js';
@@ -40,9 +40,9 @@
 
 /** Takes part in the election, leads terms, and answers users, workers and the other controllers. */
 export class Controller {
-  readonly userRequests: UserRequests;
-  readonly workerHeartbeats: WorkerHeartbeats;
-  readonly peerRequests: PeerRequests;
+  readonly userRequests: UserRequestHandler;
+  readonly workerHeartbeats: WorkerHeartbeatHandler;
+  readonly peerRequests: PeerRequestHandler;
   readonly election: Election;
   private readonly store: StoreClient;
   private readonly recordLimits: RecordLimits;
@@ -111,10 +111,10 @@
     });
   }
 
-  private createUserRequests(): UserRequests {
+  private createUserRequests(): UserRequestHandler {
     const { catalog, jobRecords, leadership, recordLimits } = this;
     const { clock, log } = this.environment;
-    return new UserRequests({
+    return new UserRequestHandler({
       admission: new AdmissionControl(catalog, this.settings.teams, recordLimits),
       leadership,
       jobRecords,
@@ -124,29 +124,34 @@
     });
   }
 
-  private createWorkerHeartbeats(): WorkerHeartbeats {
+  private createWorkerHeartbeats(): WorkerHeartbeatHandler {
     const { leadership } = this;
     const { node } = this.settings;
     const { clock, log } = this.environment;
-    return new WorkerHeartbeats({
-      node,
+    return new WorkerHeartbeatHandler({
+      controllerId: node,
       leadership,
-      relay: new HeartbeatRelay({ node, clock, log, leaderPeer: () => leadership.leaderPeer() }),
+      relay: new HeartbeatRelay({
+        controllerId: node,
+        clock,
+        log,
+        leaderPeer: () => leadership.leaderPeer(),
+      }),
       clock,
       isIsolated: () => this.isIsolated(),
     });
   }
 
-  private createPeerRequests(): PeerRequests {
+  private createPeerRequests(): PeerRequestHandler {
     const { clock, http } = this.environment;
-    return new PeerRequests({
+    return new PeerRequestHandler({
       leadership: this.leadership,
       userRequests: this.userRequests,
       workerHeartbeats: this.workerHeartbeats,
       http,
       events: {
         onImageHints: (machines) => this.imageHints.record(machines, clock.steady()),
-        onHeartbeat: (status) => this.peerLiveness.respond(status),
+        onHeartbeat: (status) => this.peerLiveness.handleHeartbeat(status),
       },
     });
   }
@@ -187,7 +192,7 @@
     return {
       leader: this.election.leader() ?? '',
       epoch: this.election.leaderEpoch(),
-      storeReachable: isRecent(this.store.servedAt, this.environment.clock.steady()),
+      storeReachable: isRecentResponse(this.store.servedAt, this.environment.clock.steady()),
     };
   }
 
@@ -199,8 +204,8 @@
     const { clock, log, peers } = this.environment;
     this.imageHints.record(machines, clock.steady());
     for (const peer of peers.values()) {
-      if (!peer.responsive) continue;
-      const sent = peer.request({ type: 'imageHints', machines }, IMAGE_HINTS_TIMEOUT);
+      if (!peer.isResponsive) continue;
+      const sent = peer.sendRequest({ type: 'imageHints', machines }, IMAGE_HINTS_TIMEOUT);
       detach(sent, log, 'sending image hints');
     }
   }
@@ -211,7 +216,7 @@
    * whose connections are reset and which is let back in only after a pause. One that is cut off alone
    * says so, since another node could serve the users that stay with it.
    */
-  health(): Reply {
+  health(): ApiResponse {
     this.hasSeenLeader ||= this.election.leader() !== undefined;
     if (!this.hasSeenLeader) return TRY_AGAIN;
     if (this.isIsolated()) return ISOLATED;
--- a/src/leader/contact-history.ts
+++ b/src/leader/contact-history.ts
@@ -2,7 +2,7 @@
  * When this leader may conclude something from the silence of machines: since when it answers heartbeats
  * without a break, and which followers, through which machines report, did not respond.
  */
-import type { Peer } from '../peer/channel.js';
+import type { Peer } from '../peer/peer.js';
 import type { NodeId, SteadyMs } from '../units/index.js';
 
 /** Kept up to date by the periodic work of a term, read by capacity planning. */
@@ -13,7 +13,7 @@
   private unbrokenSince: SteadyMs;
 
   constructor(
-    private readonly peers: ReadonlyMap<NodeId, Pick<Peer, 'responsive'>>,
+    private readonly peers: ReadonlyMap<NodeId, Pick<Peer, 'isResponsive'>>,
     startedAt: SteadyMs,
   ) {
     this.unbrokenSince = startedAt;
@@ -36,7 +36,7 @@
   /** Remembers which other nodes do not respond at this moment. */
   noteUnreachablePeers(now: SteadyMs): void {
     for (const [node, peer] of this.peers) {
-      if (!peer.responsive) this.unreachableAt.set(node, now);
+      if (!peer.isResponsive) this.unreachableAt.set(node, now);
     }
   }
 }
--- a/src/leader/dependencies.ts
+++ b/src/leader/dependencies.ts
@@ -8,7 +8,7 @@
 import type { StoreClient } from '../store/client.js';
 import type { JobRecords } from '../ledger/job-records.js';
 import type { RecordLimits } from '../ledger/record-limits.js';
-import type { Peer } from '../peer/channel.js';
+import type { Peer } from '../peer/peer.js';
 import type { MachineImages } from '../peer/messages.js';
 import type { Clock, Epoch, NodeId, Random } from '../units/index.js';
 import type { ImageHints } from './image-hints.js';
--- a/src/leader/worker-calls.ts
+++ b/src/leader/worker-calls.ts
@@ -4,7 +4,7 @@
 import { workerLeaseEnd } from '../fleet/worker-lease.js';
 import { toWorkerStatus, type WorkerStatus } from '../fleet/worker-status.js';
 import type { CommandOutcome } from '../peer/messages.js';
-import { callWorker, callWorkerThrough } from '../relay/worker-call.js';
+import { sendCommandsToWorker, sendCommandsViaPeer } from '../relay/worker-commands.js';
 import { detach } from '../units/detach.js';
 import { ms, type DurationMs, type Epoch } from '../units/index.js';
 import type { Command } from '../wire/index.js';
@@ -100,9 +100,9 @@
     };
     const { http, peers } = this.deps;
     const peer = machine.relayNode === undefined ? undefined : peers.get(machine.relayNode);
-    const { outcome, reason, heartbeat } = peer?.responsive
-      ? await callWorkerThrough(peer, request)
-      : await callWorker(http, request);
+    const { outcome, reason, heartbeat } = peer?.isResponsive
+      ? await sendCommandsViaPeer(peer, request)
+      : await sendCommandsToWorker(http, request);
     // Another machine may have got the address; and one that is gone must not be brought back.
     const isSound = heartbeat?.machine === machine.id && !this.fleet.isGone(machine.id);
     return { outcome, reason, status: isSound ? toWorkerStatus(heartbeat) : undefined };
--- a/src/main.ts
+++ b/src/main.ts
@@ -8,7 +8,7 @@
 import type { Settings } from './config/settings.js';
 import { Controller } from './controller.js';
 import { NodeHttpClient } from './net/client.js';
-import { PeerLink } from './peer/link.js';
+import { PeerClient } from './peer/peer-client.js';
 import { createLog, logUncaughtErrors } from './process-log.js';
 import { startServers } from './servers.js';
 import { socketBudget } from './socket-budget.js';
@@ -29,8 +29,8 @@
   const log = createLog(settings.node, process.env.LOG_LEVEL);
   logUncaughtErrors(log);
   const sockets = socketBudget(settings);
-  const peers = new Map<NodeId, PeerLink>(
-    settings.others.map(({ node, endpoint }) => [node, new PeerLink(endpoint, systemClock, log)]),
+  const peers = new Map<NodeId, PeerClient>(
+    settings.others.map(({ node, endpoint }) => [node, new PeerClient(endpoint, systemClock, log)]),
   );
   const controller = new Controller(settings, operator, {
     clock: systemClock,
--- a/src/peer/framing.ts
+++ b/src/peer/framing.ts
@@ -6,7 +6,7 @@
 const LENGTH_BYTES = 4;
 
 /** Puts a length before each chunk written. Chunks written in one turn of the event loop leave as one packet. */
-export class Framer extends Transform {
+export class FrameEncoder extends Transform {
   private parts: Buffer[] = [];
 
   constructor() {
@@ -33,7 +33,7 @@
 }
 
 /** Restores the chunks that were framed, however the bytes arrive. Fails on a frame over the limit. */
-export class Deframer extends Transform {
+export class FrameDecoder extends Transform {
   private received: Buffer = Buffer.alloc(0);
 
   constructor() {
--- a/src/peer/link.ts
+++ b/src/peer/peer-client.ts
@@ -12,9 +12,9 @@
   type Endpoint,
 } from '../units/index.js';
 import { messageOf } from '../units/errors.js';
-import type { Peer } from './channel.js';
+import type { Peer } from './peer.js';
 import { decodeResponse, encodeRequest } from './codec.js';
-import { Deframer, Framer } from './framing.js';
+import { FrameDecoder, FrameEncoder } from './framing.js';
 import type { PeerRequest, PeerResponse } from './messages.js';
 
 const CONNECT_TIMEOUT = ms(700);
@@ -29,9 +29,9 @@
 type Settle = (response: PeerResponse | undefined) => void;
 
 /** A kept connection to another node. It is opened by the first request, and again by the next after it has ended. */
-export class PeerLink implements Peer {
+export class PeerClient implements Peer {
   private socket: net.Socket | undefined;
-  private framer: Framer | undefined;
+  private framer: FrameEncoder | undefined;
   private isConnected = false;
   private nextId = 1;
   private readonly pending = new Map<number, Settle>();
@@ -46,7 +46,7 @@
     private readonly log: Logger,
   ) {}
 
-  get responsive(): boolean {
+  get isResponsive(): boolean {
     return this.isConnected && !this.isSilent;
   }
 
@@ -62,7 +62,7 @@
     this.socket?.destroy();
   }
 
-  async request(request: PeerRequest, timeout: DurationMs): Promise<PeerResponse | undefined> {
+  async sendRequest(request: PeerRequest, timeout: DurationMs): Promise<PeerResponse | undefined> {
     this.connect();
     const framer = this.framer;
     if (!framer || this.isClosed) return undefined;
@@ -92,7 +92,7 @@
       port: Number(this.endpoint.slice(colon + 1)),
       noDelay: true,
     });
-    const framer = new Framer();
+    const framer = new FrameEncoder();
     this.socket = socket;
     this.framer = framer;
     const timer = this.clock.after(CONNECT_TIMEOUT, () => {
@@ -115,7 +115,7 @@
 
   /** Passes each response to its request until the connection ends. */
   private receive(socket: net.Socket): Promise<void> {
-    return pipeline(socket, new Deframer(), async (frames: AsyncIterable<Buffer>) => {
+    return pipeline(socket, new FrameDecoder(), async (frames: AsyncIterable<Buffer>) => {
       for await (const frame of frames) {
         const { id, message } = decodeResponse(frame);
         this.silentSince = undefined;
--- a/src/peer/liveness.ts
+++ b/src/peer/peer-liveness.ts
@@ -9,7 +9,7 @@
   type NodeId,
   type SteadyMs,
 } from '../units/index.js';
-import type { Peer } from './channel.js';
+import type { Peer } from './peer.js';
 import type { PeerStatus } from './messages.js';
 
 const HEARTBEAT_INTERVAL = ms(1000);
@@ -21,7 +21,7 @@
 
 /** The latest status of another node, and when it arrived. */
 export interface ReceivedStatus {
-  readonly at: SteadyMs;
+  readonly receivedAt: SteadyMs;
   readonly status: PeerStatus;
 }
 
@@ -37,16 +37,16 @@
   if (peers.length === 0 || durationBetween(storeServedAt, now) < ISOLATED_AFTER) return false;
   for (const peer of peers) {
     if (!peer) continue;
-    const age = durationBetween(peer.at, now);
+    const age = durationBetween(peer.receivedAt, now);
     if (age < ISOLATED_AFTER) return false;
-    const isOutageForAll = !peer.status.storeReachable && peer.at > storeServedAt;
+    const isOutageForAll = !peer.status.storeReachable && peer.receivedAt > storeServedAt;
     if (isOutageForAll && age < OUTAGE_REPORT_TTL) return false;
   }
   return true;
 }
 
 /** Whether an answer at that time is recent enough for its sender to count as reachable. */
-export const isRecent = (at: SteadyMs, now: SteadyMs): boolean =>
+export const isRecentResponse = (at: SteadyMs, now: SteadyMs): boolean =>
   durationBetween(at, now) < ISOLATED_AFTER;
 
 /** What heartbeats carry, for `PeerLiveness`. */
@@ -84,10 +84,10 @@
     if (this.isStopped) return;
     const status = this.exchange.ownStatus();
     const exchanged = peer
-      .request({ type: 'peerHeartbeat', status }, HEARTBEAT_TIMEOUT)
+      .sendRequest({ type: 'peerHeartbeat', status }, HEARTBEAT_TIMEOUT)
       .then((response) => {
         if (response?.type !== 'peerStatus') return;
-        this.latest.set(node, { at: this.clock.steady(), status: response.status });
+        this.latest.set(node, { receivedAt: this.clock.steady(), status: response.status });
         this.exchange.onPeerStatus(response.status);
       })
       .finally(() => this.clock.after(HEARTBEAT_INTERVAL, () => this.sendHeartbeat(node, peer)));
@@ -95,7 +95,7 @@
   }
 
   /** Takes another node's heartbeat and returns the status to respond with. */
-  respond(status: PeerStatus): PeerStatus {
+  handleHeartbeat(status: PeerStatus): PeerStatus {
     this.exchange.onPeerStatus(status);
     return this.exchange.ownStatus();
   }
--- a/src/peer/server.ts
+++ b/src/peer/peer-server.ts
@@ -4,9 +4,9 @@
 import type { Logger } from 'pino';
 import { detach } from '../units/detach.js';
 import { messageOf } from '../units/errors.js';
-import type { PeerHandler } from './channel.js';
+import type { PeerHandler } from './peer.js';
 import { decodeRequest, encodeResponse, type Envelope } from './codec.js';
-import { Deframer, Framer } from './framing.js';
+import { FrameDecoder, FrameEncoder } from './framing.js';
 import type { PeerRequest } from './messages.js';
 
 /**
@@ -14,7 +14,7 @@
  * from a node of another version, is closed, and logged once for each node: without a link the nodes work
  * together through the store.
  */
-export function servePeers(handle: PeerHandler, log: Logger): net.Server {
+export function createPeerServer(handle: PeerHandler, log: Logger): net.Server {
   const unreadablePeers = new Set<string>();
   const decode = (frame: Buffer, from: string): Envelope<PeerRequest> => {
     try {
@@ -31,13 +31,13 @@
   };
   return net.createServer({ noDelay: true }, (socket) => {
     const from = socket.remoteAddress ?? '';
-    const framer = new Framer();
+    const framer = new FrameEncoder();
     const respond = async ({ id, message }: Envelope<PeerRequest>): Promise<void> => {
       const response = await handle(message);
       if (!framer.destroyed) framer.write(encodeResponse(id, response));
     };
     pipeline(framer, socket).catch(() => socket.destroy());
-    pipeline(socket, new Deframer(), async (frames: AsyncIterable<Buffer>) => {
+    pipeline(socket, new FrameDecoder(), async (frames: AsyncIterable<Buffer>) => {
       for await (const frame of frames) {
         // Answered as they arrive, not in turn: a slow request must not delay the others.
         detach(respond(decode(frame, from)), log, 'peer request');
--- a/src/relay/baselines.ts
+++ b/src/relay/baselines.ts
@@ -25,20 +25,20 @@
   }
 
   /** Drops all baselines if they are of another epoch: only the leader that assigned them knows them. */
-  enterEpoch(epoch: number): void {
+  switchToEpoch(epoch: number): void {
     if (epoch === this.currentEpoch) return;
     this.byMachine = new ExpiringMap(BASELINE_TTL);
     this.currentEpoch = epoch;
   }
 
   /** The leader has accepted a heartbeat; `id` is 0 if later ones can't refer to it. */
-  record(heartbeat: Heartbeat, id: number, now: SteadyMs): void {
+  recordAccepted(heartbeat: Heartbeat, id: number, now: SteadyMs): void {
     if (id === 0) this.byMachine.delete(heartbeat.machine);
     else this.byMachine.set(heartbeat.machine, { id, heartbeat }, now);
   }
 
   /** The shortest form in which a heartbeat can be passed on. */
-  toRelayed(heartbeat: Heartbeat): RelayedHeartbeat {
+  toRelayedHeartbeat(heartbeat: Heartbeat): RelayedHeartbeat {
     const baseline = this.byMachine.get(heartbeat.machine);
     if (!baseline || !isUnchanged(baseline.heartbeat, heartbeat)) {
       return { kind: 'full', heartbeat };
--- a/src/relay/batch.ts
+++ b/src/relay/heartbeat-batch.ts
@@ -19,13 +19,13 @@
 export interface PendingHeartbeat {
   readonly heartbeat: Heartbeat;
   /** The size of the message that it came in. */
-  readonly bytes: number;
+  readonly sizeBytes: number;
   /** Until when it waits for a leader that may answer it. */
-  readonly waitsUntil: SteadyMs;
+  readonly leaderWaitDeadline: SteadyMs;
   /** When its worker has given up waiting. */
-  readonly abandonedAt: SteadyMs;
+  readonly workerDeadline: SteadyMs;
   /** It must be sent in full, since the leader does not know its baseline. */
-  readonly sendFull: boolean;
+  readonly shouldSendFull: boolean;
   /** Called once, with undefined if there is no reply. */
   readonly resolve: (reply: HeartbeatReply | undefined) => void;
 }
@@ -43,12 +43,12 @@
   let bytes = 0;
   let taken = 0;
   for (const next of pending) {
-    if (now > next.abandonedAt) {
+    if (now > next.workerDeadline) {
       next.resolve(undefined);
     } else {
-      const isFull = batch.length >= maxSize || bytes + next.bytes > MAX_BATCH_BYTES;
+      const isFull = batch.length >= maxSize || bytes + next.sizeBytes > MAX_BATCH_BYTES;
       if (batch.length > 0 && isFull) break;
-      bytes += next.bytes;
+      bytes += next.sizeBytes;
       batch.push(next);
     }
     taken++;
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -3,7 +3,7 @@
  * sequence number has changed, so that the leader spends little on each.
  */
 import type { Logger } from 'pino';
-import type { Peer } from '../peer/channel.js';
+import type { Peer } from '../peer/peer.js';
 import type { HeartbeatResponse } from '../peer/messages.js';
 import { detach } from '../units/detach.js';
 import {
@@ -16,7 +16,12 @@
 } from '../units/index.js';
 import type { Heartbeat, HeartbeatReply } from '../wire/index.js';
 import { Baselines } from './baselines.js';
-import { INITIAL_BATCH_SIZE, nextBatchSize, takeBatch, type PendingHeartbeat } from './batch.js';
+import {
+  INITIAL_BATCH_SIZE,
+  nextBatchSize,
+  takeBatch,
+  type PendingHeartbeat,
+} from './heartbeat-batch.js';
 
 /** Heartbeats that arrive within this time go in one batch; the first after a pause goes at once. */
 const BATCH_WINDOW = ms(100);
@@ -34,7 +39,7 @@
 /** What a `HeartbeatRelay` works with. */
 export interface HeartbeatRelayOptions {
   /** The node that the workers report to. */
-  readonly node: NodeId;
+  readonly controllerId: NodeId;
   readonly clock: Clock;
   readonly log: Logger;
   /** The way to the leader; undefined if none is known or it does not respond. */
@@ -61,10 +66,10 @@
     return new Promise((resolve) => {
       this.pending.push({
         heartbeat,
-        bytes,
-        waitsUntil: later(now, MAX_LEADER_WAIT),
-        abandonedAt: later(now, ABANDONED_AFTER),
-        sendFull: false,
+        sizeBytes: bytes,
+        leaderWaitDeadline: later(now, MAX_LEADER_WAIT),
+        workerDeadline: later(now, ABANDONED_AFTER),
+        shouldSendFull: false,
         resolve,
       });
       this.scheduleFlush();
@@ -107,7 +112,7 @@
     const now = clock.steady();
     const waiting: PendingHeartbeat[] = [];
     for (const pending of this.pending) {
-      if (now < pending.waitsUntil) waiting.push(pending);
+      if (now < pending.leaderWaitDeadline) waiting.push(pending);
       else pending.resolve(undefined);
     }
     this.pending = waiting;
@@ -117,13 +122,15 @@
   }
 
   private async sendBatch(peer: Peer, batch: readonly PendingHeartbeat[]): Promise<void> {
-    const { node, clock } = this.options;
+    const { controllerId: node, clock } = this.options;
     const { epoch } = this.baselines;
-    const heartbeats = batch.map(({ heartbeat, sendFull }) =>
-      sendFull ? { kind: 'full' as const, heartbeat } : this.baselines.toRelayed(heartbeat),
+    const heartbeats = batch.map(({ heartbeat, shouldSendFull }) =>
+      shouldSendFull
+        ? { kind: 'full' as const, heartbeat }
+        : this.baselines.toRelayedHeartbeat(heartbeat),
     );
     const sentAt = clock.steady();
-    const response = await peer.request(
+    const response = await peer.sendRequest(
       { type: 'workerHeartbeats', node, epoch, heartbeats },
       BATCH_TIMEOUT,
     );
@@ -132,7 +139,7 @@
       for (const pending of batch) pending.resolve(undefined);
       return;
     }
-    this.baselines.enterEpoch(response.epoch);
+    this.baselines.switchToEpoch(response.epoch);
     for (const [i, pending] of batch.entries()) {
       const answer = response.responses[i];
       if (answer) this.settle(pending, answer, response.epoch);
@@ -142,12 +149,12 @@
   private settle(pending: PendingHeartbeat, response: HeartbeatResponse, epoch: number): void {
     const { outcome, baseline, commands } = response;
     const now = this.options.clock.steady();
-    if (outcome === 'baselineUnknown' && !pending.sendFull) {
-      this.pending.push({ ...pending, sendFull: true });
-    } else if (outcome === 'refused' && now < pending.waitsUntil) {
+    if (outcome === 'baselineUnknown' && !pending.shouldSendFull) {
+      this.pending.push({ ...pending, shouldSendFull: true });
+    } else if (outcome === 'refused' && now < pending.leaderWaitDeadline) {
       this.pending.push(pending);
     } else if (outcome === 'accepted') {
-      this.baselines.record(pending.heartbeat, baseline, now);
+      this.baselines.recordAccepted(pending.heartbeat, baseline, now);
       pending.resolve({ fencingToken: epoch, commands });
     } else {
       pending.resolve(undefined);
--- a/src/relay/worker-call.ts
+++ b/src/relay/worker-commands.ts
@@ -3,7 +3,7 @@
  * Either way the leader alone decides, and the worker checks token and session.
  */
 import type { HttpClient, Outcome } from '../net/http.js';
-import type { Peer } from '../peer/channel.js';
+import type { Peer } from '../peer/peer.js';
 import type { CommandOutcome, CommandResult, SendCommandsRequest } from '../peer/messages.js';
 import { Endpoint, ms } from '../units/index.js';
 import { decodeHeartbeat, encodeCommandRequest } from '../wire/index.js';
@@ -18,7 +18,7 @@
 };
 
 /** Sends commands to a worker from this node. */
-export async function callWorker(
+export async function sendCommandsToWorker(
   http: HttpClient,
   { address, fencingToken, session, timeoutMs, commands }: SendCommandsRequest,
 ): Promise<CommandResult> {
@@ -42,11 +42,11 @@
  * Has another node send commands to a worker. Without a response it is unknown whether they were carried out, or
  * will be: packets between nodes may be delayed and arrive much later.
  */
-export async function callWorkerThrough(
+export async function sendCommandsViaPeer(
   peer: Peer,
   request: SendCommandsRequest,
 ): Promise<CommandResult> {
-  const response = await peer.request(request, ms(request.timeoutMs + RELAY_MARGIN));
+  const response = await peer.sendRequest(request, ms(request.timeoutMs + RELAY_MARGIN));
   if (response?.type === 'commandResult') return response;
   return {
     type: 'commandResult',
--- a/src/servers.ts
+++ b/src/servers.ts
@@ -4,7 +4,7 @@
 import { createApp } from './api/app.js';
 import type { Settings } from './config/settings.js';
 import type { Controller } from './controller.js';
-import { servePeers } from './peer/server.js';
+import { createPeerServer } from './peer/peer-server.js';
 import type { Endpoint } from './units/index.js';
 
 /**
@@ -20,7 +20,7 @@
 
 /** What answers the requests, and who listens for them. */
 interface Listener {
-  readonly server: http.Server | ReturnType<typeof servePeers>;
+  readonly server: http.Server | ReturnType<typeof createPeerServer>;
   readonly endpoint: Endpoint;
   readonly purpose: string;
 }
@@ -34,7 +34,7 @@
 ): void {
   const api = createApiServer(controller, settings, log);
   api.maxConnections = maxApiConnections;
-  const peers = servePeers((request) => controller.peerRequests.handle(request), log);
+  const peers = createPeerServer((request) => controller.peerRequests.handle(request), log);
   listenPersistently(
     [
       { server: api, endpoint: settings.apiEndpoint, purpose: 'users and workers' },
--- a/test/standin/build.ts
+++ b/test/standin/build.ts
@@ -3,7 +3,7 @@
  * exchange frames: bytes that only they read, so that a version's messages stay its own affair.
  */
 import type { Logger } from 'pino';
-import type { Reply } from '../../src/api/reply.js';
+import type { ApiResponse } from '../../src/api/api-response.js';
 import type { HttpClient } from '../../src/net/http.js';
 import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
 
@@ -39,13 +39,13 @@
   /** Ends its timers and loops, as the end of its process would. */
   stop(): void;
   /** The answer to a load balancer's probe. */
-  health(): Reply;
+  health(): ApiResponse;
   /** Whether it leads at this moment. */
   hasAuthority(): boolean;
-  handleUserRequest(method: string, path: string, body: Buffer): Promise<Reply>;
-  handleHeartbeat(body: Buffer): Promise<Reply>;
+  handleUserRequest(method: string, path: string, body: Buffer): Promise<ApiResponse>;
+  handleHeartbeat(body: Buffer): Promise<ApiResponse>;
   /** Handles a peer's request. The body of the reply is the frame of the response. */
-  handlePeerFrame(frame: Buffer): Promise<Reply>;
+  handlePeerFrame(frame: Buffer): Promise<ApiResponse>;
 }
 
 /** A version of the service. */
--- a/test/standin/older-build.ts
+++ b/test/standin/older-build.ts
@@ -5,7 +5,7 @@
 import { resolve } from 'node:path';
 import { pathToFileURL } from 'node:url';
 import type { Logger } from 'pino';
-import type { Reply } from '../../src/api/reply.js';
+import type { ApiResponse } from '../../src/api/api-response.js';
 import type { HttpClient, Outcome, Request } from '../../src/net/http.js';
 import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
 import type { Build, ControllerHost, PeerConnection, RunningController } from './build.js';
@@ -35,11 +35,11 @@
 }
 
 interface OlderController {
-  readonly users: { handle(method: string, path: string, body: Buffer): Promise<Reply> };
-  readonly workers: { handle(body: Buffer): Promise<Reply> };
+  readonly users: { handle(method: string, path: string, body: Buffer): Promise<ApiResponse> };
+  readonly workers: { handle(body: Buffer): Promise<ApiResponse> };
   readonly peers: { handle(request: OlderMessage): Promise<OlderMessage> };
   readonly election: { authority(): number | undefined };
-  health(): Reply;
+  health(): ApiResponse;
   start(): void;
   stop(): void;
 }
--- a/test/standin/present-build.ts
+++ b/test/standin/present-build.ts
@@ -2,7 +2,7 @@
 import { defaultOperator } from '../../src/config/operator.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { Controller } from '../../src/controller.js';
-import type { Peer } from '../../src/peer/channel.js';
+import type { Peer } from '../../src/peer/peer.js';
 import {
   decodeRequest,
   decodeResponse,
@@ -16,10 +16,10 @@
 const REQUEST_ID = 1;
 
 const peerOver = (connection: PeerConnection): Peer => ({
-  get responsive() {
+  get isResponsive() {
     return connection.isResponsive;
   },
-  request: (request, timeout) =>
+  sendRequest: (request, timeout) =>
     connection.exchange(
       encodeRequest(REQUEST_ID, request),
       timeout,
--- a/test/support/api.ts
+++ b/test/support/api.ts
@@ -1,8 +1,8 @@
 /** The parts that answer requests, around a term that a test controls. */
 import { pino } from 'pino';
-import { LeaderView } from '../../src/api/leadership.js';
-import { UserRequests } from '../../src/api/user-requests.js';
-import { WorkerHeartbeats } from '../../src/api/worker-heartbeats.js';
+import { LeaderView } from '../../src/api/leader-view.js';
+import { UserRequestHandler } from '../../src/api/user-request-handler.js';
+import { WorkerHeartbeatHandler } from '../../src/api/worker-heartbeat-handler.js';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { AdmissionControl } from '../../src/ledger/admission.js';
@@ -10,7 +10,7 @@
 import { RecordLimits } from '../../src/ledger/record-limits.js';
 import type { JobAnswer } from '../../src/leader/job-requests.js';
 import type { Term } from '../../src/leader/term.js';
-import type { Peer } from '../../src/peer/channel.js';
+import type { Peer } from '../../src/peer/peer.js';
 import { HeartbeatRelay } from '../../src/relay/heartbeat-relay.js';
 import { Epoch, JobId, NodeId } from '../../src/units/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
@@ -55,7 +55,7 @@
   );
   leadership.term = term as unknown as Term;
   const isIsolated = (): boolean => false;
-  const userRequests = new UserRequests({
+  const userRequests = new UserRequestHandler({
     admission: new AdmissionControl(catalog, settings.teams, new RecordLimits(settings.state)),
     leadership,
     jobRecords,
@@ -63,11 +63,11 @@
     log: pino({ level: 'silent' }),
     isIsolated,
   });
-  const workerHeartbeats = new WorkerHeartbeats({
-    node: settings.node,
+  const workerHeartbeats = new WorkerHeartbeatHandler({
+    controllerId: settings.node,
     leadership,
     relay: new HeartbeatRelay({
-      node: settings.node,
+      controllerId: settings.node,
       clock,
       log: pino({ level: 'silent' }),
       leaderPeer: () => leadership.leaderPeer(),
--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -9,7 +9,7 @@
 import type { PlacementIndex } from '../../src/leader/placement-index.js';
 import { HeartbeatHandler } from '../../src/leader/heartbeat-handler.js';
 import { StatusReconciler } from '../../src/leader/status-reconciler.js';
-import type { Peer } from '../../src/peer/channel.js';
+import type { Peer } from '../../src/peer/peer.js';
 import {
   decodeRequest,
   decodeResponse,
@@ -23,7 +23,7 @@
   RelayedHeartbeat,
 } from '../../src/peer/messages.js';
 import { isUnchanged } from '../../src/relay/baselines.js';
-import { nextBatchSize } from '../../src/relay/batch.js';
+import { nextBatchSize } from '../../src/relay/heartbeat-batch.js';
 import { HeartbeatRelay } from '../../src/relay/heartbeat-relay.js';
 import { Epoch, MachineId, NodeId, ms } from '../../src/units/index.js';
 import type { Heartbeat, HeartbeatReply, TaskStatus } from '../../src/wire/index.js';
@@ -125,8 +125,8 @@
   /** `meant`: the heartbeat that those of a request stand for, in whatever form they are sent. */
   peer(meant: () => Heartbeat): Peer {
     return {
-      responsive: true,
-      request: async (request) => {
+      isResponsive: true,
+      sendRequest: async (request) => {
         const { fault } = this;
         this.fault = 'none';
         if (fault === 'requestLost') return undefined;
@@ -232,7 +232,7 @@
     this.relays = [0, 1].map(
       (n) =>
         new HeartbeatRelay({
-          node: NodeId(`node-${n}`),
+          controllerId: NodeId(`node-${n}`),
           clock: this.clock,
           log,
           leaderPeer: () => peer,
@@ -356,9 +356,9 @@
   for (const [name, leaderAfter, answers, expected] of cases) {
     const time = new VirtualTime();
     const clock = new ProcessClock(time, 0, 0);
-    const peer: Peer = { responsive: true, request: () => Promise.resolve(answers.shift()) };
+    const peer: Peer = { isResponsive: true, sendRequest: () => Promise.resolve(answers.shift()) };
     const leaderPeer = (): Peer | undefined => (time.now >= leaderAfter ? peer : undefined);
-    const relay = new HeartbeatRelay({ node: NodeId('node-1'), clock, log, leaderPeer });
+    const relay = new HeartbeatRelay({ controllerId: NodeId('node-1'), clock, log, leaderPeer });
     let reply: HeartbeatReply | 'none' | undefined;
     void relay.send(heartbeatOf('vm-1'), 200).then((received) => (reply = received ?? 'none'));
     await time.run(ms(3500));
--- a/test/unit/peer.test.ts
+++ b/test/unit/peer.test.ts
@@ -9,9 +9,9 @@
   encodeRequest,
   encodeResponse,
 } from '../../src/peer/codec.js';
-import { PeerLink } from '../../src/peer/link.js';
+import { PeerClient } from '../../src/peer/peer-client.js';
 import type { PeerRequest, PeerResponse } from '../../src/peer/messages.js';
-import { servePeers } from '../../src/peer/server.js';
+import { createPeerServer } from '../../src/peer/peer-server.js';
 import { Endpoint, NodeId, ms, seconds } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import type { Heartbeat, Command } from '../../src/wire/index.js';
@@ -116,7 +116,7 @@
 void test('a peer that sends an unreadable message is disconnected, and logged once', async () => {
   const logged: string[] = [];
   const log = pino({ level: 'warn' }, { write: (line) => logged.push(line) });
-  const server = servePeers(() => Promise.resolve({ type: 'acknowledged', ok: true }), log);
+  const server = createPeerServer(() => Promise.resolve({ type: 'acknowledged', ok: true }), log);
   const endpoint = await listening(server);
   const port = Number(endpoint.split(':')[1]);
   for (let i = 0; i < 2; i++) {
@@ -126,9 +126,9 @@
     await new Promise((resolve) => stranger.on('close', resolve));
   }
   assert.equal(logged.length, 1);
-  const link = new PeerLink(endpoint, systemClock, log);
+  const link = new PeerClient(endpoint, systemClock, log);
   try {
-    const response = await link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
+    const response = await link.sendRequest({ type: 'readJob', job: 'run-000001' }, seconds(60));
     assert.deepEqual(plain(response), { type: 'acknowledged', ok: true });
   } finally {
     link.close();
@@ -143,26 +143,26 @@
   const answers: (() => void)[] = [];
   let noteArrival = (): void => undefined;
   const arrival = new Promise<void>((resolve) => (noteArrival = resolve));
-  const server = servePeers(async () => {
+  const server = createPeerServer(async () => {
     const answered = new Promise<void>((resolve) => answers.push(resolve));
     noteArrival();
     await answered;
     return { type: 'acknowledged', ok: true };
   }, log);
-  const link = new PeerLink(await listening(server), clock, log);
+  const link = new PeerClient(await listening(server), clock, log);
   try {
-    const first = link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
+    const first = link.sendRequest({ type: 'readJob', job: 'run-000001' }, seconds(60));
     await arrival;
-    assert.ok(link.responsive, 'a request has just been sent');
-    const second = link.request({ type: 'peerHeartbeat', status }, ms(800));
+    assert.ok(link.isResponsive, 'a request has just been sent');
+    const second = link.sendRequest({ type: 'peerHeartbeat', status }, ms(800));
     await time.run(time.now + 900);
     assert.equal(await second, undefined);
-    assert.ok(link.responsive, 'a response is late');
+    assert.ok(link.isResponsive, 'a response is late');
     await time.run(time.now + 2000);
-    assert.ok(!link.responsive, 'no response for long');
+    assert.ok(!link.isResponsive, 'no response for long');
     for (const answer of answers) answer();
     assert.deepEqual(plain(await first), { type: 'acknowledged', ok: true });
-    assert.ok(link.responsive, 'a response has arrived');
+    assert.ok(link.isResponsive, 'a response has arrived');
   } finally {
     link.close();
     server.close();
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -1,7 +1,7 @@
 /** What users are answered, and which submissions are refused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Reply } from '../../src/api/reply.js';
+import type { ApiResponse } from '../../src/api/api-response.js';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
 import { parseSettings } from '../../src/config/settings.js';
 import type { StoredJob } from '../../src/ledger/job-records.js';
@@ -191,8 +191,8 @@
     node.loseAuthority();
     const body = encode({});
     node.peers.set(NodeId('node-0'), {
-      responsive: true,
-      request: () =>
+      isResponsive: true,
+      sendRequest: () =>
         Promise.resolve(
           leader === undefined
             ? undefined
@@ -207,7 +207,7 @@
       return create ?? 'unknown';
     };
     node.jobRecords.lookup = () => Promise.resolve(stored ?? { kind: 'unknown' });
-    const replies: Reply[] = [];
+    const replies: ApiResponse[] = [];
     void node.userRequests
       .handle('POST', '/v1/jobs', encode(encodeJobSpec(spec({}))))
       .then((reply) => replies.push(reply));
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -92,7 +92,10 @@
   const status = async (machine: string) =>
     (await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf(machine))))).status;
   assert.equal(await status('vm-0'), 200, 'no other node answers');
-  peers.set(NodeId('node-1'), { responsive: true, request: () => Promise.resolve(undefined) });
+  peers.set(NodeId('node-1'), {
+    isResponsive: true,
+    sendRequest: () => Promise.resolve(undefined),
+  });
   assert.deepEqual(await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf('vm-1')))), {
     status: 421,
     body: { clerk: 'node-1' },
