--- a/src/api/api-response.ts
+++ b/src/api/api-response.ts
@@ -1,30 +1,30 @@
-/** What a request over HTTP is answered with, and the answers that several handlers share. */
+/** The response to an HTTP request, and the responses that several handlers share. */
 
-/** An answer, before it is encoded. */
+/** An HTTP response before its body is encoded. */
 export interface ApiResponse {
-  /** The status of HTTP. */
+  /** The HTTP status code. */
   readonly status: number;
-  /** A buffer is CBOR already; anything else is encoded. Left out: an empty map. */
+  /** A buffer already holds CBOR; any other value is encoded. If absent, the body is an empty map. */
   readonly body?: unknown;
-  /** Seconds after which to come back. */
+  /** Seconds after which the client should retry. */
   readonly retryAfter?: number;
-  /** The connection is given up: over a new one another node may be reached. */
+  /** Closes the connection, so that a new one may reach another controller. */
   readonly shouldCloseConnection?: boolean;
 }
 
-/** Not decided: the request may be repeated a second later. */
+/** The outcome is unknown: the client may repeat the request a second later. */
 export const TRY_AGAIN: ApiResponse = { status: 503, retryAfter: 1 };
-/** This node is isolated; another one may serve the request. */
+/** This controller is isolated; another one may serve the request. */
 export const ISOLATED: ApiResponse = { status: 503, retryAfter: 1, shouldCloseConnection: true };
-/** No record holds the job, by an answer that is not older than the request. */
+/** The store or the leader found no record of the job, and looked after the request arrived. */
 export const NO_SUCH_JOB: ApiResponse = { status: 404, body: { error: 'no such job' } };
-/** The path names nothing that this service has. */
+/** The service has no resource under this path. */
 export const NO_SUCH_PATH: ApiResponse = { status: 404, body: { error: 'no such path' } };
-/** The path is known, but not with this method. */
+/** The path exists, but does not support this method. */
 export const METHOD_NOT_ALLOWED: ApiResponse = { status: 405 };
-/** The body is longer than any message may be. */
+/** The body exceeds the size limit for messages. */
 export const BODY_TOO_LONG: ApiResponse = { status: 400, body: { error: 'body over 64 KiB' } };
-/** To a worker: its message is no heartbeat. */
+/** To a worker: its message is not a valid heartbeat. */
 export const INVALID_HEARTBEAT: ApiResponse = { status: 400, body: { error: 'not a report' } };
-/** To a worker: this node may not answer heartbeats, now or at all. */
+/** To a worker: this controller has no authority to answer heartbeats at this moment. */
 export const CANNOT_ANSWER_HEARTBEAT: ApiResponse = { status: 503 };
--- a/src/api/app.ts
+++ b/src/api/app.ts
@@ -1,4 +1,4 @@
-/** The HTTP side of users, workers and health checks. */
+/** The HTTP application that serves users, workers and health checks. */
 import Koa from 'koa';
 import type { Logger } from 'pino';
 import { readBody } from '../net/body.js';
@@ -10,29 +10,31 @@
 const HEALTH_PATH = '/up';
 const HEARTBEAT_PATH = '/agent/beat';
 
-/** What answers the requests of each kind. */
+/** The handler for each kind of request. */
 export interface RequestHandlers {
   readonly userRequests: Pick<UserRequestHandler, 'handle'>;
   readonly workerHeartbeats: Pick<WorkerHeartbeatHandler, 'handle'>;
   health(): ApiResponse;
 }
 
-/** The application that reads each request, has it answered and encodes the reply. */
+/** Creates the application that reads each request, passes it to its handler and encodes the response. */
 export function createApp(handlers: RequestHandlers, log: Logger): Koa {
   const app = new Koa();
-  app.on('error', (error: Error) => log.debug({ err: error.message }, 'connection error'));
+  app.on('error', (error: Error) =>
+    log.debug({ err: error.message }, 'HTTP connection failed; it is closed'),
+  );
   app.use(async (ctx) => {
-    const reply = await answer(handlers, ctx, log);
-    ctx.status = reply.status;
-    if (reply.retryAfter !== undefined) ctx.set('Retry-After', String(reply.retryAfter));
-    if (reply.shouldCloseConnection) ctx.set('Connection', 'close');
+    const response = await handleRequest(handlers, ctx, log);
+    ctx.status = response.status;
+    if (response.retryAfter !== undefined) ctx.set('Retry-After', String(response.retryAfter));
+    if (response.shouldCloseConnection) ctx.set('Connection', 'close');
     ctx.type = CONTENT_TYPE;
-    ctx.body = Buffer.isBuffer(reply.body) ? reply.body : encode(reply.body ?? {});
+    ctx.body = Buffer.isBuffer(response.body) ? response.body : encode(response.body ?? {});
   });
   return app;
 }
 
-async function answer(
+async function handleRequest(
   handlers: RequestHandlers,
   ctx: Koa.Context,
   log: Logger,
@@ -50,7 +52,7 @@
     }
     return await handlers.userRequests.handle(ctx.method, ctx.path, body);
   } catch (error) {
-    log.error({ err: error }, 'request failed');
+    log.error({ err: error }, 'handling an HTTP request failed; the client is told to retry');
     return TRY_AGAIN;
   }
 }
--- a/src/api/job-handler.ts
+++ b/src/api/job-handler.ts
@@ -1,4 +1,4 @@
-/** Questions about a job, and cancellations: answered by the leader, or else by what the store holds. */
+/** Reads and cancellations of a job: handled by the leader, or from the store if no leader is reachable. */
 import type { JobRecords } from '../ledger/job-records.js';
 import type { JobAnswer } from '../leader/job-requests.js';
 import type { Term } from '../leader/term.js';
@@ -11,11 +11,11 @@
 
 const READ_TIMEOUT = ms(1200);
 const CANCEL_TIMEOUT = ms(1500);
-/** How long, and how often, a cancellation asked for through the store is looked for there. */
+/** How long, and at which interval, the store is polled for the result of a cancellation requested through it. */
 const CANCEL_WATCH_TIME = ms(1500);
 const CANCEL_POLL_INTERVAL = ms(300);
 
-/** Reads and cancels jobs that exist. */
+/** Reads and cancels existing jobs. */
 export class JobHandler {
   constructor(
     private readonly leadership: LeaderView,
@@ -23,54 +23,52 @@
     private readonly clock: Clock,
   ) {}
 
-  /** The state of a job; `TRY_AGAIN` if that is not certain. */
-  async read(id: string, relaying: RelayPolicy): Promise<ApiResponse> {
+  /** Returns the state of a job, or `TRY_AGAIN` if the state is not certain. */
+  async read(id: string, policy: RelayPolicy): Promise<ApiResponse> {
     if (!JOB_ID.test(id)) return NO_SUCH_JOB;
-    const responder = this.leadership.routeFor(relaying);
-    if (responder.kind === 'term') {
-      const { term } = responder;
+    const route = this.leadership.routeFor(policy);
+    if (route.kind === 'term') {
+      const { term } = route;
       return this.responseIfAuthorised(term, id, await term.findJob(JobId(id)), NO_SUCH_JOB);
     }
-    if (responder.kind === 'leader') {
-      const response = await sendToLeader(
-        responder.peer,
-        { type: 'readJob', job: id },
-        READ_TIMEOUT,
-      );
-      if (response.kind === 'answered') return response.reply;
+    if (route.kind === 'leader') {
+      const response = await sendToLeader(route.peer, { type: 'readJob', job: id }, READ_TIMEOUT);
+      if (response.kind === 'responded') return response.response;
     }
     return this.readFromStore(id);
   }
 
   private async readFromStore(id: string): Promise<ApiResponse> {
-    const askedAt = this.clock.steady();
+    const requestedAt = this.clock.steady();
     const stored = await this.jobRecords.lookup(JobId(id));
-    // What is not final may have changed while a late answer was under way, and its user may know that.
-    const isLate = durationBetween(askedAt, this.clock.steady()) > STORE_RESPONSE_TTL;
+    // A job that is not final may have changed while a late response was in transit, and the user may
+    // already know the newer state.
+    const isLate = durationBetween(requestedAt, this.clock.steady()) > STORE_RESPONSE_TTL;
     return isLate && stored.kind !== 'final' ? TRY_AGAIN : storedJobResponse(id, stored);
   }
 
-  /** Cancels a job and answers with its state once that is committed; `TRY_AGAIN` if that is not known. */
-  async cancel(id: string, relaying: RelayPolicy): Promise<ApiResponse> {
+  /** Cancels a job and returns its state once that is committed, or `TRY_AGAIN` if the outcome is unknown. */
+  async cancel(id: string, policy: RelayPolicy): Promise<ApiResponse> {
     if (!JOB_ID.test(id)) return NO_SUCH_JOB;
-    const responder = this.leadership.routeFor(relaying);
-    if (responder.kind === 'term') {
-      const { term } = responder;
+    const route = this.leadership.routeFor(policy);
+    if (route.kind === 'term') {
+      const { term } = route;
       return this.responseIfAuthorised(term, id, await term.cancelJob(JobId(id)), NO_SUCH_JOB);
     }
-    if (responder.kind === 'leader') {
+    if (route.kind === 'leader') {
       const request = { type: 'cancelJob', job: id } as const;
-      const response = await sendToLeader(responder.peer, request, CANCEL_TIMEOUT);
-      if (response.kind === 'answered') return response.reply;
+      const response = await sendToLeader(route.peer, request, CANCEL_TIMEOUT);
+      if (response.kind === 'responded') return response.response;
     }
-    return this.cancelInStore(id, relaying);
+    return this.cancelInStore(id, policy);
   }
 
-  private async cancelInStore(id: string, relaying: RelayPolicy): Promise<ApiResponse> {
+  private async cancelInStore(id: string, policy: RelayPolicy): Promise<ApiResponse> {
     const stored = await this.jobRecords.cancel(JobId(id));
     if (stored.kind !== 'unknown') return storedJobResponse(id, stored);
-    // There is a leader that we can't reach: it is asked through the store, where it will answer.
-    if (relaying === 'answerHere' || !(await this.jobRecords.requestCancellation(JobId(id)))) {
+    // A leader exists but can't be reached: the cancellation is requested through the store, where the
+    // leader records the result.
+    if (policy === 'handleLocally' || !(await this.jobRecords.requestCancellation(JobId(id)))) {
       return TRY_AGAIN;
     }
     return this.awaitCancellation(id);
@@ -88,16 +86,19 @@
     return TRY_AGAIN;
   }
 
-  /** The reply that an answer of our term allows; `absent` is the reply if there is no such job. */
+  /**
+   * The response for a result of this controller's term, if the term still has authority. `absent` is the
+   * response if the job does not exist.
+   */
   responseIfAuthorised(
     term: Term,
     id: string,
-    answer: JobAnswer,
+    result: JobAnswer,
     absent: ApiResponse,
   ): ApiResponse {
-    // While this process waited, or stood still, another node may have begun to lead and have answered
-    // users with a later state than the one known here. What is final stays as it is.
-    const isAuthorised = answer.kind === 'final' || this.leadership.authorisedTerm() === term;
-    return isAuthorised ? leaderJobResponse(id, answer, absent) : TRY_AGAIN;
+    // While this process waited or was suspended, a peer may have become the leader and have shown users a
+    // later state than the one known here. A final state does not change.
+    const isAuthorised = result.kind === 'final' || this.leadership.authorisedTerm() === term;
+    return isAuthorised ? leaderJobResponse(id, result, absent) : TRY_AGAIN;
   }
 }
--- a/src/api/job-responses.ts
+++ b/src/api/job-responses.ts
@@ -1,4 +1,4 @@
-/** Replies about a job, by what is known of it. */
+/** Responses about a job, depending on what is known of it. */
 import type { StoredJob } from '../ledger/job-records.js';
 import { statusOf, type FinalState, type Job } from '../ledger/job.js';
 import type { JobAnswer } from '../leader/job-requests.js';
@@ -6,16 +6,16 @@
 import { JobStatus, encodeJobState } from '../wire/index.js';
 import { NO_SUCH_JOB, TRY_AGAIN, type ApiResponse } from './api-response.js';
 
-/** What the store said longer ago than this may not be the latest any more. */
+/** A response of the store may be out of date after this time. */
 export const STORE_RESPONSE_TTL = ms(250);
 
-/** The job is in the store, by this submission. */
+/** This submission has written the job to the store. */
 export const createdResponse = (id: string): ApiResponse => ({
   status: 201,
   body: encodeJobState({ id, status: JobStatus.pending }),
 });
 
-/** A submission can't be written soon: when to come back, in whole seconds. */
+/** A submission can't be written soon: tells the client when to retry, in whole seconds. */
 export const busyResponse = (wait: DurationMs): ApiResponse => ({
   status: 429,
   retryAfter: Math.max(1, Math.ceil(wait / 1000)),
@@ -35,14 +35,14 @@
   }
 }
 
-/** The job as the leader knows it; `absent` is the reply if there is none. */
-export function leaderJobResponse(id: string, answer: JobAnswer, absent: ApiResponse): ApiResponse {
-  switch (answer.kind) {
+/** The job as the leader knows it; `absent` is the response if the job does not exist. */
+export function leaderJobResponse(id: string, result: JobAnswer, absent: ApiResponse): ApiResponse {
+  switch (result.kind) {
     case 'live':
-      // Not committed yet: the job may still come to nothing.
-      return answer.job.revision > 0 ? { status: 200, body: liveBody(answer.job) } : TRY_AGAIN;
+      // Revision 0 is not committed yet, so the submission may still fail.
+      return result.job.revision > 0 ? { status: 200, body: liveBody(result.job) } : TRY_AGAIN;
     case 'final':
-      return { status: 200, body: finalBody(id, answer.final) };
+      return { status: 200, body: finalBody(id, result.final) };
     case 'absent':
       return absent;
     case 'unknown':
@@ -51,10 +51,13 @@
 }
 
 function liveBody(job: Job): object {
-  // Only what is committed is shown; a cancellation that a follower wrote is.
-  const cancelled =
+  // Users only see committed state, which includes a cancellation that a follower wrote.
+  const isCancellationCommitted =
     job.committedProgress.isCancelled || (job.isCancelled && job.committedVersion >= job.version);
-  const status = statusOf({ ...job.committedProgress, isCancelled: cancelled }, job.spec.taskCount);
+  const status = statusOf(
+    { ...job.committedProgress, isCancelled: isCancellationCommitted },
+    job.spec.taskCount,
+  );
   return encodeJobState({
     id: job.id,
     status,
--- a/src/api/leader-request.ts
+++ b/src/api/leader-request.ts
@@ -1,31 +1,31 @@
-/** A user's request that this node passes on to the leader. */
+/** Forwards a user's request from this controller to the leader. */
 import type { Peer } from '../peer/peer.js';
 import type { UserPeerRequest } from '../peer/messages.js';
 import type { DurationMs } from '../units/index.js';
 import type { ApiResponse } from './api-response.js';
 
-/** How a request to the leader ended. */
+/** The result of a request to the leader. */
 export type LeaderResponse =
-  | { readonly kind: 'answered'; readonly reply: ApiResponse }
-  /** No response, or one that settles nothing: the request may still be carried out. */
-  | { readonly kind: 'unanswered' };
+  | { readonly kind: 'responded'; readonly response: ApiResponse }
+  /** No response, or one that leaves the outcome open: the leader may still carry out the request. */
+  | { readonly kind: 'noResponse' };
 
-const UNANSWERED: LeaderResponse = { kind: 'unanswered' };
+const NO_RESPONSE: LeaderResponse = { kind: 'noResponse' };
 
-/** Asks a node that is taken for the leader. */
+/** Sends a request to the controller that is believed to be the leader. */
 export async function sendToLeader(
   leader: Peer,
   request: UserPeerRequest,
   timeout: DurationMs,
 ): Promise<LeaderResponse> {
-  const response = await leader.sendRequest(request, timeout);
-  if (response?.type !== 'userResponse') return UNANSWERED;
-  // A 503 of the node we took for the leader says no more than that it is not ready.
-  if (response.status === 503) return UNANSWERED;
-  const reply: ApiResponse = {
-    status: response.status,
-    ...(response.body.length > 0 ? { body: response.body } : {}),
-    ...(response.retryAfter > 0 ? { retryAfter: response.retryAfter } : {}),
+  const peerResponse = await leader.sendRequest(request, timeout);
+  if (peerResponse?.type !== 'userResponse') return NO_RESPONSE;
+  // A 503 only means that the presumed leader is not ready.
+  if (peerResponse.status === 503) return NO_RESPONSE;
+  const response: ApiResponse = {
+    status: peerResponse.status,
+    ...(peerResponse.body.length > 0 ? { body: peerResponse.body } : {}),
+    ...(peerResponse.retryAfter > 0 ? { retryAfter: peerResponse.retryAfter } : {}),
   };
-  return { kind: 'answered', reply };
+  return { kind: 'responded', response };
 }
--- a/src/api/leader-view.ts
+++ b/src/api/leader-view.ts
@@ -1,24 +1,24 @@
-/** Who leads, as far as a request is concerned: this node, another that can be reached, or none. */
+/** Which controller leads, from the point of view of a request: this one, a reachable peer, or none. */
 import type { Election } from '../leader/election.js';
 import type { Term } from '../leader/term.js';
 import type { Peer } from '../peer/peer.js';
 import type { NodeId } from '../units/index.js';
 
-/** Whether a request may be passed on to the leader: one that another node passed on to us may not. */
-export type RelayPolicy = 'relay' | 'answerHere';
+/** Whether a request may be relayed to the leader; one that a peer has already relayed may not. */
+export type RelayPolicy = 'relay' | 'handleLocally';
 
-/** What a user's request is answered by. */
+/** Where a user's request is handled. */
 export type RequestRoute =
-  /** This node leads and knows the records. */
+  /** This controller leads and has read the records. */
   | { readonly kind: 'term'; readonly term: Term }
-  /** Another node leads and answers us. */
+  /** A peer leads and is responsive. */
   | { readonly kind: 'leader'; readonly peer: Peer }
-  /** No leader can be asked, or this node leads and still reads the records: the store is all there is. */
+  /** Only the store can be used: no leader is reachable, or this controller leads and is still reading the records. */
   | { readonly kind: 'store' };
 
-/** The node's own term, and its way to the leader if that is another node. */
+/** This controller's own term, and its connection to the leader if that is a peer. */
 export class LeaderView {
-  /** The term that this node leads, whether or not its authority stands at this moment. */
+  /** The term that this controller leads, even if it has no authority at this moment. */
   term: Term | undefined;
 
   constructor(
@@ -26,36 +26,38 @@
     private readonly peers: ReadonlyMap<NodeId, Peer>,
   ) {}
 
-  /** The term under whose authority this node may answer at this moment. */
+  /** The term under whose authority this controller may respond at this moment. */
   authorisedTerm(): Term | undefined {
     const epoch = this.election.authority();
     const { term } = this;
     return epoch !== undefined && term?.epoch === epoch && !term.isClosed ? term : undefined;
   }
 
-  /** What a user's request is answered by at this moment. */
-  routeFor(relaying: RelayPolicy): RequestRoute {
+  /** Where a user's request is to be handled at this moment. */
+  routeFor(policy: RelayPolicy): RequestRoute {
     const term = this.authorisedTerm();
     if (term?.isReady) return { kind: 'term', term };
-    // A leader that still reads the records has no other to ask, and requests must not go in circles.
-    const peer = term || relaying === 'answerHere' ? undefined : this.leaderPeer();
+    // A leader that is still reading the records has no other leader to relay to, and requests must not be relayed in a loop.
+    const peer = term || policy === 'handleLocally' ? undefined : this.leaderPeer();
     return peer ? { kind: 'leader', peer } : { kind: 'store' };
   }
 
-  /** Who holds the leader key, as far as this node knows. */
+  /** The controller that holds the leader key, as far as this controller knows. */
   leaderId(): NodeId | undefined {
     return this.election.leader();
   }
 
-  /** The way to another node that leads, if that node answers. */
+  /** The peer that leads, if it is responsive. */
   leaderPeer(): Peer | undefined {
-    const node = this.leaderId();
-    const peer = node === undefined ? undefined : this.peers.get(node);
+    const controllerId = this.leaderId();
+    const peer = controllerId === undefined ? undefined : this.peers.get(controllerId);
     return peer?.isResponsive ? peer : undefined;
   }
 
-  /** The other nodes that answer. */
+  /** The ids of the responsive peers. */
   responsivePeerIds(): NodeId[] {
-    return [...this.peers].filter(([, peer]) => peer.isResponsive).map(([node]) => node);
+    return [...this.peers]
+      .filter(([, peer]) => peer.isResponsive)
+      .map(([controllerId]) => controllerId);
   }
 }
--- a/src/api/peer-request-handler.ts
+++ b/src/api/peer-request-handler.ts
@@ -1,4 +1,4 @@
-/** What the other controllers ask of this one. */
+/** Handles the requests that the peers send to this controller. */
 import type { HttpClient } from '../net/http.js';
 import type { MachineImages, PeerRequest, PeerResponse, PeerStatus } from '../peer/messages.js';
 import { sendCommandsToWorker } from '../relay/worker-commands.js';
@@ -9,14 +9,14 @@
 import type { UserRequestHandler } from './user-request-handler.js';
 import type { WorkerHeartbeatHandler } from './worker-heartbeat-handler.js';
 
-/** What the rest of the node does with what peers say. */
+/** Callbacks for what peers report. */
 export interface PeerEvents {
   onImageHints(machines: readonly MachineImages[]): void;
-  /** Takes a peer's status in, and returns our own. */
+  /** Processes a peer's status and returns the status of this controller. */
   onHeartbeat(status: PeerStatus): PeerStatus;
 }
 
-/** What peers' requests need of the rest of the node. */
+/** The parts of the controller that handling peers' requests depends on. */
 export interface PeerRequestDependencies {
   readonly leadership: LeaderView;
   readonly userRequests: UserRequestHandler;
@@ -25,11 +25,11 @@
   readonly events: PeerEvents;
 }
 
-/** Answers the other controllers. */
+/** Dispatches each request of a peer to its handler. */
 export class PeerRequestHandler {
   constructor(private readonly deps: PeerRequestDependencies) {}
 
-  /** The response to a request, by its type. */
+  /** Handles a request according to its type. */
   async handle(request: PeerRequest): Promise<PeerResponse> {
     const { events, http, userRequests, workerHeartbeats } = this.deps;
     switch (request.type) {
@@ -39,7 +39,7 @@
         events.onImageHints(request.machines);
         return { type: 'acknowledged', ok: true };
       case 'jobNotice':
-        return { type: 'acknowledged', ok: await this.adoptJob(JobId(request.job)) };
+        return { type: 'acknowledged', ok: await this.loadJob(JobId(request.job)) };
       case 'workerHeartbeats':
         return workerHeartbeats.handleRelayed(request.node, request.epoch, request.heartbeats);
       case 'sendCommands':
@@ -51,8 +51,8 @@
     }
   }
 
-  /** Reads a job that the peer wrote into the store; false if this node does not lead. */
-  private async adoptJob(id: JobId): Promise<boolean> {
+  /** Loads a job that a peer wrote to the store; false if this controller does not lead or is not ready. */
+  private async loadJob(id: JobId): Promise<boolean> {
     const term = this.deps.leadership.authorisedTerm();
     if (!term?.isReady) return false;
     await term.findJob(id);
--- a/src/api/submission-handler.ts
+++ b/src/api/submission-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Submissions, in four steps: parse, admit, commit, answer. Each step hands a typed result to the next.
- * The leader commits; a node that can't reach one writes the record itself, if there is none.
+ * Handles submissions in four steps: parse, admit, commit, respond. Each step passes a typed result to the next.
+ * The leader commits; a controller that can't reach a leader writes the record itself, if none exists.
  */
 import type { Logger } from 'pino';
 import type { AdmissionControl } from '../ledger/admission.js';
@@ -17,20 +17,20 @@
 import { TRY_AGAIN, type ApiResponse } from './api-response.js';
 
 /**
- * A node that gets no response in time writes the record itself, if there is none. That costs more than an
- * answer that is late, so a leader that has much to do is waited for.
+ * A controller that gets no response in time writes the record itself, if none exists. That costs more than a
+ * late response, so the timeout allows for a leader under high load.
  */
 const SUBMIT_TIMEOUT = ms(1500);
 const NOTICE_TIMEOUT = ms(1200);
-/** A node that could not write a submission for this long says so at once. */
+/** If the store would delay a write for longer than this, the submission is rejected at once with a 429. */
 const MAX_WRITE_WAIT = ms(1000);
 
-/** What a submission needs of the rest of the node. */
+/** The parts of the controller that handling submissions depends on. */
 export interface SubmissionDependencies {
   readonly admission: AdmissionControl;
   readonly leadership: LeaderView;
   readonly jobRecords: JobRecords;
-  readonly queries: Pick<JobHandler, 'read' | 'responseIfAuthorised'>;
+  readonly jobHandler: Pick<JobHandler, 'read' | 'responseIfAuthorised'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
@@ -38,36 +38,36 @@
 /** Whether a submission may become a job. */
 type Admission =
   | { readonly kind: 'admitted'; readonly spec: JobSpec }
-  /** The machine types are not known yet: a repeat can be answered, a new job can't be judged. */
+  /** The machine types are not known yet: a repeated submission can be answered, a new job can't be checked. */
   | { readonly kind: 'undecided'; readonly spec: JobSpec }
   | { readonly kind: 'refused'; readonly refusal: ApiResponse };
 
-/** What became of a submission. */
+/** The outcome of committing a submission. */
 type CommitOutcome =
-  /** Our term took it in, or knew it already, or could not tell. */
+  /** This controller's term accepted the job, already had it, or could not tell. */
   | { readonly kind: 'term'; readonly term: Term; readonly outcome: SubmitOutcome }
-  /** The leader answered for us. */
-  | { readonly kind: 'answered'; readonly reply: ApiResponse }
-  /** We wrote the record, and know so at once (`isLate` false) or after some time. */
+  /** The leader responded to the relayed submission. */
+  | { readonly kind: 'responded'; readonly response: ApiResponse }
+  /** This controller wrote the record; `isLate` tells whether the confirmation took long. */
   | { readonly kind: 'written'; readonly isLate: boolean }
-  /** A record holds the job already. */
+  /** A record of the job already exists. */
   | { readonly kind: 'exists' }
-  /** It can't be written soon. */
+  /** The record can't be written soon. */
   | { readonly kind: 'busy'; readonly wait: DurationMs }
   | { readonly kind: 'unknown' };
 
 const UNKNOWN: CommitOutcome = { kind: 'unknown' };
 
-/** Takes jobs in. */
+/** Accepts or rejects submitted jobs. */
 export class SubmissionHandler {
   constructor(private readonly deps: SubmissionDependencies) {}
 
-  /** Answers 201 only once the job is in the store. */
-  async submit(body: Buffer, relaying: RelayPolicy): Promise<ApiResponse> {
+  /** Responds with 201 only once the job is in the store. */
+  async submit(body: Buffer, policy: RelayPolicy): Promise<ApiResponse> {
     const admission = this.admit(parseSubmission(body));
-    if (admission.kind === 'refused') return this.refuse(body, admission.refusal, relaying);
-    const outcome = await this.commit(admission, body, relaying);
-    return this.answer(admission.spec.id, outcome, relaying);
+    if (admission.kind === 'refused') return this.refuse(body, admission.refusal, policy);
+    const outcome = await this.commit(admission, body, policy);
+    return this.respond(admission.spec.id, outcome, policy);
   }
 
   private admit(parsed: Parsed<JobSpec>): Admission {
@@ -85,51 +85,51 @@
     }
   }
 
-  /** A repeat of a job that was accepted is answered with its state, whatever it says now. */
+  /** A repeated submission of an accepted job gets the job's state, even if its content is now invalid. */
   private async refuse(
     body: Buffer,
     refusal: ApiResponse,
-    relaying: RelayPolicy,
+    policy: RelayPolicy,
   ): Promise<ApiResponse> {
     const id = submissionId(body);
     if (id === undefined) return refusal;
-    const known = await this.deps.queries.read(id, relaying);
+    const known = await this.deps.jobHandler.read(id, policy);
     return known.status === 404 ? refusal : known;
   }
 
   private async commit(
     { kind, spec }: Admission & { readonly spec: JobSpec },
     body: Buffer,
-    relaying: RelayPolicy,
+    policy: RelayPolicy,
   ): Promise<CommitOutcome> {
     const isUndecided = kind === 'undecided';
-    const responder = this.deps.leadership.routeFor(relaying);
-    if (responder.kind === 'term') {
-      const { term } = responder;
+    const route = this.deps.leadership.routeFor(policy);
+    if (route.kind === 'term') {
+      const { term } = route;
       const outcome = isUndecided ? await term.findJob(JobId(spec.id)) : await term.submitJob(spec);
       return { kind: 'term', term, outcome };
     }
-    if (responder.kind === 'leader') {
+    if (route.kind === 'leader') {
       const request = { type: 'submitJob', body } as const;
-      const response = await sendToLeader(responder.peer, request, SUBMIT_TIMEOUT);
-      if (response.kind === 'answered') return response;
+      const response = await sendToLeader(route.peer, request, SUBMIT_TIMEOUT);
+      if (response.kind === 'responded') return response;
     }
     return isUndecided ? UNKNOWN : this.writeRecord(spec);
   }
 
-  /** No leader can be reached: the record is written by this node, if there is none. */
+  /** Without a reachable leader, this controller writes the record, if none exists. */
   private async writeRecord(spec: JobSpec): Promise<CommitOutcome> {
     const { clock, jobRecords } = this.deps;
     const wait = jobRecords.createWait();
     if (wait > MAX_WRITE_WAIT) return { kind: 'busy', wait };
-    const askedAt = clock.steady();
+    const requestedAt = clock.steady();
     const result = await jobRecords.create(spec);
     switch (result) {
       case 'created':
         this.notifyLeader(JobId(spec.id));
         return {
           kind: 'written',
-          isLate: durationBetween(askedAt, clock.steady()) > STORE_RESPONSE_TTL,
+          isLate: durationBetween(requestedAt, clock.steady()) > STORE_RESPONSE_TTL,
         };
       case 'exists':
       case 'unknown':
@@ -137,36 +137,37 @@
     }
   }
 
-  /** Tells the leader of a job that we wrote, to save time: it also watches the notices. */
+  /** Tells the leader of a job that this controller wrote, to save time: the leader also watches the inbox entries. */
   private notifyLeader(id: JobId): void {
     const { leadership, log } = this.deps;
     const term = leadership.authorisedTerm();
     if (term) {
-      if (term.isReady) detach(term.findJob(id), log, 'reading a job that this node wrote');
+      if (term.isReady)
+        detach(term.findJob(id), log, 'reading a job that this controller wrote to the store');
       return;
     }
     const notice = leadership
       .leaderPeer()
       ?.sendRequest({ type: 'jobNotice', job: id }, NOTICE_TIMEOUT);
-    if (notice) detach(notice, log, 'notice of a job to the leader');
+    if (notice) detach(notice, log, 'notifying the leader of a job written to the store');
   }
 
-  private async answer(
+  private async respond(
     id: string,
     outcome: CommitOutcome,
-    relaying: RelayPolicy,
+    policy: RelayPolicy,
   ): Promise<ApiResponse> {
-    const { queries } = this.deps;
+    const { jobHandler } = this.deps;
     switch (outcome.kind) {
       case 'term':
-        return this.answerFromTerm(outcome.term, id, outcome.outcome);
-      case 'answered':
-        return outcome.reply;
+        return this.respondFromTerm(outcome.term, id, outcome.outcome);
+      case 'responded':
+        return outcome.response;
       case 'written':
-        // The store answered late: the job may be cancelled since, and its user may know that.
-        return outcome.isLate ? queries.read(id, relaying) : createdResponse(id);
+        // The store responded late: the job may have been cancelled since, and the user may already know.
+        return outcome.isLate ? jobHandler.read(id, policy) : createdResponse(id);
       case 'exists': {
-        const known = await queries.read(id, relaying);
+        const known = await jobHandler.read(id, policy);
         return known.status === 404 ? TRY_AGAIN : known;
       }
       case 'busy':
@@ -176,14 +177,14 @@
     }
   }
 
-  private answerFromTerm(term: Term, id: string, outcome: SubmitOutcome): ApiResponse {
+  private respondFromTerm(term: Term, id: string, outcome: SubmitOutcome): ApiResponse {
     switch (outcome.kind) {
       case 'created':
         return createdResponse(id);
       case 'busy':
         return busyResponse(outcome.wait);
       default:
-        return this.deps.queries.responseIfAuthorised(term, id, outcome, TRY_AGAIN);
+        return this.deps.jobHandler.responseIfAuthorised(term, id, outcome, TRY_AGAIN);
     }
   }
 }
--- a/src/api/user-request-handler.ts
+++ b/src/api/user-request-handler.ts
@@ -1,7 +1,7 @@
 /**
- * What users ask, by path and method: submissions, questions and cancellations. They are answered by this
- * node while it leads, otherwise through the leader, otherwise from the store as far as that goes without
- * a leader.
+ * Routes users' requests by path and method: submissions, reads and cancellations. This controller handles them
+ * itself while it leads. Otherwise it relays them to the leader or, without a reachable leader, uses the store
+ * as far as that is possible.
  */
 import type { Logger } from 'pino';
 import type { AdmissionControl } from '../ledger/admission.js';
@@ -19,82 +19,85 @@
 } from './api-response.js';
 import { SubmissionHandler } from './submission-handler.js';
 
-/** The longest a user's request is worked on before it gets its final answer. */
+/** A user's request that takes longer than this gets its final response, `TRY_AGAIN`. */
 const MAX_REQUEST_TIME = ms(2500);
 
 const JOBS_PATH = '/v1/jobs';
 const JOB_PATH = /^\/v1\/jobs\/([^/]+)$/;
 const CANCEL_PATH = /^\/v1\/jobs\/([^/]+)\/abort$/;
 
-/** What users' requests need of the rest of the node. */
+/** The parts of the controller that handling users' requests depends on. */
 export interface UserRequestDependencies {
   readonly admission: AdmissionControl;
   readonly leadership: LeaderView;
   readonly jobRecords: JobRecords;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Whether this node alone is cut off from the store and the other nodes. */
+  /** Whether this controller alone is cut off from the store and its peers. */
   readonly isIsolated: () => boolean;
 }
 
-/** Answers users, whether they ask this node or another that passes their requests on. */
+/** Handles users' requests, both direct ones and those that a peer relays. */
 export class UserRequestHandler {
-  private readonly queries: JobHandler;
-  private readonly submissions: SubmissionHandler;
+  private readonly jobHandler: JobHandler;
+  private readonly submissionHandler: SubmissionHandler;
 
   constructor(private readonly deps: UserRequestDependencies) {
-    this.queries = new JobHandler(deps.leadership, deps.jobRecords, deps.clock);
-    this.submissions = new SubmissionHandler({ ...deps, queries: this.queries });
+    this.jobHandler = new JobHandler(deps.leadership, deps.jobRecords, deps.clock);
+    this.submissionHandler = new SubmissionHandler({ ...deps, jobHandler: this.jobHandler });
   }
 
-  /** A request that came over HTTP. */
+  /** Handles a request that a user sent to this controller over HTTP. */
   async handle(method: string, path: string, body: Buffer): Promise<ApiResponse> {
     if (this.deps.isIsolated()) return ISOLATED;
     if (path === JOBS_PATH) {
       if (method !== 'POST') return METHOD_NOT_ALLOWED;
-      return this.withDeadline(this.submissions.submit(body, 'relay'));
+      return this.withDeadline(this.submissionHandler.submit(body, 'relay'));
     }
-    const job = JOB_PATH.exec(path)?.[1];
-    if (job !== undefined) {
+    const jobId = JOB_PATH.exec(path)?.[1];
+    if (jobId !== undefined) {
       if (method !== 'GET') return METHOD_NOT_ALLOWED;
-      return this.withDeadline(this.queries.read(job, 'relay'));
+      return this.withDeadline(this.jobHandler.read(jobId, 'relay'));
     }
-    const cancelled = CANCEL_PATH.exec(path)?.[1];
-    if (cancelled !== undefined) {
+    const cancelledJobId = CANCEL_PATH.exec(path)?.[1];
+    if (cancelledJobId !== undefined) {
       if (method !== 'POST') return METHOD_NOT_ALLOWED;
-      return this.withDeadline(this.queries.cancel(cancelled, 'relay'));
+      return this.withDeadline(this.jobHandler.cancel(cancelledJobId, 'relay'));
     }
     return NO_SUCH_PATH;
   }
 
   /**
-   * A request that another node passed on: answered under our own authority or not at all, since it
-   * must not be passed on in circles.
+   * Handles a request that a peer relayed, but only while this controller leads: relaying it again could
+   * send it round in a loop.
    */
   async handleRelayed(request: UserPeerRequest): Promise<ApiResponse> {
     if (!this.deps.leadership.authorisedTerm()?.isReady) return TRY_AGAIN;
     switch (request.type) {
       case 'submitJob':
-        return this.withDeadline(this.submissions.submit(request.body, 'answerHere'));
+        return this.withDeadline(this.submissionHandler.submit(request.body, 'handleLocally'));
       case 'readJob':
-        return this.withDeadline(this.queries.read(request.job, 'answerHere'));
+        return this.withDeadline(this.jobHandler.read(request.job, 'handleLocally'));
       case 'cancelJob':
-        return this.withDeadline(this.queries.cancel(request.job, 'answerHere'));
+        return this.withDeadline(this.jobHandler.cancel(request.job, 'handleLocally'));
     }
   }
 
-  /** Whatever is still being worked on after a while gets its final answer: try again. */
+  /** Responds with `TRY_AGAIN` if the work takes longer than `MAX_REQUEST_TIME` or fails. */
   private withDeadline(work: Promise<ApiResponse>): Promise<ApiResponse> {
     return new Promise((resolve) => {
       const timer = this.deps.clock.after(MAX_REQUEST_TIME, () => resolve(TRY_AGAIN));
       work.then(
-        (reply) => {
+        (response) => {
           timer.cancel();
-          resolve(reply);
+          resolve(response);
         },
         (error: unknown) => {
           timer.cancel();
-          this.deps.log.error({ err: error }, 'request failed');
+          this.deps.log.error(
+            { err: error },
+            "handling a user's request failed; the user is told to retry",
+          );
           resolve(TRY_AGAIN);
         },
       );
--- a/src/api/worker-heartbeat-handler.ts
+++ b/src/api/worker-heartbeat-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Workers' heartbeats: answered by the leader under its authority, passed on to it by the other nodes.
- * Only the leader causes a 200, since that renews the lease of all tasks on a machine.
+ * Handles workers' heartbeats: the leader responds under its authority, the followers relay to the leader.
+ * Only the leader may cause a 200, since a 200 renews the lease of all tasks on a machine.
  */
 import type { Term } from '../leader/term.js';
 import type { PeerResponse, RelayedHeartbeat, HeartbeatResponse } from '../peer/messages.js';
@@ -28,29 +28,29 @@
 import { INVALID_HEARTBEAT, CANNOT_ANSWER_HEARTBEAT, type ApiResponse } from './api-response.js';
 
 /**
- * A leader that has ended is replaced after about its lease. One that has not answered us for longer
- * than this still leads, and only we can't reach it.
+ * A failed leader is replaced after about the duration of its lease. If the leader key still names a leader that
+ * has not responded for longer than this, it still leads and only this controller can't reach it.
  */
 const LEADER_UNREACHABLE_AFTER = seconds(5);
 /**
- * So many relayed heartbeats are handled in one turn. A leader that has just taken over has hundreds of
- * them to handle, by code that is not compiled yet, and must get to the renewal of its lease meanwhile.
+ * The number of relayed heartbeats handled in one turn of the event loop. A new leader has hundreds of them
+ * to handle, with code that the JIT has not compiled yet, and must be able to renew its lease in between.
  */
-const HEARTBEATS_PER_TURN = 20;
-/** Heartbeats beyond so many commands wait for another batch, so that the response fits a frame. */
+const HEARTBEATS_PER_EVENT_LOOP_TURN = 20;
+/** Once a response holds this many commands, the remaining heartbeats wait for another batch, so that it fits a frame. */
 const MAX_COMMANDS_PER_BATCH = 2000;
-/** A worker that was redirected and is back this soon can't reach the node that it was sent to. */
-const BOUNCE_WINDOW = seconds(9);
-/** For so long such a worker is served here. */
+/** A redirected worker that returns within this time can't reach the controller it was sent to. */
+const FAILED_REDIRECT_WINDOW = seconds(9);
+/** How long such a worker is served here instead of being redirected again. */
 const REDIRECT_SUPPRESSION_TIME = seconds(20);
-/** After this a redirect is forgotten. */
+/** A redirect is forgotten after this time. */
 const REDIRECT_TTL = seconds(60);
 
-/** A worker that was sent to another node. */
+/** The redirect of a worker to another controller. */
 interface Redirect {
-  readonly at: SteadyMs;
-  /** Set once it came back so soon that it is served here. */
-  servedUntil: SteadyMs | undefined;
+  readonly redirectedAt: SteadyMs;
+  /** Until when the worker is served here; set once it returned within `FAILED_REDIRECT_WINDOW`. */
+  servedLocallyUntil: SteadyMs | undefined;
 }
 
 const REFUSED: HeartbeatResponse = { outcome: 'refused', baseline: 0, commands: [] };
@@ -60,21 +60,21 @@
   commands: [],
 };
 
-/** What heartbeats need of the rest of the node. */
+/** The parts of the controller that handling heartbeats depends on. */
 export interface WorkerHeartbeatDependencies {
-  /** This node. */
+  /** The id of this controller. */
   readonly controllerId: NodeId;
   readonly leadership: LeaderView;
   readonly relay: HeartbeatRelay;
   readonly clock: Clock;
-  /** Whether this node alone is cut off from the store and the other nodes. */
+  /** Whether this controller alone is cut off from the store and its peers. */
   readonly isIsolated: () => boolean;
 }
 
-/** Answers workers, whether they report to this node or to another that passes their heartbeats on. */
+/** Handles workers' heartbeats, both direct ones and those that a peer relays. */
 export class WorkerHeartbeatHandler {
   private readonly redirects = new ExpiringMap<MachineId, Redirect>(REDIRECT_TTL);
-  /** Since when the leader that we know of has not answered us. */
+  /** Since when the known leader has been unresponsive. */
   private leaderUnreachableSince: SteadyMs | undefined;
   private readonly leadership: LeaderView;
   private readonly clock: Clock;
@@ -84,26 +84,26 @@
     this.clock = deps.clock;
   }
 
-  /** A heartbeat that came straight from its worker. */
+  /** Handles a heartbeat that a worker sent to this controller. */
   async handle(body: Buffer): Promise<ApiResponse> {
     const heartbeat = parseHeartbeat(body);
     if (!heartbeat) return INVALID_HEARTBEAT;
     const term = this.leadership.authorisedTerm();
-    if (term) return this.answerHere(heartbeat, term);
-    // The node that we take for the leader may be gone for long.
+    if (term) return this.respondAsLeader(heartbeat, term);
+    // The controller that this one takes for the leader may have ended long ago.
     if (this.deps.isIsolated()) return CANNOT_ANSWER_HEARTBEAT;
     const leader = this.unreachableLeader();
-    // The worker may reach the leader where we don't.
-    if (leader !== undefined && !this.isRedirectFailed(heartbeat.machine))
+    // The worker may be able to reach the leader even though this controller can't.
+    if (leader !== undefined && !this.hasRedirectFailed(heartbeat.machine))
       return redirectTo(leader);
-    const reply = await this.deps.relay.send(heartbeat, body.length);
-    if (reply) return { status: 200, body: encodeHeartbeatReply(reply) };
-    // This node may have come to lead while it waited for the leader.
-    const own = this.leadership.authorisedTerm();
-    return own ? this.answerHere(heartbeat, own) : CANNOT_ANSWER_HEARTBEAT;
+    const response = await this.deps.relay.send(heartbeat, body.length);
+    if (response) return { status: 200, body: encodeHeartbeatReply(response) };
+    // This controller may have become the leader while it waited for a response.
+    const ownTerm = this.leadership.authorisedTerm();
+    return ownTerm ? this.respondAsLeader(heartbeat, ownTerm) : CANNOT_ANSWER_HEARTBEAT;
   }
 
-  /** The leader, if it is another node that we have not reached for longer than a failover takes. */
+  /** The leader, if it is a peer that has been unresponsive for longer than a failover takes. */
   private unreachableLeader(): NodeId | undefined {
     const leader = this.leadership.leaderId();
     if (leader === undefined || leader === this.deps.controllerId || this.leadership.leaderPeer()) {
@@ -117,54 +117,55 @@
       : undefined;
   }
 
-  private async answerHere(heartbeat: Heartbeat, term: Term): Promise<ApiResponse> {
-    // It has seen a newer token than ours: we have no right to act any more.
+  private async respondAsLeader(heartbeat: Heartbeat, term: Term): Promise<ApiResponse> {
+    // The worker has seen a newer fencing token, so this term has been superseded.
     if (heartbeat.fencingToken > term.epoch) return CANNOT_ANSWER_HEARTBEAT;
-    const follower = term.redirectsWorkers ? this.followerFor(heartbeat.machine) : undefined;
-    if (follower !== undefined && !this.isRedirectFailed(heartbeat.machine))
+    const follower = term.redirectsWorkers ? this.redirectTargetFor(heartbeat.machine) : undefined;
+    if (follower !== undefined && !this.hasRedirectFailed(heartbeat.machine))
       return redirectTo(follower);
-    if (!(await this.isRebuilt(term))) return CANNOT_ANSWER_HEARTBEAT;
-    const reply = term.handleHeartbeat(heartbeat);
+    if (!(await this.waitUntilReady(term))) return CANNOT_ANSWER_HEARTBEAT;
+    const response = term.handleHeartbeat(heartbeat);
     return this.leadership.authorisedTerm() === term
-      ? { status: 200, body: encodeHeartbeatReply(reply) }
+      ? { status: 200, body: encodeHeartbeatReply(response) }
       : CANNOT_ANSWER_HEARTBEAT;
   }
 
   /**
-   * A 200 keeps all tasks of a worker alive: none before we know which of them are cancelled, or
-   * leaders that end one after the other before they know would keep those beyond their time.
+   * Waits until the term has read the records, and returns whether it may respond. A 200 keeps all tasks of a
+   * worker alive, so it requires knowing which of them are cancelled. Otherwise a series of leaders that each
+   * end before they know would keep cancelled tasks running past their deadline.
    */
-  private async isRebuilt(term: Term): Promise<boolean> {
+  private async waitUntilReady(term: Term): Promise<boolean> {
     if (!term.isReady) await term.rebuildSettled;
     return term.isReady && this.leadership.authorisedTerm() === term;
   }
 
-  /** Heartbeats that another node passed on: one response for each, in their order. */
+  /** Handles heartbeats that a peer relayed and returns one response for each, in the same order. */
   async handleRelayed(
     sender: NodeId,
     epoch: number,
     heartbeats: readonly RelayedHeartbeat[],
   ): Promise<PeerResponse> {
     const term = this.leadership.authorisedTerm();
-    if (!term || !(await this.isRebuilt(term))) return allRefused(heartbeats.length);
+    if (!term || !(await this.waitUntilReady(term))) return allRefused(heartbeats.length);
     const responses: HeartbeatResponse[] = [];
     let commandCount = 0;
     for (const relayed of heartbeats) {
-      if (responses.length > 0 && responses.length % HEARTBEATS_PER_TURN === 0) {
+      if (responses.length > 0 && responses.length % HEARTBEATS_PER_EVENT_LOOP_TURN === 0) {
         await sleep(this.clock, ms(0));
         if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
       }
       const isFull = commandCount >= MAX_COMMANDS_PER_BATCH;
-      const response = isFull ? REFUSED : this.answerRelayed(term, sender, epoch, relayed);
+      const response = isFull ? REFUSED : this.respondToRelayed(term, sender, epoch, relayed);
       commandCount += response.commands.length;
       responses.push(response);
     }
-    // A 200 may follow from this response only if authority stands now that all of them are handled.
+    // These responses may lead to a 200 only if the term still has authority after all heartbeats are handled.
     if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
     return { type: 'heartbeatResponses', epoch: term.epoch, responses };
   }
 
-  private answerRelayed(
+  private respondToRelayed(
     term: Term,
     sender: NodeId,
     epoch: number,
@@ -182,35 +183,40 @@
     return { outcome: 'accepted', baseline: relayed.unchangedSince, commands: reply.commands };
   }
 
-  /** The node through which a worker is to report; none if no other answers. */
-  private followerFor(machine: string): NodeId | undefined {
-    const nodes = this.leadership.responsivePeerIds();
+  /** The follower that a worker is redirected to; undefined if no peer is responsive. */
+  private redirectTargetFor(machine: string): NodeId | undefined {
+    const peerIds = this.leadership.responsivePeerIds();
     let hash = 0;
     for (let i = 0; i < machine.length; i++) hash = (hash * 31 + machine.charCodeAt(i)) >>> 0;
-    return nodes[hash % Math.max(1, nodes.length)];
+    return peerIds[hash % Math.max(1, peerIds.length)];
   }
 
   /**
-   * Whether a worker that was redirected is back so soon that it can't reach where it was sent: then it
-   * is served here for a while. Otherwise it counts as redirected now.
+   * Whether a redirected worker returned so soon that it can't have reached its target; it is then served here
+   * for a while. Otherwise the worker is recorded as redirected now.
    */
-  private isRedirectFailed(machine: string): boolean {
+  private hasRedirectFailed(machine: string): boolean {
     const id = MachineId(machine);
     const now = this.clock.steady();
     const redirect = this.redirects.get(id);
-    if (redirect && isServedHere(redirect, now)) {
-      redirect.servedUntil ??= later(now, REDIRECT_SUPPRESSION_TIME);
+    if (redirect && isServedLocally(redirect, now)) {
+      redirect.servedLocallyUntil ??= later(now, REDIRECT_SUPPRESSION_TIME);
       return true;
     }
-    this.redirects.set(id, { at: now, servedUntil: undefined }, now);
+    this.redirects.set(id, { redirectedAt: now, servedLocallyUntil: undefined }, now);
     return false;
   }
 }
 
-const isServedHere = ({ at, servedUntil }: Redirect, now: SteadyMs): boolean =>
-  servedUntil === undefined ? durationBetween(at, now) < BOUNCE_WINDOW : now < servedUntil;
+const isServedLocally = ({ redirectedAt, servedLocallyUntil }: Redirect, now: SteadyMs): boolean =>
+  servedLocallyUntil === undefined
+    ? durationBetween(redirectedAt, now) < FAILED_REDIRECT_WINDOW
+    : now < servedLocallyUntil;
 
-const redirectTo = (node: NodeId): ApiResponse => ({ status: 421, body: encodeRedirect(node) });
+const redirectTo = (controllerId: NodeId): ApiResponse => ({
+  status: 421,
+  body: encodeRedirect(controllerId),
+});
 
 const allRefused = (count: number): PeerResponse => ({
   type: 'heartbeatResponses',
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -122,7 +122,7 @@
   }
 
   private async sendBatch(peer: Peer, batch: readonly PendingHeartbeat[]): Promise<void> {
-    const { controllerId: node, clock } = this.options;
+    const { controllerId, clock } = this.options;
     const { epoch } = this.baselines;
     const heartbeats = batch.map(({ heartbeat, shouldSendFull }) =>
       shouldSendFull
@@ -131,7 +131,7 @@
     );
     const sentAt = clock.steady();
     const response = await peer.sendRequest(
-      { type: 'workerHeartbeats', node, epoch, heartbeats },
+      { type: 'workerHeartbeats', node: controllerId, epoch, heartbeats },
       BATCH_TIMEOUT,
     );
     this.batchSize = nextBatchSize(this.batchSize, durationBetween(sentAt, clock.steady()));
