--- a/src/api/worker-heartbeat-handler.ts
+++ b/src/api/worker-heartbeat-handler.ts
@@ -178,9 +178,9 @@
     }
     if (relayed.fencingToken > term.epoch) return REFUSED;
     if (epoch !== term.epoch) return BASELINE_UNKNOWN;
-    const reply = term.handleUnchangedHeartbeat(relayed, sender);
-    if (!reply) return BASELINE_UNKNOWN;
-    return { outcome: 'accepted', baseline: relayed.unchangedSince, commands: reply.commands };
+    const response = term.handleUnchangedHeartbeat(relayed, sender);
+    if (!response) return BASELINE_UNKNOWN;
+    return { outcome: 'accepted', baseline: relayed.unchangedSince, commands: response.commands };
   }
 
   /** The follower that a worker is redirected to; undefined if no peer is responsive. */
--- a/src/relay/heartbeat-batch.ts
+++ b/src/relay/heartbeat-batch.ts
@@ -1,38 +1,39 @@
-/** Batches of heartbeats: which go in one, and how many. */
+/** Selects the heartbeats for a batch and adapts the batch size. */
 import type { SteadyMs, DurationMs } from '../units/index.js';
 import { ms } from '../units/index.js';
 import type { Heartbeat, HeartbeatReply } from '../wire/index.js';
 
-/** Heartbeats and the commands in their responses must fit a frame of the channel between controllers. */
+/** A batch of heartbeats, and the commands in its response, must each fit a frame of the connection between controllers. */
 const MAX_BATCH_BYTES = 40 * 1024;
 /**
- * How many heartbeats go in one batch depends on how long the leader took for the last one: a batch that takes
- * longer than its workers wait is lost as a whole, and all of them turn to another node.
+ * The number of heartbeats in a batch depends on how long the leader took to respond to the previous batch. If a
+ * batch takes longer than its workers wait, all of its responses are lost and all of these workers switch to another
+ * controller.
  */
 export const INITIAL_BATCH_SIZE = 40;
 const MIN_BATCH_SIZE = 10;
 const MAX_BATCH_SIZE = 160;
-const SLOW_RESPONSE = ms(1000);
-const FAST_RESPONSE = ms(300);
+const SLOW_RESPONSE_TIME = ms(1000);
+const FAST_RESPONSE_TIME = ms(300);
 
-/** A heartbeat that waits for the leader's reply. */
+/** A heartbeat that waits for the leader's response. */
 export interface PendingHeartbeat {
   readonly heartbeat: Heartbeat;
-  /** The size of the message that it came in. */
+  /** The size of the worker's message. */
   readonly sizeBytes: number;
-  /** Until when it waits for a leader that may answer it. */
+  /** Until when it waits for a leader with the authority to respond. */
   readonly leaderWaitDeadline: SteadyMs;
-  /** When its worker has given up waiting. */
+  /** The time after which its worker no longer waits for the response. */
   readonly workerDeadline: SteadyMs;
-  /** It must be sent in full, since the leader does not know its baseline. */
+  /** Whether it must be sent in full, since the leader does not know its baseline. */
   readonly shouldSendFull: boolean;
-  /** Called once, with undefined if there is no reply. */
-  readonly resolve: (reply: HeartbeatReply | undefined) => void;
+  /** Called once, with undefined if there is no response. */
+  readonly resolve: (response: HeartbeatReply | undefined) => void;
 }
 
 /**
- * Divides what is pending into the next batch, of at most `maxSize` heartbeats but at least one, and the rest.
- * Abandoned heartbeats that stand before the end of the batch are resolved without a reply.
+ * Splits the pending heartbeats into the next batch, of at least one and at most `maxSize`, and the rest.
+ * Heartbeats before the end of the batch whose worker no longer waits are resolved without a response.
  */
 export function takeBatch(
   pending: readonly PendingHeartbeat[],
@@ -40,25 +41,25 @@
   now: SteadyMs,
 ): { readonly batch: PendingHeartbeat[]; readonly rest: PendingHeartbeat[] } {
   const batch: PendingHeartbeat[] = [];
-  let bytes = 0;
-  let taken = 0;
+  let batchBytes = 0;
+  let takenCount = 0;
   for (const next of pending) {
     if (now > next.workerDeadline) {
       next.resolve(undefined);
     } else {
-      const isFull = batch.length >= maxSize || bytes + next.sizeBytes > MAX_BATCH_BYTES;
+      const isFull = batch.length >= maxSize || batchBytes + next.sizeBytes > MAX_BATCH_BYTES;
       if (batch.length > 0 && isFull) break;
-      bytes += next.sizeBytes;
+      batchBytes += next.sizeBytes;
       batch.push(next);
     }
-    taken++;
+    takenCount++;
   }
-  return { batch, rest: pending.slice(taken) };
+  return { batch, rest: pending.slice(takenCount) };
 }
 
-/** The size of the next batch: halved where the leader is slow, and raised by half where it is fast. */
+/** The size of the next batch: halved if the leader responded slowly, increased by half if it responded fast. */
 export function nextBatchSize(size: number, responseTime: DurationMs): number {
-  if (responseTime > SLOW_RESPONSE) return Math.max(MIN_BATCH_SIZE, Math.floor(size / 2));
-  if (responseTime < FAST_RESPONSE) return Math.min(MAX_BATCH_SIZE, Math.ceil(size * 1.5));
+  if (responseTime > SLOW_RESPONSE_TIME) return Math.max(MIN_BATCH_SIZE, Math.floor(size / 2));
+  if (responseTime < FAST_RESPONSE_TIME) return Math.min(MAX_BATCH_SIZE, Math.ceil(size * 1.5));
   return size;
 }
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -1,6 +1,6 @@
 /**
- * How a follower passes workers' heartbeats on to the leader: in batches, and by reference where nothing but the
- * sequence number has changed, so that the leader spends little on each.
+ * Relays workers' heartbeats from a follower to the leader. Heartbeats are sent in batches, and by reference if only
+ * the sequence number and fencing token have changed, to keep the leader's cost per heartbeat low.
  */
 import type { Logger } from 'pino';
 import type { Peer } from '../peer/peer.js';
@@ -23,30 +23,30 @@
   type PendingHeartbeat,
 } from './heartbeat-batch.js';
 
-/** Heartbeats that arrive within this time go in one batch; the first after a pause goes at once. */
+/** Heartbeats that arrive within this time go into one batch; the first one after an idle period is sent at once. */
 const BATCH_WINDOW = ms(100);
-/** Less than the 4 s after which a worker gives up waiting. */
+/** Less than the 4 s after which a worker stops waiting for a response. */
 const BATCH_TIMEOUT = ms(2500);
 /**
- * How long a heartbeat waits for a leader that may answer it. One that takes over within this time does so, and
- * the worker need not look for it from node to node.
+ * How long a heartbeat waits for a leader with the authority to respond. If a new leader takes over within this
+ * time, it responds, and the worker need not try one controller after another to find it.
  */
 const MAX_LEADER_WAIT = ms(1500);
 const LEADER_POLL_INTERVAL = ms(100);
-/** Heartbeats older than this are not sent: their workers, who give up after 4 s, would not see the replies. */
-const ABANDONED_AFTER = ms(3500);
+/** Heartbeats older than this are not sent: workers stop waiting after 4 s and would not receive the responses. */
+const MAX_HEARTBEAT_AGE = ms(3500);
 
-/** What a `HeartbeatRelay` works with. */
+/** The parts of the controller that a `HeartbeatRelay` depends on. */
 export interface HeartbeatRelayOptions {
-  /** The node that the workers report to. */
+  /** The id of this controller, which the workers send their heartbeats to. */
   readonly controllerId: NodeId;
   readonly clock: Clock;
   readonly log: Logger;
-  /** The way to the leader; undefined if none is known or it does not respond. */
+  /** The peer that leads; undefined if no leader is known or it is unresponsive. */
   readonly leaderPeer: () => Peer | undefined;
 }
 
-/** The heartbeats that wait at a follower, and the way of each to the leader. */
+/** Queues heartbeats at a follower and sends them to the leader in batches. */
 export class HeartbeatRelay {
   private readonly baselines = new Baselines();
   private pending: PendingHeartbeat[] = [];
@@ -58,17 +58,17 @@
   constructor(private readonly options: HeartbeatRelayOptions) {}
 
   /**
-   * The leader's reply to a heartbeat; undefined if there was none in time. `bytes`: the size of the message that
-   * the heartbeat came in.
+   * Returns the leader's response to a heartbeat; undefined if there was none in time. `sizeBytes` is the size of the
+   * worker's message.
    */
-  send(heartbeat: Heartbeat, bytes: number): Promise<HeartbeatReply | undefined> {
+  send(heartbeat: Heartbeat, sizeBytes: number): Promise<HeartbeatReply | undefined> {
     const now = this.options.clock.steady();
     return new Promise((resolve) => {
       this.pending.push({
         heartbeat,
-        sizeBytes: bytes,
+        sizeBytes,
         leaderWaitDeadline: later(now, MAX_LEADER_WAIT),
-        workerDeadline: later(now, ABANDONED_AFTER),
+        workerDeadline: later(now, MAX_HEARTBEAT_AGE),
         shouldSendFull: false,
         resolve,
       });
@@ -76,15 +76,15 @@
     });
   }
 
-  /** One batch is in flight at a time: a leader that has much to do gets fewer and fuller ones. */
+  /** Only one batch is in flight at a time, so that a leader under high load gets fewer but larger batches. */
   private scheduleFlush(): void {
     if (this.isFlushScheduled || this.isBatchInFlight || this.pending.length === 0) return;
     this.isFlushScheduled = true;
     const { clock } = this.options;
     const now = clock.steady();
-    const pause =
+    const delay =
       this.lastSentAt === undefined ? 0 : BATCH_WINDOW - durationBetween(this.lastSentAt, now);
-    clock.after(ms(Math.max(0, pause)), () => this.flush());
+    clock.after(ms(Math.max(0, delay)), () => this.flush());
   }
 
   private flush(): void {
@@ -104,7 +104,7 @@
       this.isBatchInFlight = false;
       this.scheduleFlush();
     });
-    detach(sent, log, 'batch of heartbeats');
+    detach(sent, log, 'relaying a batch of heartbeats to the leader');
   }
 
   private waitForLeader(): void {
@@ -141,12 +141,16 @@
     }
     this.baselines.switchToEpoch(response.epoch);
     for (const [i, pending] of batch.entries()) {
-      const answer = response.responses[i];
-      if (answer) this.settle(pending, answer, response.epoch);
+      const heartbeatResponse = response.responses[i];
+      if (heartbeatResponse) this.handleResponse(pending, heartbeatResponse, response.epoch);
     }
   }
 
-  private settle(pending: PendingHeartbeat, response: HeartbeatResponse, epoch: number): void {
+  private handleResponse(
+    pending: PendingHeartbeat,
+    response: HeartbeatResponse,
+    epoch: number,
+  ): void {
     const { outcome, baseline, commands } = response;
     const now = this.options.clock.steady();
     if (outcome === 'baselineUnknown' && !pending.shouldSendFull) {
--- a/src/relay/worker-commands.ts
+++ b/src/relay/worker-commands.ts
@@ -1,6 +1,6 @@
 /**
- * Commands to workers: sent by the leader itself, or by the follower that a worker reports through.
- * Either way the leader alone decides, and the worker checks token and session.
+ * Sends commands to workers, either directly from the leader or through the follower that relays a worker's
+ * heartbeats. In both cases only the leader decides, and the worker checks fencing token and session.
  */
 import type { HttpClient, Outcome } from '../net/http.js';
 import type { Peer } from '../peer/peer.js';
@@ -8,16 +8,16 @@
 import { Endpoint, ms } from '../units/index.js';
 import { decodeHeartbeat, encodeCommandRequest } from '../wire/index.js';
 
-/** How much longer than the call itself its result may take to return through another node. */
-const RELAY_MARGIN = ms(500);
+/** Extra time for the result of a request to a worker to return through a peer. */
+const RELAY_TIMEOUT_MARGIN = ms(500);
 
-const OUTCOMES: Record<Outcome['kind'], CommandOutcome> = {
+const COMMAND_OUTCOMES: Record<Outcome['kind'], CommandOutcome> = {
   answer: 'answered',
   undelivered: 'undelivered',
   unknown: 'unknown',
 };
 
-/** Sends commands to a worker from this node. */
+/** Sends commands to a worker directly from this controller. */
 export async function sendCommandsToWorker(
   http: HttpClient,
   { address, fencingToken, session, timeoutMs, commands }: SendCommandsRequest,
@@ -32,26 +32,26 @@
   });
   return {
     type: 'commandResult',
-    outcome: OUTCOMES[outcome.kind],
+    outcome: COMMAND_OUTCOMES[outcome.kind],
     reason: outcome.kind === 'answer' ? '' : outcome.reason,
     heartbeat: outcome.kind === 'answer' ? (decodeHeartbeat(outcome.body) ?? null) : null,
   };
 }
 
 /**
- * Has another node send commands to a worker. Without a response it is unknown whether they were carried out, or
- * will be: packets between nodes may be delayed and arrive much later.
+ * Sends commands to a worker through a peer. Without a response it is unknown whether the commands were or will be
+ * carried out, since packets between controllers may be delayed and arrive much later.
  */
 export async function sendCommandsViaPeer(
   peer: Peer,
   request: SendCommandsRequest,
 ): Promise<CommandResult> {
-  const response = await peer.sendRequest(request, ms(request.timeoutMs + RELAY_MARGIN));
+  const response = await peer.sendRequest(request, ms(request.timeoutMs + RELAY_TIMEOUT_MARGIN));
   if (response?.type === 'commandResult') return response;
   return {
     type: 'commandResult',
     outcome: 'unknown',
-    reason: 'no response from the relay',
+    reason: 'no response from the peer that relays the commands',
     heartbeat: null,
   };
 }
