--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -1,4 +1,4 @@
-/** Messages between controllers as bytes: an envelope around an Avro record. */
+/** Encodes messages between controllers as bytes: an envelope around an Avro record. */
 import type { Command, Heartbeat } from '../wire/index.js';
 import type {
   HeartbeatResponse,
@@ -12,19 +12,19 @@
 } from './messages.js';
 import { EnvelopeType, payloadTypeOf, type MessageType } from './schemas.js';
 
-/** A message with the id that it travels under. */
+/** A message with the id under which it is sent. */
 export interface Envelope<Message> {
-  /** Pairs a response with its request on one connection. */
+  /** Matches a response to its request on one connection. */
   readonly id: number;
   readonly message: Message;
 }
 
-/** A message that this version can't read, or that is not allowed where it was received. */
+/** Reports a message that this version can't read, or that is not allowed in the direction in which it was sent. */
 export class MessageError extends Error {
   override readonly name = 'MessageError';
 }
 
-// Avro records have optional fields in the place of unions.
+// The Avro records have optional fields in place of the discriminated unions.
 
 interface CommandRecord {
   readonly type: Command['type'];
@@ -48,7 +48,7 @@
   readonly responses: readonly WithCommandRecords<HeartbeatResponse>[];
 };
 
-/** Only commands to stop have a grace period. */
+/** Drops the grace period from all commands except `kill`, the only one that has it. */
 function toCommand({ type, task, attempt, gracePeriodSeconds }: CommandRecord): Command {
   if (type !== 'kill') return { type, task, attempt };
   return { type, task, attempt, gracePeriodSeconds: gracePeriodSeconds ?? 0 };
@@ -57,13 +57,13 @@
 function toRelayedHeartbeat({ full, unchanged }: RelayedRecord): RelayedHeartbeat {
   if (full) return { kind: 'full', heartbeat: full };
   if (unchanged) return { kind: 'unchanged', ...unchanged };
-  throw new MessageError('a relayed heartbeat is neither full nor unchanged');
+  throw new MessageError('relayed heartbeat has neither the field full nor the field unchanged');
 }
 
 const toRelayedRecord = (relayed: RelayedHeartbeat): object =>
   relayed.kind === 'full' ? { full: relayed.heartbeat } : { unchanged: relayed };
 
-const toResponse = (
+const toHeartbeatResponse = (
   response: WithCommandRecords<HeartbeatResponse>,
 ): HeartbeatResponses['responses'][number] => ({
   ...response,
@@ -87,7 +87,7 @@
     }
     case 'heartbeatResponses': {
       const { epoch, responses } = value as HeartbeatResponsesRecord;
-      return { type, epoch, responses: responses.map(toResponse) };
+      return { type, epoch, responses: responses.map(toHeartbeatResponse) };
     }
     case 'workerHeartbeats': {
       const { node, epoch, heartbeats } = value as WorkerHeartbeatsRecord;
@@ -118,24 +118,26 @@
 const isResponse = (message: PeerRequest | PeerResponse): message is PeerResponse =>
   RESPONSE_TYPES.has(message.type);
 
-/** A request as the payload of one frame. */
+/** Encodes a request as the payload of one frame. */
 export const encodeRequest = (id: number, request: PeerRequest): Buffer =>
   encodeMessage(id, request);
 
-/** A response as the payload of one frame; its id is that of the request. */
+/** Encodes a response as the payload of one frame, with the id of its request. */
 export const encodeResponse = (id: number, response: PeerResponse): Buffer =>
   encodeMessage(id, response);
 
-/** Throws on anything that is not a request of this version. */
+/** Decodes a request; throws on anything that is not a request of this version. */
 export function decodeRequest(bytes: Buffer): Envelope<PeerRequest> {
   const { id, message } = decodeMessage(bytes);
-  if (isResponse(message)) throw new MessageError(`${message.type} is no request`);
+  if (isResponse(message))
+    throw new MessageError(`expected a request from the peer, got ${message.type}`);
   return { id, message };
 }
 
-/** Throws on anything that is not a response of this version. */
+/** Decodes a response; throws on anything that is not a response of this version. */
 export function decodeResponse(bytes: Buffer): Envelope<PeerResponse> {
   const { id, message } = decodeMessage(bytes);
-  if (!isResponse(message)) throw new MessageError(`${message.type} is no response`);
+  if (!isResponse(message))
+    throw new MessageError(`expected a response from the peer, got ${message.type}`);
   return { id, message };
 }
--- a/src/peer/messages.ts
+++ b/src/peer/messages.ts
@@ -2,31 +2,31 @@
 import type { NodeId } from '../units/index.js';
 import type { Command, Heartbeat } from '../wire/index.js';
 
-/** A controller's status, in each heartbeat between controllers and in the response to one. */
+/** A controller's status, sent in each heartbeat between controllers and in its response. */
 export interface PeerStatus {
-  /** The leader that it knows of; empty if it knows of none. */
+  /** The leader that the controller knows of; empty if it knows of none. */
   readonly leader: string;
-  /** The latest epoch that it knows of. */
+  /** The latest epoch that the controller knows of. */
   readonly epoch: number;
-  /** Whether the state service has answered it recently. */
+  /** Whether the store has responded to the controller recently. */
   readonly storeReachable: boolean;
 }
 
-/** The images that a machine probably has in its cache, least recently used first. */
+/** The images that a machine's cache probably holds, least recently used first. */
 export interface MachineImages {
   readonly machine: string;
   readonly images: readonly { readonly name: string; readonly gb: number }[];
 }
 
-/** A worker's heartbeat that a follower passes on as it is. */
+/** A worker's heartbeat that a follower relays in full. */
 export interface FullHeartbeat {
   readonly kind: 'full';
   readonly heartbeat: Heartbeat;
 }
 
 /**
- * A worker's heartbeat that shows the same tasks as one that the leader accepted before under the same epoch,
- * so that only its sequence number and token need to be sent.
+ * A worker's heartbeat that shows the same tasks as an earlier one that the leader accepted in the same epoch, so
+ * that only its sequence number and fencing token need to be sent.
  */
 export interface UnchangedHeartbeat {
   readonly kind: 'unchanged';
@@ -38,10 +38,11 @@
   readonly unchangedSince: number;
 }
 
-/** A worker's heartbeat on its way from a follower to the leader. */
+/** A worker's heartbeat that a follower relays to the leader. */
 export type RelayedHeartbeat = FullHeartbeat | UnchangedHeartbeat;
 
-/** `baselineUnknown`: the leader needs the heartbeat in full. `refused`: it has no authority to answer it. */
+/** `baselineUnknown`: the leader needs the heartbeat in full. `refused`: the leader could not handle it now, for lack of authority or of
+ * room in the response. */
 export type HeartbeatOutcome = 'accepted' | 'refused' | 'baselineUnknown';
 
 /** The leader's response to one relayed heartbeat. */
@@ -52,17 +53,17 @@
   readonly commands: readonly Command[];
 }
 
-/** Heartbeats that reached a follower, for the leader to answer. */
+/** A batch of workers' heartbeats that a follower relays to the leader. */
 export interface WorkerHeartbeatsRequest {
   readonly type: 'workerHeartbeats';
-  /** The node that the workers report to. */
+  /** The controller that received the heartbeats from the workers. */
   readonly node: NodeId;
-  /** The epoch under which the baselines were assigned. */
+  /** The epoch in which the baselines were assigned. */
   readonly epoch: number;
   readonly heartbeats: readonly RelayedHeartbeat[];
 }
 
-/** Has a follower send commands to a worker that reports through it. */
+/** Has a follower send commands to a worker whose heartbeats it relays. */
 export interface SendCommandsRequest {
   readonly type: 'sendCommands';
   readonly address: string;
@@ -72,13 +73,13 @@
   readonly commands: readonly Command[];
 }
 
-/** A user's request that the leader is to answer. */
+/** A user's request that a follower relays to the leader. */
 export type UserPeerRequest =
   | { readonly type: 'submitJob'; readonly body: Buffer }
   | { readonly type: 'readJob'; readonly job: string }
   | { readonly type: 'cancelJob'; readonly job: string };
 
-/** Everything that one controller asks of another. */
+/** Every request from one controller to another. */
 export type PeerRequest =
   | { readonly type: 'peerHeartbeat'; readonly status: PeerStatus }
   | { readonly type: 'imageHints'; readonly machines: readonly MachineImages[] }
@@ -87,37 +88,37 @@
   | WorkerHeartbeatsRequest
   | SendCommandsRequest;
 
-/** How commands to a worker went. `unknown`: they may have been, or may yet be, carried out. */
+/** The outcome of sending commands to a worker. `unknown`: they may have been, or may still be, carried out. */
 export type CommandOutcome = 'answered' | 'undelivered' | 'unknown';
 
 /** The response to `SendCommandsRequest`. */
 export interface CommandResult {
   readonly type: 'commandResult';
   readonly outcome: CommandOutcome;
-  /** What failed; empty if the worker answered. */
+  /** What failed; empty if the worker responded. */
   readonly reason: string;
-  /** The worker's status after the commands; null without a readable answer. */
+  /** The worker's status after the commands; null without a readable response. */
   readonly heartbeat: Heartbeat | null;
 }
 
-/** The responses to a batch of heartbeats, in its order. */
+/** The responses to a batch of heartbeats, in the order of the batch. */
 export interface HeartbeatResponses {
   readonly type: 'heartbeatResponses';
   readonly epoch: number;
   readonly responses: readonly HeartbeatResponse[];
 }
 
-/** The answer to a user's request, to be passed on by the node that received it. */
+/** The response to a user's request, which the controller that received the request returns to the user. */
 export interface UserResponse {
   readonly type: 'userResponse';
   readonly status: number;
-  /** Seconds after which the user should try again; 0: not stated. */
+  /** Seconds after which the user should retry; 0 if not set. */
   readonly retryAfter: number;
-  /** CBOR, as it is sent to the user. */
+  /** The CBOR body that is sent to the user. */
   readonly body: Buffer;
 }
 
-/** Every response of one controller to another. */
+/** Every response from one controller to another. */
 export type PeerResponse =
   | { readonly type: 'peerStatus'; readonly status: PeerStatus }
   | { readonly type: 'acknowledged'; readonly ok: boolean }
--- a/src/peer/peer-client.ts
+++ b/src/peer/peer-client.ts
@@ -1,4 +1,4 @@
-/** The client side of the channel between controllers: one kept connection to each other node. */
+/** The client side of the connections between controllers: one persistent connection to each peer. */
 import net from 'node:net';
 import { pipeline } from 'node:stream/promises';
 import type { Logger } from 'pino';
@@ -18,25 +18,25 @@
 import type { PeerRequest, PeerResponse } from './messages.js';
 
 const CONNECT_TIMEOUT = ms(700);
-const RECONNECT_PAUSE = ms(500);
+const RECONNECT_DELAY = ms(500);
 const MAX_REQUEST_ID = 0x7fffffff;
 /**
- * A node that has left everything unanswered for this long counts as unreachable. One that only has much to do
- * answers late: passing it over would put its work on nodes that can't do it, and make it later still.
+ * A peer that has not responded to any request for this long counts as unresponsive. A peer under high load only
+ * responds late: bypassing it would move its work to controllers that can't do it, and delay the work further.
  */
 const UNRESPONSIVE_AFTER = ms(2500);
 
-type Settle = (response: PeerResponse | undefined) => void;
+type SettleRequest = (response: PeerResponse | undefined) => void;
 
-/** A kept connection to another node. It is opened by the first request, and again by the next after it has ended. */
+/** A persistent connection to a peer. A request opens it if it is not open, at most once per `RECONNECT_DELAY`. */
 export class PeerClient implements Peer {
   private socket: net.Socket | undefined;
-  private framer: FrameEncoder | undefined;
+  private frameEncoder: FrameEncoder | undefined;
   private isConnected = false;
-  private nextId = 1;
-  private readonly pending = new Map<number, Settle>();
-  /** Since when requests have been waiting without any response. */
-  private silentSince: SteadyMs | undefined;
+  private nextRequestId = 1;
+  private readonly pendingRequests = new Map<number, SettleRequest>();
+  /** Since when requests have been pending without any response. */
+  private unansweredSince: SteadyMs | undefined;
   private reconnectAt = SteadyMs(0);
   private isClosed = false;
 
@@ -47,16 +47,18 @@
   ) {}
 
   get isResponsive(): boolean {
-    return this.isConnected && !this.isSilent;
+    return this.isConnected && !this.isResponseOverdue;
   }
 
-  private get isSilent(): boolean {
-    const { silentSince } = this;
+  private get isResponseOverdue(): boolean {
+    const { unansweredSince } = this;
     const now = this.clock.steady();
-    return silentSince !== undefined && durationBetween(silentSince, now) > UNRESPONSIVE_AFTER;
+    return (
+      unansweredSince !== undefined && durationBetween(unansweredSince, now) > UNRESPONSIVE_AFTER
+    );
   }
 
-  /** Ends the connection for good; what is pending gets no response. */
+  /** Closes the connection for good; pending requests get no response. */
   close(): void {
     this.isClosed = true;
     this.socket?.destroy();
@@ -64,23 +66,24 @@
 
   async sendRequest(request: PeerRequest, timeout: DurationMs): Promise<PeerResponse | undefined> {
     this.connect();
-    const framer = this.framer;
-    if (!framer || this.isClosed) return undefined;
-    const id = this.nextId;
-    this.nextId = id >= MAX_REQUEST_ID ? 1 : id + 1;
+    const frameEncoder = this.frameEncoder;
+    if (!frameEncoder || this.isClosed) return undefined;
+    const id = this.nextRequestId;
+    this.nextRequestId = id >= MAX_REQUEST_ID ? 1 : id + 1;
     const response = await new Promise<PeerResponse | undefined>((resolve) => {
       const timer = this.clock.after(timeout, () => settle(undefined));
-      const settle: Settle = (received) => {
+      const settle: SettleRequest = (received) => {
         timer.cancel();
-        this.pending.delete(id);
+        this.pendingRequests.delete(id);
         resolve(received);
       };
-      this.pending.set(id, settle);
-      this.silentSince ??= this.clock.steady();
-      framer.write(encodeRequest(id, request));
+      this.pendingRequests.set(id, settle);
+      this.unansweredSince ??= this.clock.steady();
+      frameEncoder.write(encodeRequest(id, request));
     });
-    // The connection may be dead without having been closed.
-    if (!response && this.framer === framer && this.isSilent) this.drop('no answers');
+    // The connection may have failed without having been closed.
+    if (!response && this.frameEncoder === frameEncoder && this.isResponseOverdue)
+      this.dropConnection('no response to any request in time');
     return response;
   }
 
@@ -92,11 +95,12 @@
       port: Number(this.endpoint.slice(colon + 1)),
       noDelay: true,
     });
-    const framer = new FrameEncoder();
+    const frameEncoder = new FrameEncoder();
     this.socket = socket;
-    this.framer = framer;
+    this.frameEncoder = frameEncoder;
     const timer = this.clock.after(CONNECT_TIMEOUT, () => {
-      if (!this.isConnected && this.socket === socket) this.drop('no connection in time');
+      if (!this.isConnected && this.socket === socket)
+        this.dropConnection('timeout while connecting');
     });
     socket.once('connect', () => {
       timer.cancel();
@@ -104,36 +108,39 @@
     });
     const onEnded = (reason: string): void => {
       timer.cancel();
-      if (this.socket === socket) this.drop(reason);
+      if (this.socket === socket) this.dropConnection(reason);
     };
-    pipeline(framer, socket).catch((error: unknown) => onEnded(messageOf(error)));
+    pipeline(frameEncoder, socket).catch((error: unknown) => onEnded(messageOf(error)));
     this.receive(socket).then(
-      () => onEnded('closed by the other side'),
+      () => onEnded('closed by the peer'),
       (error: unknown) => onEnded(messageOf(error)),
     );
   }
 
-  /** Passes each response to its request until the connection ends. */
+  /** Passes each response to its pending request until the connection ends. */
   private receive(socket: net.Socket): Promise<void> {
     return pipeline(socket, new FrameDecoder(), async (frames: AsyncIterable<Buffer>) => {
       for await (const frame of frames) {
         const { id, message } = decodeResponse(frame);
-        this.silentSince = undefined;
-        this.pending.get(id)?.(message);
+        this.unansweredSince = undefined;
+        this.pendingRequests.get(id)?.(message);
       }
     });
   }
 
-  /** Gives the connection up; what is pending gets no response. */
-  private drop(reason: string): void {
-    this.log.debug({ peer: this.endpoint, reason }, 'peer connection ended');
+  /** Drops the connection; pending requests get no response. */
+  private dropConnection(reason: string): void {
+    this.log.debug(
+      { peer: this.endpoint, reason },
+      'connection to a peer ended; pending requests get no response',
+    );
     const { socket } = this;
     this.socket = undefined;
-    this.framer = undefined;
+    this.frameEncoder = undefined;
     this.isConnected = false;
-    this.silentSince = undefined;
-    this.reconnectAt = later(this.clock.steady(), RECONNECT_PAUSE);
+    this.unansweredSince = undefined;
+    this.reconnectAt = later(this.clock.steady(), RECONNECT_DELAY);
     socket?.destroy();
-    for (const settle of [...this.pending.values()]) settle(undefined);
+    for (const settle of [...this.pendingRequests.values()]) settle(undefined);
   }
 }
--- a/src/peer/peer-liveness.ts
+++ b/src/peer/peer-liveness.ts
@@ -1,4 +1,4 @@
-/** Heartbeats between controllers: who leads, who answers, and whether this node is cut off. */
+/** Heartbeats between controllers: they tell who leads, which peers respond, and whether this controller is isolated. */
 import type { Logger } from 'pino';
 import { detach } from '../units/detach.js';
 import {
@@ -14,55 +14,56 @@
 
 const HEARTBEAT_INTERVAL = ms(1000);
 const HEARTBEAT_TIMEOUT = ms(800);
-/** A node that has had no answer from any other for this long counts as isolated. */
+/** A controller without any response from the store or a peer for this long counts as isolated. */
 const ISOLATED_AFTER = seconds(5);
-/** For this long another node's statement counts that the state service does not answer it either. */
+/** How long a peer's statement that the store does not respond to it either remains valid. */
 const OUTAGE_REPORT_TTL = seconds(30);
 
-/** The latest status of another node, and when it arrived. */
+/** The latest status of a peer, and when it arrived. */
 export interface ReceivedStatus {
   readonly receivedAt: SteadyMs;
   readonly status: PeerStatus;
 }
 
 /**
- * Whether a node is of no use to users because it is cut off itself: neither the state service nor any other node
- * answers it. In an outage of the state service for all, the other nodes say so, and none counts as isolated.
+ * Whether a controller can't serve users because it alone is cut off: neither the store nor any peer responds to it.
+ * If the store is unavailable to all controllers, the peers report that, and no controller counts as isolated.
  */
 export function isIsolated(
   now: SteadyMs,
-  storeServedAt: SteadyMs,
+  lastStoreResponseAt: SteadyMs,
   peers: readonly (ReceivedStatus | undefined)[],
 ): boolean {
-  if (peers.length === 0 || durationBetween(storeServedAt, now) < ISOLATED_AFTER) return false;
+  if (peers.length === 0 || durationBetween(lastStoreResponseAt, now) < ISOLATED_AFTER)
+    return false;
   for (const peer of peers) {
     if (!peer) continue;
     const age = durationBetween(peer.receivedAt, now);
     if (age < ISOLATED_AFTER) return false;
-    const isOutageForAll = !peer.status.storeReachable && peer.receivedAt > storeServedAt;
-    if (isOutageForAll && age < OUTAGE_REPORT_TTL) return false;
+    const isStoreOutage = !peer.status.storeReachable && peer.receivedAt > lastStoreResponseAt;
+    if (isStoreOutage && age < OUTAGE_REPORT_TTL) return false;
   }
   return true;
 }
 
-/** Whether an answer at that time is recent enough for its sender to count as reachable. */
+/** Whether a response at that time is recent enough for its sender to count as reachable. */
 export const isRecentResponse = (at: SteadyMs, now: SteadyMs): boolean =>
   durationBetween(at, now) < ISOLATED_AFTER;
 
-/** What heartbeats carry, for `PeerLiveness`. */
+/** The source and the receiver of the statuses that `PeerLiveness` exchanges. */
 export interface StatusExchange {
-  /** This node's status at this moment. */
+  /** The status of this controller at this moment. */
   ownStatus(): PeerStatus;
-  /** Called with each status that another node sends. */
+  /** Called with each status that a peer sends. */
   onPeerStatus(status: PeerStatus): void;
 }
 
 /**
- * Sends heartbeats to the other nodes, so that one that has stopped answering is known before a user's request
- * depends on it, and so that a node that the state service does not serve still learns who leads.
+ * Sends heartbeats to the peers, so that an unresponsive peer is known before a user's request depends on it, and so
+ * that a controller without access to the store still learns who leads.
  */
 export class PeerLiveness {
-  private readonly latest = new Map<NodeId, ReceivedStatus>();
+  private readonly latestStatuses = new Map<NodeId, ReceivedStatus>();
   private isStopped = false;
 
   constructor(
@@ -73,36 +74,43 @@
   ) {}
 
   start(): void {
-    for (const [node, peer] of this.peers) this.sendHeartbeat(node, peer);
+    for (const [controllerId, peer] of this.peers) this.sendHeartbeat(controllerId, peer);
   }
 
   stop(): void {
     this.isStopped = true;
   }
 
-  private sendHeartbeat(node: NodeId, peer: Peer): void {
+  private sendHeartbeat(controllerId: NodeId, peer: Peer): void {
     if (this.isStopped) return;
     const status = this.exchange.ownStatus();
     const exchanged = peer
       .sendRequest({ type: 'peerHeartbeat', status }, HEARTBEAT_TIMEOUT)
       .then((response) => {
         if (response?.type !== 'peerStatus') return;
-        this.latest.set(node, { receivedAt: this.clock.steady(), status: response.status });
+        this.latestStatuses.set(controllerId, {
+          receivedAt: this.clock.steady(),
+          status: response.status,
+        });
         this.exchange.onPeerStatus(response.status);
       })
-      .finally(() => this.clock.after(HEARTBEAT_INTERVAL, () => this.sendHeartbeat(node, peer)));
-    detach(exchanged, this.log, 'heartbeat to a peer');
+      .finally(() =>
+        this.clock.after(HEARTBEAT_INTERVAL, () => this.sendHeartbeat(controllerId, peer)),
+      );
+    detach(exchanged, this.log, 'sending a heartbeat to a peer');
   }
 
-  /** Takes another node's heartbeat and returns the status to respond with. */
+  /** Processes a peer's heartbeat and returns the status to respond with. */
   handleHeartbeat(status: PeerStatus): PeerStatus {
     this.exchange.onPeerStatus(status);
     return this.exchange.ownStatus();
   }
 
-  /** Whether this node counts as isolated, given when the state service last answered it. */
-  isIsolated(storeServedAt: SteadyMs): boolean {
-    const statuses = [...this.peers.keys()].map((node) => this.latest.get(node));
-    return isIsolated(this.clock.steady(), storeServedAt, statuses);
+  /** Whether this controller counts as isolated, given the time of the store's last response to it. */
+  isIsolated(lastStoreResponseAt: SteadyMs): boolean {
+    const statuses = [...this.peers.keys()].map((controllerId) =>
+      this.latestStatuses.get(controllerId),
+    );
+    return isIsolated(this.clock.steady(), lastStoreResponseAt, statuses);
   }
 }
--- a/src/peer/peer-server.ts
+++ b/src/peer/peer-server.ts
@@ -1,4 +1,4 @@
-/** The server side of the channel between controllers. */
+/** The server side of the connections between controllers. */
 import net from 'node:net';
 import { pipeline } from 'node:stream/promises';
 import type { Logger } from 'pino';
@@ -10,40 +10,43 @@
 import type { PeerRequest } from './messages.js';
 
 /**
- * A server, not yet listening, that answers the other nodes. A connection that carries anything unreadable, as
- * from a node of another version, is closed, and logged once for each node: without a link the nodes work
- * together through the store.
+ * Creates a server, not yet listening, that handles the requests of peers. It closes a connection that carries an
+ * unreadable message, for example from a controller of another version, and logs this once for each peer. Without a
+ * connection, controllers cooperate through the store.
  */
 export function createPeerServer(handle: PeerHandler, log: Logger): net.Server {
   const unreadablePeers = new Set<string>();
-  const decode = (frame: Buffer, from: string): Envelope<PeerRequest> => {
+  const decode = (frame: Buffer, address: string): Envelope<PeerRequest> => {
     try {
       const envelope = decodeRequest(frame);
-      unreadablePeers.delete(from);
+      unreadablePeers.delete(address);
       return envelope;
     } catch (error) {
-      if (!unreadablePeers.has(from)) {
-        log.warn({ from, err: error }, 'unreadable message from a peer');
+      if (!unreadablePeers.has(address)) {
+        log.warn(
+          { from: address, err: error },
+          'unreadable message from a peer; its connection is closed',
+        );
       }
-      unreadablePeers.add(from);
+      unreadablePeers.add(address);
       throw error;
     }
   };
   return net.createServer({ noDelay: true }, (socket) => {
-    const from = socket.remoteAddress ?? '';
-    const framer = new FrameEncoder();
+    const address = socket.remoteAddress ?? '';
+    const frameEncoder = new FrameEncoder();
     const respond = async ({ id, message }: Envelope<PeerRequest>): Promise<void> => {
       const response = await handle(message);
-      if (!framer.destroyed) framer.write(encodeResponse(id, response));
+      if (!frameEncoder.destroyed) frameEncoder.write(encodeResponse(id, response));
     };
-    pipeline(framer, socket).catch(() => socket.destroy());
+    pipeline(frameEncoder, socket).catch(() => socket.destroy());
     pipeline(socket, new FrameDecoder(), async (frames: AsyncIterable<Buffer>) => {
       for await (const frame of frames) {
-        // Answered as they arrive, not in turn: a slow request must not delay the others.
-        detach(respond(decode(frame, from)), log, 'peer request');
+        // Requests are handled concurrently: a slow one must not delay the others.
+        detach(respond(decode(frame, address)), log, "handling a peer's request");
       }
     }).catch((error: unknown) => {
-      log.debug({ from, reason: messageOf(error) }, 'connection of a peer ended');
+      log.debug({ from: address, reason: messageOf(error) }, 'connection from a peer ended');
       socket.destroy();
     });
   });
--- a/src/peer/peer.ts
+++ b/src/peer/peer.ts
@@ -1,14 +1,17 @@
-/** The channel between controllers, as its users see it. */
+/** The interface through which one controller sends requests to another. */
 import type { DurationMs } from '../units/index.js';
 import type { PeerRequest, PeerResponse } from './messages.js';
 
-/** One node's way to another. */
+/** Another controller, as seen from this one. */
 export interface Peer {
-  /** Whether it has answered recently; callers do not wait for a node that has not. */
+  /** Whether the peer is connected and has responded recently; callers do not wait for an unresponsive peer. */
   readonly isResponsive: boolean;
-  /** The response; undefined if none came in time, in which case the request may have been, or may yet be, carried out. */
+  /**
+   * Sends a request and returns the response. Undefined means that none arrived in time: the request may have been, or
+   * may still be, carried out.
+   */
   sendRequest(request: PeerRequest, timeout: DurationMs): Promise<PeerResponse | undefined>;
 }
 
-/** Answers the requests of other nodes. */
+/** Handles the requests of peers. */
 export type PeerHandler = (request: PeerRequest) => Promise<PeerResponse>;
--- a/src/peer/schemas.ts
+++ b/src/peer/schemas.ts
@@ -1,6 +1,6 @@
 /**
- * Avro schemas of the messages between controllers. Avro encodes fields by position and enum symbols by index:
- * the names here may change, their order and types may not.
+ * Avro schemas of the messages between controllers. Avro encodes fields by position and enum symbols by index, so
+ * the names here may change, but their order and types may not.
  */
 import avro from 'avsc';
 import type { PeerRequest, PeerResponse } from './messages.js';
@@ -80,7 +80,7 @@
   field('images', arrayOf(record('Image', [field('name', 'string'), field('gb', 'double')]))),
 ]);
 
-/** By message type. Their order is that of the envelope's enum: new ones go to the end. */
+/** The schemas by message type. Their order defines the symbols of the envelope's enum: add new ones at the end. */
 const schemas = {
   peerHeartbeat: record('PeerHeartbeat', [field('status', statusSchema)]),
   imageHints: record('ImageHints', [field('machines', arrayOf(machineImagesSchema))]),
@@ -122,10 +122,10 @@
   ]),
 } satisfies Record<PeerRequest['type'] | PeerResponse['type'], avro.Schema>;
 
-/** Names of all messages, requests and responses alike. */
+/** The type of any message, request or response. */
 export type MessageType = keyof typeof schemas;
 
-/** Carries any message: its type, its payload, and the id that pairs a response with its request. */
+/** The envelope of any message: its type, its payload, and the id that matches a response to its request. */
 export const EnvelopeType = avro.Type.forSchema({
   type: 'record',
   name: 'Envelope',
@@ -138,7 +138,7 @@
 
 const payloadTypes = new Map<MessageType, avro.Type>();
 
-/** Made when it is first needed: a starting process has no time for schemas that it may never use. */
+/** Compiles a schema on first use, so that schemas that may never be used do not slow down the start of the process. */
 export function payloadTypeOf(type: MessageType): avro.Type {
   let payloadType = payloadTypes.get(type);
   if (!payloadType) {
