--- a/src/api/leader-view.ts
+++ b/src/api/leader-view.ts
@@ -13,7 +13,7 @@
   | { readonly kind: 'term'; readonly term: Term }
   /** A peer leads and is responsive. */
   | { readonly kind: 'leader'; readonly peer: Peer }
-  /** Only the store can be used: no leader is reachable, or this controller leads and is still reading the records. */
+  /** Only the store can be used: no leader is reachable, or this controller leads but still reads the records. */
   | { readonly kind: 'store' };
 
 /** This controller's own term, and its connection to the leader if that is a peer. */
@@ -37,7 +37,8 @@
   routeFor(policy: RelayPolicy): RequestRoute {
     const term = this.authorisedTerm();
     if (term?.isReady) return { kind: 'term', term };
-    // A leader that is still reading the records has no other leader to relay to, and requests must not be relayed in a loop.
+    // A leader that is still reading the records has no other leader to relay to, and a relayed request must
+    // not be relayed again, which could create a loop.
     const peer = term || policy === 'handleLocally' ? undefined : this.leaderPeer();
     return peer ? { kind: 'leader', peer } : { kind: 'store' };
   }
--- a/src/api/submission-handler.ts
+++ b/src/api/submission-handler.ts
@@ -21,7 +21,7 @@
  * late response, so the timeout allows for a leader under high load.
  */
 const SUBMIT_TIMEOUT = ms(1500);
-const NOTICE_TIMEOUT = ms(1200);
+const LEADER_NOTIFICATION_TIMEOUT = ms(1200);
 /** If the store would delay a write for longer than this, the submission is rejected at once with a 429. */
 const MAX_WRITE_WAIT = ms(1000);
 
@@ -137,7 +137,7 @@
     }
   }
 
-  /** Tells the leader of a job that this controller wrote, to save time: the leader also watches the inbox entries. */
+  /** Tells the leader of a job that this controller wrote. This only saves time: it also watches the inbox entries. */
   private notifyLeader(id: JobId): void {
     const { leadership, log } = this.deps;
     const term = leadership.authorisedTerm();
@@ -148,7 +148,7 @@
     }
     const notice = leadership
       .leaderPeer()
-      ?.sendRequest({ type: 'jobNotice', job: id }, NOTICE_TIMEOUT);
+      ?.sendRequest({ type: 'jobNotice', job: id }, LEADER_NOTIFICATION_TIMEOUT);
     if (notice) detach(notice, log, 'notifying the leader of a job written to the store');
   }
 
--- a/src/api/worker-heartbeat-handler.ts
+++ b/src/api/worker-heartbeat-handler.ts
@@ -37,7 +37,10 @@
  * to handle, with code that the JIT has not compiled yet, and must be able to renew its lease in between.
  */
 const HEARTBEATS_PER_EVENT_LOOP_TURN = 20;
-/** Once a response holds this many commands, the remaining heartbeats wait for another batch, so that it fits a frame. */
+/**
+ * Once the response to a batch holds this many commands, the remaining heartbeats are refused and wait for another
+ * batch, so that the response fits a frame.
+ */
 const MAX_COMMANDS_PER_BATCH = 2000;
 /** A redirected worker that returns within this time can't reach the controller it was sent to. */
 const FAILED_REDIRECT_WINDOW = seconds(9);
--- a/src/peer/framing.ts
+++ b/src/peer/framing.ts
@@ -1,7 +1,7 @@
 /** Length-prefixed frames on the connections between controllers. */
 import { Transform, type TransformCallback } from 'node:stream';
 
-/** Larger than the largest message that a controller sends: the responses to a batch of heartbeats, with many commands. */
+/** Above the size of the largest message: the responses to a batch of heartbeats, with many commands. */
 export const MAX_FRAME_BYTES = 192 * 1024;
 const LENGTH_PREFIX_BYTES = 4;
 
--- a/src/peer/messages.ts
+++ b/src/peer/messages.ts
@@ -41,8 +41,10 @@
 /** A worker's heartbeat that a follower relays to the leader. */
 export type RelayedHeartbeat = FullHeartbeat | UnchangedHeartbeat;
 
-/** `baselineUnknown`: the leader needs the heartbeat in full. `refused`: the leader could not handle it now, for lack of authority or of
- * room in the response. */
+/**
+ * `baselineUnknown`: the leader needs the heartbeat in full. `refused`: the leader could not handle the heartbeat now,
+ * because it has no authority or the response is full.
+ */
 export type HeartbeatOutcome = 'accepted' | 'refused' | 'baselineUnknown';
 
 /** The leader's response to one relayed heartbeat. */
--- a/src/peer/peer-client.ts
+++ b/src/peer/peer-client.ts
@@ -36,7 +36,7 @@
   private nextRequestId = 1;
   private readonly pendingRequests = new Map<number, SettleRequest>();
   /** Since when requests have been pending without any response. */
-  private unansweredSince: SteadyMs | undefined;
+  private waitingSince: SteadyMs | undefined;
   private reconnectAt = SteadyMs(0);
   private isClosed = false;
 
@@ -51,11 +51,9 @@
   }
 
   private get isResponseOverdue(): boolean {
-    const { unansweredSince } = this;
+    const { waitingSince } = this;
     const now = this.clock.steady();
-    return (
-      unansweredSince !== undefined && durationBetween(unansweredSince, now) > UNRESPONSIVE_AFTER
-    );
+    return waitingSince !== undefined && durationBetween(waitingSince, now) > UNRESPONSIVE_AFTER;
   }
 
   /** Closes the connection for good; pending requests get no response. */
@@ -78,7 +76,7 @@
         resolve(received);
       };
       this.pendingRequests.set(id, settle);
-      this.unansweredSince ??= this.clock.steady();
+      this.waitingSince ??= this.clock.steady();
       frameEncoder.write(encodeRequest(id, request));
     });
     // The connection may have failed without having been closed.
@@ -122,7 +120,7 @@
     return pipeline(socket, new FrameDecoder(), async (frames: AsyncIterable<Buffer>) => {
       for await (const frame of frames) {
         const { id, message } = decodeResponse(frame);
-        this.unansweredSince = undefined;
+        this.waitingSince = undefined;
         this.pendingRequests.get(id)?.(message);
       }
     });
@@ -138,7 +136,7 @@
     this.socket = undefined;
     this.frameEncoder = undefined;
     this.isConnected = false;
-    this.unansweredSince = undefined;
+    this.waitingSince = undefined;
     this.reconnectAt = later(this.clock.steady(), RECONNECT_DELAY);
     socket?.destroy();
     for (const settle of [...this.pendingRequests.values()]) settle(undefined);
--- a/src/peer/peer-liveness.ts
+++ b/src/peer/peer-liveness.ts
@@ -1,4 +1,4 @@
-/** Heartbeats between controllers: they tell who leads, which peers respond, and whether this controller is isolated. */
+/** Heartbeats between controllers: who leads, which peers respond, and whether this controller is isolated. */
 import type { Logger } from 'pino';
 import { detach } from '../units/detach.js';
 import {
--- a/src/peer/schemas.ts
+++ b/src/peer/schemas.ts
@@ -138,7 +138,7 @@
 
 const payloadTypes = new Map<MessageType, avro.Type>();
 
-/** Compiles a schema on first use, so that schemas that may never be used do not slow down the start of the process. */
+/** Compiles a schema on first use, so that unused schemas do not delay the start of the process. */
 export function payloadTypeOf(type: MessageType): avro.Type {
   let payloadType = payloadTypes.get(type);
   if (!payloadType) {
--- a/test/unit/peer.test.ts
+++ b/test/unit/peer.test.ts
@@ -1,4 +1,4 @@
-/** The channel between controllers: messages, links and the server. */
+/** The connections between controllers: messages, client and server. */
 import assert from 'node:assert/strict';
 import net, { type AddressInfo } from 'node:net';
 import { test } from 'node:test';
@@ -126,12 +126,12 @@
     await new Promise((resolve) => stranger.on('close', resolve));
   }
   assert.equal(logged.length, 1);
-  const link = new PeerClient(endpoint, systemClock, log);
+  const client = new PeerClient(endpoint, systemClock, log);
   try {
-    const response = await link.sendRequest({ type: 'readJob', job: 'run-000001' }, seconds(60));
+    const response = await client.sendRequest({ type: 'readJob', job: 'run-000001' }, seconds(60));
     assert.deepEqual(plain(response), { type: 'acknowledged', ok: true });
   } finally {
-    link.close();
+    client.close();
     server.close();
   }
 });
@@ -149,22 +149,22 @@
     await answered;
     return { type: 'acknowledged', ok: true };
   }, log);
-  const link = new PeerClient(await listening(server), clock, log);
+  const client = new PeerClient(await listening(server), clock, log);
   try {
-    const first = link.sendRequest({ type: 'readJob', job: 'run-000001' }, seconds(60));
+    const first = client.sendRequest({ type: 'readJob', job: 'run-000001' }, seconds(60));
     await arrival;
-    assert.ok(link.isResponsive, 'a request has just been sent');
-    const second = link.sendRequest({ type: 'peerHeartbeat', status }, ms(800));
+    assert.ok(client.isResponsive, 'a request has just been sent');
+    const second = client.sendRequest({ type: 'peerHeartbeat', status }, ms(800));
     await time.run(time.now + 900);
     assert.equal(await second, undefined);
-    assert.ok(link.isResponsive, 'a response is late');
+    assert.ok(client.isResponsive, 'a response is late');
     await time.run(time.now + 2000);
-    assert.ok(!link.isResponsive, 'no response for long');
+    assert.ok(!client.isResponsive, 'no response for long');
     for (const answer of answers) answer();
     assert.deepEqual(plain(await first), { type: 'acknowledged', ok: true });
-    assert.ok(link.isResponsive, 'a response has arrived');
+    assert.ok(client.isResponsive, 'a response has arrived');
   } finally {
-    link.close();
+    client.close();
     server.close();
   }
 });
