--- a/src/api/job-handler.ts
+++ b/src/api/job-handler.ts
@@ -1,6 +1,6 @@
 /** Reads and cancellations of a job: handled by the leader, or from the store if no leader is reachable. */
 import type { JobRecords } from '../ledger/job-records.js';
-import type { JobAnswer } from '../leader/job-requests.js';
+import type { JobLookupResult } from '../leader/job-requests.js';
 import type { Term } from '../leader/term.js';
 import { JobId, later, ms, durationBetween, sleep, type Clock } from '../units/index.js';
 import { JOB_ID } from '../wire/index.js';
@@ -93,7 +93,7 @@
   responseIfAuthorised(
     term: Term,
     id: string,
-    result: JobAnswer,
+    result: JobLookupResult,
     absent: ApiResponse,
   ): ApiResponse {
     // While this process waited or was suspended, a peer may have become the leader and have shown users a
--- a/src/api/job-responses.ts
+++ b/src/api/job-responses.ts
@@ -1,7 +1,7 @@
 /** Responses about a job, depending on what is known of it. */
 import type { StoredJob } from '../ledger/job-records.js';
 import { statusOf, type FinalState, type Job } from '../ledger/job.js';
-import type { JobAnswer } from '../leader/job-requests.js';
+import type { JobLookupResult } from '../leader/job-requests.js';
 import { ms, type DurationMs } from '../units/index.js';
 import { JobStatus, encodeJobState } from '../wire/index.js';
 import { NO_SUCH_JOB, TRY_AGAIN, type ApiResponse } from './api-response.js';
@@ -36,7 +36,11 @@
 }
 
 /** The job as the leader knows it; `absent` is the response if the job does not exist. */
-export function leaderJobResponse(id: string, result: JobAnswer, absent: ApiResponse): ApiResponse {
+export function leaderJobResponse(
+  id: string,
+  result: JobLookupResult,
+  absent: ApiResponse,
+): ApiResponse {
   switch (result.kind) {
     case 'live':
       // Revision 0 is not committed yet, so the submission may still fail.
--- a/src/api/worker-heartbeat-handler.ts
+++ b/src/api/worker-heartbeat-handler.ts
@@ -123,7 +123,9 @@
   private async respondAsLeader(heartbeat: Heartbeat, term: Term): Promise<ApiResponse> {
     // The worker has seen a newer fencing token, so this term has been superseded.
     if (heartbeat.fencingToken > term.epoch) return CANNOT_ANSWER_HEARTBEAT;
-    const follower = term.redirectsWorkers ? this.redirectTargetFor(heartbeat.machine) : undefined;
+    const follower = term.isRedirectingWorkers
+      ? this.redirectTargetFor(heartbeat.machine)
+      : undefined;
     if (follower !== undefined && !this.hasRedirectFailed(heartbeat.machine))
       return redirectTo(follower);
     if (!(await this.waitUntilReady(term))) return CANNOT_ANSWER_HEARTBEAT;
@@ -139,7 +141,7 @@
    * end before they know would keep cancelled tasks running past their deadline.
    */
   private async waitUntilReady(term: Term): Promise<boolean> {
-    if (!term.isReady) await term.rebuildSettled;
+    if (!term.isReady) await term.recoverySettled;
     return term.isReady && this.leadership.authorisedTerm() === term;
   }
 
@@ -176,8 +178,8 @@
   ): HeartbeatResponse {
     if (relayed.kind === 'full') {
       if (relayed.heartbeat.fencingToken > term.epoch) return REFUSED;
-      const { reply, baseline } = term.handleRelayedHeartbeat(relayed.heartbeat, sender);
-      return { outcome: 'accepted', baseline, commands: reply.commands };
+      const { response, baseline } = term.handleRelayedHeartbeat(relayed.heartbeat, sender);
+      return { outcome: 'accepted', baseline, commands: response.commands };
     }
     if (relayed.fencingToken > term.epoch) return REFUSED;
     if (epoch !== term.epoch) return BASELINE_UNKNOWN;
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Receives the heartbeats of workers and answers them with commands. */
+/** Handles heartbeats of workers and responds with commands. */
 import type { Machine } from '../fleet/machine.js';
 import { workerLeaseEnd } from '../fleet/worker-lease.js';
 import { toWorkerStatus, type WorkerStatus } from '../fleet/worker-status.js';
@@ -7,97 +7,97 @@
 import type { Command, Heartbeat, HeartbeatReply } from '../wire/index.js';
 import type { StatusObserver } from './command-sender.js';
 import type { PlacementIndex } from './placement-index.js';
-import { ReceptionCheck } from './reception-check.js';
+import { ResponseDeliveryCheck } from './response-delivery-check.js';
 
-/** Decides the commands of a reply. */
-export interface ReplyComposer {
-  /** To be called when the status has been reconciled with the placements. */
-  commandsForReply(machine: Machine, status: WorkerStatus): Command[];
+/** Decides the response commands for a heartbeat. */
+export interface ResponseCommandSource {
+  /** Must be called after the status has been reconciled with the placements. */
+  commandsForResponse(machine: Machine, status: WorkerStatus): Command[];
 }
 
-/** What the handler uses. */
+/** The dependencies of the heartbeat handler. */
 export interface HeartbeatHandlerOptions {
   readonly epoch: Epoch;
   readonly clock: Clock;
-  /** The length of a worker's lease. */
+  /** The duration of a worker's lease. */
   readonly lease: DurationMs;
   readonly placements: PlacementIndex;
   readonly observer: StatusObserver;
-  readonly replies: ReplyComposer;
-  /** A machine that was not up is up now, and may be given tasks. */
+  readonly responseCommands: ResponseCommandSource;
+  /** Called when a machine comes up, so that tasks can be placed on it. */
   readonly onMachineUp: () => void;
 }
 
-/** Processes heartbeats under one epoch. */
+/** Handles heartbeats under one epoch. */
 export class HeartbeatHandler {
   private nextBaseline = 1;
-  private readonly emptyReply: HeartbeatReply;
-  private readonly reception: ReceptionCheck;
+  private readonly emptyResponse: HeartbeatReply;
+  private readonly deliveryCheck: ResponseDeliveryCheck;
 
   constructor(private readonly options: HeartbeatHandlerOptions) {
     const { epoch, placements, lease } = options;
-    this.emptyReply = { fencingToken: epoch, commands: [] };
-    this.reception = new ReceptionCheck(epoch, placements.ledger.jobs, lease);
+    this.emptyResponse = { fencingToken: epoch, commands: [] };
+    this.deliveryCheck = new ResponseDeliveryCheck(epoch, placements.ledger.jobs, lease);
   }
 
-  /** A heartbeat that came directly from its worker. */
+  /** Handles a heartbeat that came directly from its worker. */
   handleDirect(heartbeat: Heartbeat): HeartbeatReply {
-    return this.receive(heartbeat, toWorkerStatus(heartbeat), undefined);
+    return this.acceptFull(heartbeat, toWorkerStatus(heartbeat), undefined);
   }
 
-  /** A heartbeat that a follower relayed; and the baseline by which the follower may refer to it. */
+  /** Handles a heartbeat that a follower relayed. The follower refers to its status by the returned baseline. */
   handleRelayed(
     heartbeat: Heartbeat,
-    relayNode: NodeId,
-  ): { reply: HeartbeatReply; baseline: number } {
+    relayId: NodeId,
+  ): { response: HeartbeatReply; baseline: number } {
     const baseline = this.nextBaseline++;
     const status = { ...toWorkerStatus(heartbeat), baseline };
-    return { reply: this.receive(heartbeat, status, relayNode), baseline };
+    return { response: this.acceptFull(heartbeat, status, relayId), baseline };
   }
 
   /**
-   * A heartbeat that shows the same tasks as its baseline; undefined if the baseline is not the newest status
-   * of the machine, so that the heartbeat is needed in full.
+   * Handles a heartbeat that shows the same tasks as its baseline. Returns undefined if the baseline is not the
+   * newest status of the machine; the heartbeat must then be sent in full.
    */
-  handleUnchanged(heartbeat: UnchangedHeartbeat, relayNode: NodeId): HeartbeatReply | undefined {
+  handleUnchanged(heartbeat: UnchangedHeartbeat, relayId: NodeId): HeartbeatReply | undefined {
     const machine = this.options.placements.fleet.machines.get(MachineId(heartbeat.machine));
     const last = machine?.status;
     if (!machine || last?.baseline !== heartbeat.unchangedSince) return undefined;
     if (last.session !== heartbeat.session) return undefined;
     const { sequence, fencingToken } = heartbeat;
-    return this.accept(machine, { ...last, sequence, fencingToken }, relayNode);
+    return this.accept(machine, { ...last, sequence, fencingToken }, relayId);
   }
 
-  private receive(
+  private acceptFull(
     heartbeat: Heartbeat,
     status: WorkerStatus,
-    relayNode: NodeId | undefined,
+    relayId: NodeId | undefined,
   ): HeartbeatReply {
     const id = MachineId(heartbeat.machine);
     const { fleet } = this.options.placements;
-    if (fleet.isGone(id)) return this.emptyReply;
+    if (fleet.isGone(id)) return this.emptyResponse;
     const { machineType, zone, spot } = heartbeat;
     const machine = fleet.observe(id, { machineType, zone, spot }, heartbeat.address);
-    return this.accept(machine, status, relayNode);
+    return this.accept(machine, status, relayId);
   }
 
   private accept(
     machine: Machine,
     status: WorkerStatus,
-    relayNode: NodeId | undefined,
+    relayId: NodeId | undefined,
   ): HeartbeatReply {
-    const { clock, epoch, lease, observer, onMachineUp, replies } = this.options;
+    const { clock, epoch, lease, observer, onMachineUp, responseCommands } = this.options;
     const now = clock.steady();
     const wasUp = machine.isUp;
     const last = machine.status;
     const isFresh = machine.recordStatus(status, now);
-    if (isFresh && last) this.reception.check(machine, status, last, now);
-    // A stale heartbeat is answered too, and its worker counts a new lease from when it was sent.
+    if (isFresh && last) this.deliveryCheck.check(machine, status, last, now);
+    // A stale heartbeat gets a response too, and its worker then renews the lease from when the heartbeat was sent.
     machine.extendLease(workerLeaseEnd(now, lease));
-    if (!isFresh) return this.emptyReply;
-    machine.relayNode = relayNode;
+    if (!isFresh) return this.emptyResponse;
+    machine.relayNode = relayId;
     if (!wasUp) onMachineUp();
     observer.observe(machine, status, 'heartbeat');
-    return { fencingToken: epoch, commands: replies.commandsForReply(machine, status) };
+    return { fencingToken: epoch, commands: responseCommands.commandsForResponse(machine, status) };
   }
 }
--- a/src/leader/rebuild.ts
+++ b/src/leader/job-recovery.ts
@@ -1,4 +1,4 @@
-/** What a new leader does first: it reads the records of all live jobs. */
+/** Recovery at the start of a term: the new leader reads the records of all live jobs. */
 import type { Logger } from 'pino';
 import { decodeJob } from '../ledger/codec.js';
 import { LIVE_PREFIX } from '../ledger/store-keys.js';
@@ -8,62 +8,63 @@
 import { JobId, ms, sleep, type Clock, type Timer } from '../units/index.js';
 
 const STORE_TIMEOUT = ms(2000);
-const RETRY_PAUSE = ms(300);
-/** Heartbeats that come while the records are read wait so long, counted from the beginning of the term. */
-const MAX_WAIT = ms(1500);
+const RETRY_DELAY = ms(300);
+/** Heartbeats that arrive during recovery wait until at most this long after the start of the term. */
+const MAX_HEARTBEAT_WAIT = ms(1500);
 
-/** What a rebuild needs of the rest of the node. */
-export interface RebuildDependencies {
+/** The dependencies of recovery on the rest of the controller. */
+export interface JobRecoveryDependencies {
   readonly store: Pick<StoreClient, 'list'>;
   readonly recordLimits: Pick<RecordLimits, 'noteRecord'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** Reads the live records once, and tells those who wait for it. */
-export class Rebuild {
-  /** Resolves once the records are read, the rebuild is closed, or it has taken too long. */
+/** Reads the live records once and notifies waiting callers through `settled`. */
+export class JobRecovery {
+  /** Resolves once the records have been read, recovery is closed, or `MAX_HEARTBEAT_WAIT` has passed. */
   readonly settled: Promise<void>;
   private settle: () => void = () => undefined;
   private readonly timer: Timer;
-  private closed = false;
+  private isClosed = false;
 
   constructor(
-    private readonly deps: RebuildDependencies,
-    /** Takes a job that was read. */
-    private readonly adopt: (job: Job) => void,
+    private readonly deps: JobRecoveryDependencies,
+    /** Receives each job that was read. */
+    private readonly onJobRead: (job: Job) => void,
   ) {
     this.settled = new Promise((resolve) => (this.settle = resolve));
-    this.timer = deps.clock.after(MAX_WAIT, () => this.settle());
+    this.timer = deps.clock.after(MAX_HEARTBEAT_WAIT, () => this.settle());
   }
 
-  /** Resolves with true once all records are read, however often that must be tried; false if closed. */
+  /** Retries until all records have been read. Resolves with true then, and with false if closed earlier. */
   async run(): Promise<boolean> {
-    while (!this.closed) {
+    while (!this.isClosed) {
       const listed = await this.deps.store.list(LIVE_PREFIX, STORE_TIMEOUT, { urgent: true });
-      if (this.closed) return false;
+      if (this.isClosed) return false;
       if (listed) {
         const now = this.deps.clock.steady();
         for (const item of listed.items) {
           const id = JobId(item.key.slice(LIVE_PREFIX.length));
           try {
             this.deps.recordLimits.noteRecord(item.data);
-            this.adopt(decodeJob(id, item.data, item.revision, now));
+            this.onJobRead(decodeJob(id, item.data, item.revision, now));
           } catch (error) {
-            const message = 'unreadable record; the job waits for repair';
+            const message =
+              'recovery: unreadable record; the job waits until the record is repaired';
             this.deps.log.error({ job: id, err: error }, message);
           }
         }
         return true;
       }
-      await sleep(this.deps.clock, RETRY_PAUSE);
+      await sleep(this.deps.clock, RETRY_DELAY);
     }
     return false;
   }
 
-  /** Releases those who wait, whether the records are read or not. */
+  /** Stops recovery and resolves `settled`, whether or not the records have been read. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.timer.cancel();
     this.settle();
   }
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -1,7 +1,7 @@
 /**
- * A term: what the leader does under one epoch. This module makes its parts and passes calls on to them:
- * records and fleet (`Ledger`, `Fleet`, `PlacementIndex`), heartbeats and commands, placing, capacity,
- * users' requests, and the work at intervals.
+ * A term: the work of the leader under one epoch. This module creates the components of a term and delegates
+ * calls to them: records and fleet (`Ledger`, `Fleet`, `PlacementIndex`), heartbeats and commands, placement,
+ * scaling, users' requests and periodic work.
  */
 import { Autoscaler } from '../capacity/autoscaler.js';
 import { Fleet } from '../fleet/fleet.js';
@@ -15,36 +15,36 @@
 import type { Heartbeat, HeartbeatReply, JobSpec } from '../wire/index.js';
 import { CommandSender } from './command-sender.js';
 import { ContactHistory } from './contact-history.js';
-import type { TermDependencies } from './dependencies.js';
+import type { TermDependencies } from './term-dependencies.js';
 import { GangController } from './gang-controller.js';
 import { HeartbeatHandler } from './heartbeat-handler.js';
-import { JobRequests, type JobAnswer, type SubmitOutcome } from './job-requests.js';
-import { MachineLoss } from './machine-loss.js';
-import { NoticeWatcher } from './notice-watcher.js';
+import { JobRequests, type JobLookupResult, type SubmitOutcome } from './job-requests.js';
+import { MachineLossHandler } from './machine-loss-handler.js';
+import { InboxWatcher } from './inbox-watcher.js';
 import { PeriodicWork } from './periodic-work.js';
 import { PlacementIndex } from './placement-index.js';
-import { Rebuild } from './rebuild.js';
+import { JobRecovery } from './job-recovery.js';
 import { ReplyCommands } from './reply-commands.js';
 import { Scheduler } from './scheduler.js';
 import { StatusReconciler } from './status-reconciler.js';
 
-/** From the gain of an epoch to its loss. `start` it once; `close` ends all that it does. */
+/** Leads under one epoch. `start` is called once; `close` ends all work of the term. */
 export class Term {
   private readonly ledger: Ledger;
   private readonly fleet: Fleet;
   private readonly placements: PlacementIndex;
   private readonly commands: CommandSender;
   private readonly gangs: GangController;
-  private readonly heartbeats: HeartbeatHandler;
+  private readonly heartbeatHandler: HeartbeatHandler;
   private readonly scheduler: Scheduler;
-  private readonly contacts: ContactHistory;
-  private readonly machineLoss: MachineLoss;
+  private readonly contactHistory: ContactHistory;
+  private readonly machineLossHandler: MachineLossHandler;
   private readonly autoscaler: Autoscaler;
-  private readonly jobs: JobRequests;
-  private readonly rebuild: Rebuild;
-  private readonly notices: NoticeWatcher;
+  private readonly jobRequests: JobRequests;
+  private readonly jobRecovery: JobRecovery;
+  private readonly inboxWatcher: InboxWatcher;
   private readonly periodicWork: PeriodicWork;
-  private closed = false;
+  private hasClosed = false;
 
   constructor(
     readonly epoch: Epoch,
@@ -52,22 +52,29 @@
   ) {
     const { clock, jobRecords, log } = deps;
     const startedAt = clock.steady();
-    this.rebuild = new Rebuild(deps, (job) => this.jobs.adopt(job));
+    this.jobRecovery = new JobRecovery(deps, (job) => this.jobRequests.addStoredJob(job));
     this.ledger = this.createLedger();
     this.fleet = this.createFleet(startedAt);
-    this.placements = this.createPlacements();
+    this.placements = this.createPlacementIndex();
     const observer = new StatusReconciler(epoch, this.placements, deps);
     this.commands = new CommandSender(epoch, this.placements, observer, deps);
     this.gangs = new GangController(this.placements, this.commands, clock);
-    this.heartbeats = this.createHeartbeats(observer);
+    this.heartbeatHandler = this.createHeartbeatHandler(observer);
     this.scheduler = new Scheduler(epoch, this.placements, this.commands, deps);
-    this.contacts = new ContactHistory(deps.peers, startedAt);
-    this.machineLoss = new MachineLoss(this.fleet, this.placements, clock, log);
+    this.contactHistory = new ContactHistory(deps.peers, startedAt);
+    this.machineLossHandler = new MachineLossHandler(this.fleet, this.placements, clock, log);
     this.autoscaler = this.createAutoscaler();
     const { ledger, fleet, placements, commands, gangs, scheduler } = this;
-    const { autoscaler, contacts, machineLoss } = this;
-    this.jobs = new JobRequests({ ledger, placements, commands, scheduler, jobRecords, clock });
-    this.notices = new NoticeWatcher(jobRecords, this.jobs, ledger, clock);
+    const { autoscaler, contactHistory, machineLossHandler } = this;
+    this.jobRequests = new JobRequests({
+      ledger,
+      placements,
+      commands,
+      scheduler,
+      jobRecords,
+      clock,
+    });
+    this.inboxWatcher = new InboxWatcher(jobRecords, this.jobRequests, ledger, clock);
     this.periodicWork = new PeriodicWork(
       {
         epoch,
@@ -78,8 +85,8 @@
         gangs,
         scheduler,
         autoscaler,
-        contacts,
-        machineLoss,
+        contactHistory,
+        machineLossHandler,
       },
       startedAt,
     );
@@ -88,11 +95,11 @@
   private createLedger(): Ledger {
     const { clock, log, onDeposed, random, recordLimits, store } = this.deps;
     const events: LedgerEvents = {
-      onCommitted: (job) => this.pushStarts(job),
+      onCommitted: (job) => this.scheduleStarts(job),
       onReplaced: (job) => this.placements.replaceJob(job),
-      onDropped: (job) => this.releasePlacements(job),
+      onDropped: (job) => this.releasePlacedTasks(job),
       onFinished: (job, final) => {
-        log.info({ job: job.id, team: final.team, status: final.status }, 'job over');
+        log.info({ job: job.id, team: final.team, status: final.status }, 'job finished');
       },
       onDeposed: () => onDeposed(this.epoch),
     };
@@ -121,7 +128,7 @@
     });
   }
 
-  private createPlacements(): PlacementIndex {
+  private createPlacementIndex(): PlacementIndex {
     const { clock, log } = this.deps;
     return new PlacementIndex({
       ledger: this.ledger,
@@ -135,7 +142,7 @@
     });
   }
 
-  private createHeartbeats(observer: StatusReconciler): HeartbeatHandler {
+  private createHeartbeatHandler(observer: StatusReconciler): HeartbeatHandler {
     const { clock, settings } = this.deps;
     return new HeartbeatHandler({
       epoch: this.epoch,
@@ -143,7 +150,7 @@
       lease: settings.workers.lease,
       placements: this.placements,
       observer,
-      replies: new ReplyCommands(this.ledger, this.deps),
+      responseCommands: new ReplyCommands(this.ledger, this.deps),
       onMachineUp: () => this.scheduler.schedulePlacing(),
     });
   }
@@ -153,12 +160,12 @@
     const autoscaler = new Autoscaler(
       {
         fleet: this.fleet,
-        answeringSince: () => this.contacts.answeringSince,
-        unreachableAt: this.contacts.unreachableAt,
+        answeringSince: () => this.contactHistory.respondingSince,
+        unreachableAt: this.contactHistory.unreachableAt,
         queue: () => this.scheduler.queue(),
         specOf: (id) => this.ledger.jobs.get(id)?.spec,
         anticipatedWork: () => this.scheduler.anticipatedSubmissions(),
-        noteRemoved: (machine, reason) => this.machineLoss.remove(machine, reason),
+        noteRemoved: (machine, reason) => this.machineLossHandler.remove(machine, reason),
       },
       { cloud, catalog, epoch: this.epoch, settings, operator, clock, random, log },
     );
@@ -166,46 +173,46 @@
     return autoscaler;
   }
 
-  /** Whether the records are read: before that, this term answers no request about a job and places no task. */
+  /** Whether all job records have been read. Before that, the term handles no job request and places no task. */
   get isReady(): boolean {
     return this.scheduler.isReady;
   }
 
-  /** Whether the term is over. */
+  /** Whether the term has ended. */
   get isClosed(): boolean {
-    return this.closed;
+    return this.hasClosed;
   }
 
-  /** Resolves once the term is ready or closed, or has taken too long to become ready. */
-  get rebuildSettled(): Promise<void> {
-    return this.rebuild.settled;
+  /** Resolves once the term is ready or closed, or recovery has exceeded its time limit. */
+  get recoverySettled(): Promise<void> {
+    return this.jobRecovery.settled;
   }
 
-  /** Whether workers that report straight to this node are sent to the others. */
-  get redirectsWorkers(): boolean {
-    return this.periodicWork.redirectsWorkers;
+  /** Whether workers that send heartbeats directly to this controller are redirected to followers. */
+  get isRedirectingWorkers(): boolean {
+    return this.periodicWork.isRedirectingWorkers;
   }
 
-  /** Resolves once the records are read and the work at intervals has begun, or the term is closed. */
+  /** Resolves once all records have been read and periodic work has started, or the term is closed. */
   async start(): Promise<void> {
-    if (!(await this.rebuild.run())) return;
+    if (!(await this.jobRecovery.run())) return;
     this.scheduler.isReady = true;
-    this.rebuild.close();
+    this.jobRecovery.close();
     this.deps.log.info(
       { jobs: this.ledger.jobs.size, machines: this.fleet.machines.size },
-      'rebuilt from the records',
+      'job records recovered from the store; scheduling starts',
     );
-    detach(this.notices.run(), this.deps.log, 'watching notices');
+    detach(this.inboxWatcher.run(), this.deps.log, 'watching the inbox');
     this.periodicWork.start();
   }
 
-  /** Nothing is written, sent or concluded any more. */
+  /** Ends the term: from now on, nothing is written, sent or decided. */
   close(): void {
-    this.closed = true;
-    this.rebuild.close();
-    this.notices.close();
+    this.hasClosed = true;
+    this.jobRecovery.close();
+    this.inboxWatcher.close();
     this.periodicWork.close();
-    this.jobs.close();
+    this.jobRequests.close();
     this.ledger.close();
     this.commands.close();
     this.scheduler.close();
@@ -216,21 +223,21 @@
 
   /** See `JobRequests.submit`. */
   submitJob(spec: JobSpec): Promise<SubmitOutcome> {
-    return this.jobs.submit(spec);
+    return this.jobRequests.submit(spec);
   }
 
   /** See `JobRequests.find`. */
-  findJob(id: JobId): Promise<JobAnswer> {
-    return this.jobs.find(id);
+  findJob(id: JobId): Promise<JobLookupResult> {
+    return this.jobRequests.find(id);
   }
 
   /** See `JobRequests.cancel`. */
-  cancelJob(id: JobId): Promise<JobAnswer> {
-    return this.jobs.cancel(id);
+  cancelJob(id: JobId): Promise<JobLookupResult> {
+    return this.jobRequests.cancel(id);
   }
 
-  /** Placements are committed: their starts may leave. */
-  private pushStarts(job: Job): void {
+  /** Schedules the starts of a job's committed placements. */
+  private scheduleStarts(job: Job): void {
     for (const placement of job.placements.values()) {
       const isStartDue = !placement.isReported && !placement.isStartPushed;
       if (isStartDue && placement.version <= job.committedVersion) {
@@ -239,31 +246,31 @@
     }
   }
 
-  /** A submission came to nothing: the starts of what was placed of it never left. */
-  private releasePlacements(job: Job): void {
+  /** Releases the placements of a job whose submission failed. Their starts were never sent. */
+  private releasePlacedTasks(job: Job): void {
     for (const index of job.placements.keys()) this.placements.releaseTask(job, index);
   }
 
   // --- machines ---------------------------------------------------------------------------------
 
-  /** The answer to a heartbeat that came straight from its worker. */
+  /** Returns the response to a heartbeat that came directly from its worker. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
-    return this.heartbeats.handleDirect(heartbeat);
+    return this.heartbeatHandler.handleDirect(heartbeat);
   }
 
-  /** The answer to a heartbeat that a follower passed on, and the baseline for later ones. */
+  /** Returns the response to a heartbeat that a follower relayed, and the baseline for later heartbeats. */
   handleRelayedHeartbeat(
     heartbeat: Heartbeat,
-    through: NodeId,
-  ): { reply: HeartbeatReply; baseline: number } {
-    return this.heartbeats.handleRelayed(heartbeat, through);
+    relayId: NodeId,
+  ): { response: HeartbeatReply; baseline: number } {
+    return this.heartbeatHandler.handleRelayed(heartbeat, relayId);
   }
 
-  /** The answer to a heartbeat that shows what its baseline showed; undefined if it must come in full. */
+  /** Returns the response to a heartbeat with the same tasks as its baseline; undefined if it must be sent in full. */
   handleUnchangedHeartbeat(
     heartbeat: UnchangedHeartbeat,
-    through: NodeId,
+    relayId: NodeId,
   ): HeartbeatReply | undefined {
-    return this.heartbeats.handleUnchanged(heartbeat, through);
+    return this.heartbeatHandler.handleUnchanged(heartbeat, relayId);
   }
 }
