--- a/src/api/app.ts
+++ b/src/api/app.ts
@@ -21,7 +21,7 @@
 export function createApp(handlers: RequestHandlers, log: Logger): Koa {
   const app = new Koa();
   app.on('error', (error: Error) =>
-    log.debug({ err: error.message }, 'HTTP connection failed; it is closed'),
+    log.debug({ err: error.message }, 'HTTP connection to a client failed'),
   );
   app.use(async (ctx) => {
     const response = await handleRequest(handlers, ctx, log);
--- a/src/relay/heartbeat-batch.ts
+++ b/src/relay/heartbeat-batch.ts
@@ -3,7 +3,7 @@
 import { ms } from '../units/index.js';
 import type { Heartbeat, HeartbeatReply } from '../wire/index.js';
 
-/** A batch of heartbeats, and the commands in its response, must fit a frame between controllers. */
+/** A batch, and the commands in the response to it, must fit a frame of the connection between controllers. */
 const MAX_BATCH_BYTES = 40 * 1024;
 /**
  * The number of heartbeats in a batch depends on how long the leader took to respond to the previous batch. If a
