--- a/src/controller.ts
+++ b/src/controller.ts
@@ -1,10 +1,10 @@
 /** One controller without the sockets that it listens on, so that tests can drive it. */
 import type { Logger } from 'pino';
-import { LeaderView } from './api/leadership.js';
-import { PeerRequests } from './api/peer-requests.js';
-import { ISOLATED, TRY_AGAIN, type Reply } from './api/reply.js';
-import { UserRequests } from './api/user-requests.js';
-import { WorkerHeartbeats } from './api/worker-heartbeats.js';
+import { LeaderView } from './api/leader-view.js';
+import { PeerRequestHandler } from './api/peer-request-handler.js';
+import { ISOLATED, TRY_AGAIN, type ApiResponse } from './api/api-response.js';
+import { UserRequestHandler } from './api/user-request-handler.js';
+import { WorkerHeartbeatHandler } from './api/worker-heartbeat-handler.js';
 import { CloudClient } from './cloud/client.js';
 import { MachineCatalog } from './cloud/machine-catalog.js';
 import type { OperatorSettings } from './config/operator-settings.js';
@@ -17,8 +17,8 @@
 import { CatalogSync } from './leader/catalog-sync.js';
 import { Term } from './leader/term.js';
 import type { HttpClient } from './net/http.js';
-import type { Peer } from './peer/channel.js';
-import { PeerLiveness, isRecent } from './peer/liveness.js';
+import type { Peer } from './peer/peer.js';
+import { PeerLiveness, isRecentResponse } from './peer/peer-liveness.js';
 import type { MachineImages, PeerStatus } from './peer/messages.js';
 import { HeartbeatRelay } from './relay/heartbeat-relay.js';
 import { StoreClient } from './store/client.js';
@@ -40,9 +40,9 @@
 
 /** Takes part in the election, leads terms, and handles requests from users, workers and the other controllers. */
 export class Controller {
-  readonly userRequests: UserRequests;
-  readonly workerHeartbeats: WorkerHeartbeats;
-  readonly peerRequests: PeerRequests;
+  readonly userRequests: UserRequestHandler;
+  readonly workerHeartbeats: WorkerHeartbeatHandler;
+  readonly peerRequests: PeerRequestHandler;
   readonly election: Election;
   private readonly store: StoreClient;
   private readonly recordLimits: RecordLimits;
@@ -113,10 +113,10 @@
     });
   }
 
-  private createUserRequests(): UserRequests {
+  private createUserRequests(): UserRequestHandler {
     const { catalog, jobRecords, leadership, recordLimits } = this;
     const { clock, log } = this.environment;
-    return new UserRequests({
+    return new UserRequestHandler({
       admission: new AdmissionControl(catalog, this.settings.teams, recordLimits),
       leadership,
       jobRecords,
@@ -126,15 +126,15 @@
     });
   }
 
-  private createWorkerHeartbeats(): WorkerHeartbeats {
+  private createWorkerHeartbeats(): WorkerHeartbeatHandler {
     const { leadership } = this;
     const { controllerId } = this.settings;
     const { clock, log } = this.environment;
-    return new WorkerHeartbeats({
-      node: controllerId,
+    return new WorkerHeartbeatHandler({
+      controllerId,
       leadership,
       relay: new HeartbeatRelay({
-        node: controllerId,
+        controllerId,
         clock,
         log,
         leaderPeer: () => leadership.leaderPeer(),
@@ -144,16 +144,16 @@
     });
   }
 
-  private createPeerRequests(): PeerRequests {
+  private createPeerRequests(): PeerRequestHandler {
     const { clock, http } = this.environment;
-    return new PeerRequests({
+    return new PeerRequestHandler({
       leadership: this.leadership,
       userRequests: this.userRequests,
       workerHeartbeats: this.workerHeartbeats,
       http,
       events: {
         onImageHints: (machines) => this.imageHints.recordHints(machines, clock.steady()),
-        onHeartbeat: (status) => this.peerLiveness.respond(status),
+        onHeartbeat: (status) => this.peerLiveness.handleHeartbeat(status),
       },
     });
   }
@@ -195,7 +195,7 @@
     return {
       leader: this.election.leader() ?? '',
       epoch: this.election.leaderEpoch(),
-      storeReachable: isRecent(this.store.servedAt, this.environment.clock.steady()),
+      storeReachable: isRecentResponse(this.store.servedAt, this.environment.clock.steady()),
     };
   }
 
@@ -207,8 +207,8 @@
     const { clock, log, peers } = this.environment;
     this.imageHints.recordHints(machines, clock.steady());
     for (const peer of peers.values()) {
-      if (!peer.responsive) continue;
-      const sent = peer.request({ type: 'imageHints', machines }, IMAGE_HINTS_TIMEOUT);
+      if (!peer.isResponsive) continue;
+      const sent = peer.sendRequest({ type: 'imageHints', machines }, IMAGE_HINTS_TIMEOUT);
       runInBackground(sent, log, 'sending image hints to a peer');
     }
   }
@@ -219,7 +219,7 @@
    * load balancer, which resets connections and readmits the controller only after a delay. A controller that alone is
    * cut off reports this, since another controller could serve its users.
    */
-  health(): Reply {
+  health(): ApiResponse {
     this.hasSeenLeader ||= this.election.leader() !== undefined;
     if (!this.hasSeenLeader) return TRY_AGAIN;
     if (this.isIsolated()) return ISOLATED;
--- a/src/main.ts
+++ b/src/main.ts
@@ -8,7 +8,7 @@
 import type { Settings } from './config/settings.js';
 import { Controller } from './controller.js';
 import { PooledHttpClient } from './net/pooled-http-client.js';
-import { PeerLink } from './peer/link.js';
+import { PeerClient } from './peer/peer-client.js';
 import { createLog, logUncaughtErrors } from './process-log.js';
 import { startServers } from './servers.js';
 import { socketBudget } from './socket-budget.js';
@@ -29,10 +29,10 @@
   const log = createLog(settings.controllerId, process.env.LOG_LEVEL);
   logUncaughtErrors(log);
   const sockets = socketBudget(settings);
-  const peers = new Map<ControllerId, PeerLink>(
+  const peers = new Map<ControllerId, PeerClient>(
     settings.otherControllers.map(({ controllerId, endpoint }) => [
       controllerId,
-      new PeerLink(endpoint, systemClock, log),
+      new PeerClient(endpoint, systemClock, log),
     ]),
   );
   const controller = new Controller(settings, operator, {
--- a/src/servers.ts
+++ b/src/servers.ts
@@ -4,7 +4,7 @@
 import { createApp } from './api/app.js';
 import type { Settings } from './config/settings.js';
 import type { Controller } from './controller.js';
-import { servePeers } from './peer/server.js';
+import { createPeerServer } from './peer/peer-server.js';
 import type { Endpoint } from './units/index.js';
 
 /**
@@ -20,7 +20,7 @@
 
 /** A server, the address it listens on, and who sends requests to it. */
 interface Listener {
-  readonly server: http.Server | ReturnType<typeof servePeers>;
+  readonly server: http.Server | ReturnType<typeof createPeerServer>;
   readonly endpoint: Endpoint;
   readonly clients: string;
 }
@@ -34,7 +34,7 @@
 ): void {
   const api = createApiServer(controller, settings, log);
   api.maxConnections = maxApiConnections;
-  const peers = servePeers((request) => controller.peerRequests.handle(request), log);
+  const peers = createPeerServer((request) => controller.peerRequests.handle(request), log);
   listenWithRetries(
     [
       { server: api, endpoint: settings.apiEndpoint, clients: 'users and workers' },
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -97,8 +97,8 @@
     (await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf(machine))))).status;
   assert.equal(await status('vm-0'), 200, 'no other node answers');
   peers.set(ControllerId('node-1'), {
-    responsive: true,
-    request: () => Promise.resolve(undefined),
+    isResponsive: true,
+    sendRequest: () => Promise.resolve(undefined),
   });
   assert.deepEqual(await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf('vm-1')))), {
     status: 421,
