--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -12,7 +12,7 @@
 import { Endpoint, ms, sleep } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import { encodeJobSpec, type MachineType, type JobSpec } from '../../src/wire/index.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 import { Loopback } from './loopback.js';
 import type { TaskFacts } from './worker-tasks.js';
 
@@ -242,7 +242,7 @@
     const number = this.jobs.size + 1;
     const id = `run-${String(number).padStart(6, '0')}`;
     const image = `${stream.spec.jobClass}-${number % 4}`;
-    const job = spec({ ...stream.spec, id, image, imageSizeGb: 1 });
+    const job = jobSpec({ ...stream.spec, id, image, imageSizeGb: 1 });
     const body = encodeJobSpec(job);
     const path = '/v1/jobs';
     this.jobs.set(id, { spec: job, runMs: stream.runMs });
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -5,7 +5,7 @@
 import { systemClock } from '../../src/units/system.js';
 import { ms } from '../../src/units/index.js';
 import { MAX_BODY, decode, encode, type MachineType } from '../../src/wire/index.js';
-import { settingsFile } from '../support/settings.js';
+import { settingsFile } from '../support/settings-file.js';
 import type { TimeSource } from './clock.js';
 import { Cloud, type RentedMachine } from './cloud.js';
 import type { Handler } from './network.js';
--- a/test/standin/platform.ts
+++ b/test/standin/platform.ts
@@ -1,6 +1,6 @@
 /** The platform of a world: its nodes, their settings, and the addresses of the services around them. */
 import { parseSettings, type Settings } from '../../src/config/settings.js';
-import { settingsFile } from '../support/settings.js';
+import { settingsFile } from '../support/settings-file.js';
 
 /** The nodes that controllers run on. */
 export const NODES = [0, 1, 2] as const;
--- a/test/standin/submit.ts
+++ b/test/standin/submit.ts
@@ -3,7 +3,7 @@
 import { Endpoint, ms, sleep } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import { encodeJobSpec } from '../../src/wire/index.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 
 const TIMEOUT = ms(5000);
 const RETRY_INTERVAL = ms(1000);
@@ -12,7 +12,7 @@
 const endpoint = Endpoint('127.0.0.1:18080');
 const client = new NodeHttpClient(1, 1, 1);
 const id = `run-${String(Date.now() % 1_000_000).padStart(6, '0')}`;
-const body = encodeJobSpec(spec({ id, taskCount, allowSpot: false }));
+const body = encodeJobSpec(jobSpec({ id, taskCount, allowSpot: false }));
 
 for (;;) {
   const outcome = await client.send({
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -10,8 +10,8 @@
   type JobSpec,
   type SubmissionMessage,
 } from '../../src/wire/index.js';
-import { spec } from '../support/jobs.js';
-import { settingsFile } from '../support/settings.js';
+import { jobSpec } from '../support/job-spec.js';
+import { settingsFile } from '../support/settings-file.js';
 import type { Balancer } from './balancer.js';
 import { ProcessClock, type VirtualTime } from './clock.js';
 import { GangRun } from './gang-run.js';
@@ -84,7 +84,7 @@
   /** Submits a job, and polls it to its end and beyond. Cancels it after `cancelAfter`, if that is given. */
   submit(change: Partial<JobSpec>, runMs: number, cancelAfter?: number): string {
     const id = `run-${String(++this.jobCount).padStart(6, '0')}`;
-    const submitted = spec({ ...change, id });
+    const submitted = jobSpec({ ...change, id });
     const job: UserJob = {
       spec: submitted,
       gang: submitted.kind === JobKind.gang ? this.createGang(submitted, runMs) : undefined,
@@ -134,8 +134,8 @@
     for (const [id, job] of this.world.jobs) {
       if (job.isAccepted && this.world.random() < 0.2) this.repeatSomething(id, job);
     }
-    const tooLarge = encodeJobSpec(spec({ cpus: 1000 }));
-    const incomplete: Partial<SubmissionMessage> = encodeJobSpec(spec({}));
+    const tooLarge = encodeJobSpec(jobSpec({ cpus: 1000 }));
+    const incomplete: Partial<SubmissionMessage> = encodeJobSpec(jobSpec({}));
     delete incomplete.entries;
     const suffix = String(this.jobCount).padStart(5, '0');
     this.submitInvalid({ ...tooLarge, name_id: `run-9${suffix}` }, 422);
--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -14,7 +14,7 @@
   type TaskKey,
 } from '../../src/units/index.js';
 import type { JobSpec } from '../../src/wire/index.js';
-import { spec } from './jobs.js';
+import { jobSpec } from './job-spec.js';
 
 /** A fleet without machines, at the beginning of a term. */
 export const emptyFleet = (lease: DurationMs): Fleet =>
@@ -34,7 +34,7 @@
 }
 
 /** A new job of one task, placed on the machine by a committed record. */
-export function placedTask(
+export function createPlacedTask(
   fleet: Fleet,
   machine: MachineId,
   now: SteadyMs,
@@ -42,7 +42,7 @@
 ): PlacedTask {
   const job = new Job(
     JobId('run-000001'),
-    spec({ taskCount: 1, ...change }),
+    jobSpec({ taskCount: 1, ...change }),
     WallMs(0),
     Revision(1),
   );
--- a/test/support/job-moves.ts
+++ b/test/support/job-changes.ts
@@ -3,22 +3,22 @@
 import { SteadyMs, type MachineId } from '../../src/units/index.js';
 
 /** A change, and a number that picks what is changed: tasks are placed (0), or one that is ends (1) or is lost. */
-export type Move = readonly [kind: number, pick: number];
+export type JobChange = readonly [kind: number, pick: number];
 
 /** How tasks are placed. */
-export interface PlacingRules {
+export interface PlacementRules {
   /** How many tasks of the job may be open at once. */
-  readonly maxOpen: number;
+  readonly maxOpenTasks: number;
   /** So many tasks are placed at once at most: one more than the remainder of the pick by this. */
-  readonly batch: number;
-  readonly machineOf: (pick: number, index: number) => MachineId;
+  readonly maxBatchSize: number;
+  readonly machineFor: (pick: number, index: number) => MachineId;
 }
 
 /** Makes the changes one after the other. Tasks are placed lowest index first. */
-export function applyMoves(
+export function applyJobChanges(
   job: Job,
-  moves: readonly Move[],
-  { maxOpen, batch, machineOf }: PlacingRules,
+  moves: readonly JobChange[],
+  { maxOpenTasks: maxOpen, maxBatchSize: batch, machineFor: machineOf }: PlacementRules,
 ): void {
   for (const [kind, pick] of moves) {
     const placed = [...job.placements.keys()];
--- a/test/support/jobs.ts
+++ b/test/support/job-spec.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../../src/wire/index.js';
 
 /** A valid job, with what a case changes of it. */
-export function spec(change: Partial<JobSpec>): JobSpec {
+export function jobSpec(change: Partial<JobSpec>): JobSpec {
   return {
     id: 'run-000001',
     jobClass: 'train',
--- a/test/support/api.ts
+++ b/test/support/leader-request-handlers.ts
@@ -15,10 +15,10 @@
 import { Epoch, JobId, NodeId } from '../../src/units/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { machineTypes } from '../standin/machine-types.js';
-import { settingsFile } from './settings.js';
+import { settingsFile } from './settings-file.js';
 
 /** The job that tests ask about. */
-export const JOB = JobId('run-000001');
+export const JOB_ID = JobId('run-000001');
 /** The epoch under which the node leads. */
 export const EPOCH = Epoch(7);
 
@@ -26,7 +26,7 @@
  * What answers HTTP on a node that leads until `loseAuthority` is called; its term answers every request
  * about a job with `found`, when `answer` is called.
  */
-export function leadingNode(found: JobLookupResult) {
+export function createLeaderRequestHandlers(found: JobLookupResult) {
   const settings = parseSettings(settingsFile(0));
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/anticipated-work.test.ts
@@ -4,7 +4,7 @@
 import { AnticipatedWork } from '../../src/leader/anticipated-work.js';
 import { SteadyMs, seconds } from '../../src/units/index.js';
 import type { JobSpec } from '../../src/wire/index.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 
 const at = (time: number): SteadyMs => SteadyMs(seconds(time));
 const objectives = [{ kind: 'wait', jobClass: 'merge', within: seconds(5), times: 1 }];
@@ -20,7 +20,7 @@
   ];
   for (const [name, change, askedAt, isExpected] of cases) {
     const work = new AnticipatedWork(objectives);
-    work.noteSubmission(spec({ taskCount: 4, cpus: 2, ...change }), at(0));
+    work.noteSubmission(jobSpec({ taskCount: 4, cpus: 2, ...change }), at(0));
     // The forecast is read before the reserve, which is not read while nothing waits: it drops old images itself.
     const forecast = work.anticipated(1000, at(askedAt));
     assert.deepEqual(
--- a/test/unit/attempt-clearance.test.ts
+++ b/test/unit/attempt-clearance.test.ts
@@ -8,8 +8,8 @@
 import { MachineId, ms, type DurationMs } from '../../src/units/index.js';
 import type { JobSpec } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
-import { emptyFleet, placedTask } from '../support/fleet.js';
-import { settingsFile } from '../support/settings.js';
+import { emptyFleet, createPlacedTask } from '../support/fleet.js';
+import { settingsFile } from '../support/settings-file.js';
 
 const settings = parseSettings(settingsFile());
 const { lease } = settings.workers;
@@ -37,7 +37,7 @@
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const fleet = emptyFleet(lease);
-  const { job, placement, key } = placedTask(fleet, id, clock.steady(), attempt.spec);
+  const { job, placement, key } = createPlacedTask(fleet, id, clock.steady(), attempt.spec);
   if (attempt.exitReason === 'done') job.completeTask(0);
   else job.requeueTask(0);
   if (attempt.job !== 'completionUnstored') job.committedVersion = job.version;
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -15,8 +15,8 @@
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { machineTypes } from '../standin/machine-types.js';
 import { emptyFleet } from '../support/fleet.js';
-import { spec } from '../support/jobs.js';
-import { settingsFile } from '../support/settings.js';
+import { jobSpec } from '../support/job-spec.js';
+import { settingsFile } from '../support/settings-file.js';
 
 /** A scale-out request as the cloud receives it. */
 interface Hire {
@@ -63,7 +63,7 @@
     },
   };
   const fleet = emptyFleet(settings.workers.lease);
-  const job = new Job(JobId('run-000001'), spec(change), clock.wall(), Revision(1));
+  const job = new Job(JobId('run-000001'), jobSpec(change), clock.wall(), Revision(1));
   const entry: QueueEntry = {
     rank: 2,
     isLate: false,
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -13,8 +13,8 @@
 import { ReplyCommands } from '../../src/leader/reply-commands.js';
 import { Epoch, MachineId, SteadyMs, seconds } from '../../src/units/index.js';
 import { encodeHeartbeat, type Priority } from '../../src/wire/index.js';
-import { emptyFleet, placedTask, type PlacedTask } from '../support/fleet.js';
-import { settingsFile } from '../support/settings.js';
+import { emptyFleet, createPlacedTask, type PlacedTask } from '../support/fleet.js';
+import { settingsFile } from '../support/settings-file.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 const epoch = Epoch(50);
@@ -59,7 +59,7 @@
     const machine = observeMachine(fleet);
     machine.recordStatus(toWorkerStatus(heartbeat), clock.steady());
     machine.extendLease(workerLeaseEnd(clock.steady(), lease));
-    const { job } = placedTask(fleet, id, clock.steady(), { priority });
+    const { job } = createPlacedTask(fleet, id, clock.steady(), { priority });
     const deps = {
       settings,
       clock,
@@ -106,7 +106,7 @@
     const clock = new ProcessClock(new VirtualTime(), 0, 0);
     const fleet = emptyFleet(settings.workers.lease);
     const machine = observeMachine(fleet);
-    const { job, placement, key } = placedTask(fleet, id, clock.steady());
+    const { job, placement, key } = createPlacedTask(fleet, id, clock.steady());
     if (isEvicted) placement.evictionGraceSeconds = 0;
     if (mayStillArrive) machine.directStarts.recordSent(attemptKey(key, placement.attempt));
     const ledger = { jobs: new Map([[job.id, job]]), finalState: () => undefined };
@@ -162,7 +162,7 @@
   for (const [name, mayStart, change, expected] of cases) {
     const fleet = emptyFleet(seconds(24));
     const machine = observeMachine(fleet);
-    const task = placedTask(fleet, id, SteadyMs(0));
+    const task = createPlacedTask(fleet, id, SteadyMs(0));
     change(task, machine);
     const jobs = new Map([[task.job.id, task.job]]);
     const { commands, started } = preparePush(machine, jobs, mayStart);
--- a/test/unit/commit-queue.test.ts
+++ b/test/unit/commit-queue.test.ts
@@ -8,7 +8,7 @@
 import { JobId, Revision, SteadyMs, WallMs } from '../../src/units/index.js';
 import type { JobSpec } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 
 /** A queue, and jobs in it that are in the store. */
 function queueOfJobs() {
@@ -18,7 +18,7 @@
   const queue = new CommitQueue(clock, () => changes++);
   const job = (number: number, change: Partial<JobSpec> = {}): Job => {
     const id = JobId(`run-00000${number}`);
-    const made = new Job(id, spec({ id, ...change }), WallMs(0), Revision(1));
+    const made = new Job(id, jobSpec({ id, ...change }), WallMs(0), Revision(1));
     made.committedVersion = made.version;
     queue.track(made);
     return made;
@@ -107,7 +107,7 @@
 void test('of the final states the latest are kept', () => {
   const cache = new FinalStateCache(2);
   const ids = ['run-000001', 'run-000002', 'run-000003'].map(JobId);
-  const final = new Job(ids[0]!, spec({}), WallMs(0), Revision(1)).finalState();
+  const final = new Job(ids[0]!, jobSpec({}), WallMs(0), Revision(1)).finalState();
   for (const id of [ids[0]!, ids[1]!, ids[0]!, ids[2]!]) cache.set(id, final);
   assert.deepEqual(
     ids.map((id) => cache.get(id)),
--- a/test/unit/config.test.ts
+++ b/test/unit/config.test.ts
@@ -12,7 +12,7 @@
 import { SettingsError } from '../../src/config/input.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { seconds, lowerBoundUnderDrift, upperBoundUnderDrift } from '../../src/units/index.js';
-import { settingsFile } from '../support/settings.js';
+import { settingsFile } from '../support/settings-file.js';
 
 void test('settings: an error names its field', () => {
   const file = settingsFile();
--- a/test/unit/failure-backoff.test.ts
+++ b/test/unit/failure-backoff.test.ts
@@ -8,14 +8,14 @@
 import { Job } from '../../src/ledger/job.js';
 import { Epoch, JobId, MachineId, Revision, WallMs, seconds } from '../../src/units/index.js';
 import { emptyFleet } from '../support/fleet.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 void test('a job that fails is held back, and kept off machines, for a minute at most', async () => {
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const fleet = emptyFleet(seconds(24));
-  const job = new Job(JobId('run-000001'), spec({ taskCount: 1 }), WallMs(0), Revision(1));
+  const job = new Job(JobId('run-000001'), jobSpec({ taskCount: 1 }), WallMs(0), Revision(1));
   const placements = {
     fleet,
     ledger: { jobs: new Map([[job.id, job]]) },
--- a/test/unit/gangs.test.ts
+++ b/test/unit/gang-lifecycle.test.ts
@@ -24,7 +24,7 @@
   seconds,
 } from '../../src/units/index.js';
 import { emptyFleet } from '../support/fleet.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 const running: GangTask = {
@@ -116,7 +116,7 @@
 void test('when one task of a gang is done, all are, wherever the others were seen last', async () => {
   const job = new Job(
     JobId('run-000001'),
-    spec({ kind: 'ensemble', taskCount: 3 }),
+    jobSpec({ kind: 'ensemble', taskCount: 3 }),
     WallMs(0),
     Revision(1),
   );
--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -29,7 +29,7 @@
 import type { Heartbeat, HeartbeatReply, TaskStatus } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { emptyFleet } from '../support/fleet.js';
-import { settingsFile } from '../support/settings.js';
+import { settingsFile } from '../support/settings-file.js';
 
 const seed = 20261202;
 const settings = parseSettings(settingsFile());
--- a/test/unit/live-records.test.ts
+++ b/test/unit/job-codec.test.ts
@@ -7,14 +7,14 @@
 import { encodedSize, maxOpenTasksInV1 } from '../../src/ledger/record-size.js';
 import { RecordError } from '../../src/ledger/live-record-contents.js';
 import { Epoch, JobId, MachineId, Revision, SteadyMs, WallMs } from '../../src/units/index.js';
-import { applyMoves, type PlacingRules } from '../support/job-moves.js';
-import { spec } from '../support/jobs.js';
+import { applyJobChanges, type PlacementRules } from '../support/job-changes.js';
+import { jobSpec } from '../support/job-spec.js';
 
 const seed = 20260312;
 const now = SteadyMs(0);
 const id = JobId('run-000001');
 
-const machineOf: PlacingRules['machineOf'] = (pick) => MachineId(`vm-${100000 + (pick % 28)}`);
+const machineOf: PlacementRules['machineFor'] = (pick) => MachineId(`vm-${100000 + (pick % 28)}`);
 
 const drawnMoves = fc.array(fc.tuple(fc.nat(2), fc.nat(1000)), { maxLength: 200 });
 
@@ -24,8 +24,8 @@
 void test('a job is the same after it was encoded and decoded', () => {
   fc.assert(
     fc.property(drawnMoves, fc.boolean(), (moves, isCancelled) => {
-      const job = new Job(id, spec({ taskCount: 60 }), WallMs(5), Revision(7));
-      applyMoves(job, moves, { maxOpen: 60, batch: 7, machineOf });
+      const job = new Job(id, jobSpec({ taskCount: 60 }), WallMs(5), Revision(7));
+      applyJobChanges(job, moves, { maxOpenTasks: 60, maxBatchSize: 7, machineFor: machineOf });
       if (isCancelled) job.cancel();
       const restored = decodeJob(
         id,
@@ -44,7 +44,7 @@
 });
 
 void test('a record of 100,000 tasks stays within the size of a value', () => {
-  const wide = spec({ taskCount: 100_000, image: 'x'.repeat(120), jobClass: 'y'.repeat(120) });
+  const wide = jobSpec({ taskCount: 100_000, image: 'x'.repeat(120), jobClass: 'y'.repeat(120) });
   const maxOpen = maxOpenTasksInV1(wide, 8192);
   assert.ok(maxOpen > 50, `only ${maxOpen} tasks at once`);
   const manyMoves = fc.array(fc.tuple(fc.constantFrom(0, 0, 1, 2), fc.nat(100_000)), {
@@ -54,7 +54,11 @@
   fc.assert(
     fc.property(manyMoves, (moves) => {
       const job = new Job(id, wide, WallMs(Date.UTC(2026, 0)), Revision(123456));
-      applyMoves(job, moves, { maxOpen, batch: 7, machineOf });
+      applyJobChanges(job, moves, {
+        maxOpenTasks: maxOpen,
+        maxBatchSize: 7,
+        machineFor: machineOf,
+      });
       assert.ok(encodedSize(encodeJob(job, Epoch(123456))) <= 8192);
     }),
     { seed, numRuns: 30 },
@@ -64,7 +68,7 @@
 void test('a record that replaces ours keeps what is known of the attempts that both name', () => {
   const machine = MachineId('vm-000001');
   const otherMachine = MachineId('vm-000002');
-  const ours = new Job(id, spec({ taskCount: 4 }), WallMs(5), Revision(7));
+  const ours = new Job(id, jobSpec({ taskCount: 4 }), WallMs(5), Revision(7));
   ours.placeTasks([{ index: 0, machine }], now);
   const late = decodeJob(id, encodeJob(ours, Epoch(3)), Revision(8), now);
   const first = ours.placements.get(0);
@@ -86,7 +90,7 @@
 });
 
 void test('damaged records are refused rather than read as finished work', () => {
-  const job = new Job(id, spec({ taskCount: 8 }), WallMs(5), Revision(7));
+  const job = new Job(id, jobSpec({ taskCount: 8 }), WallMs(5), Revision(7));
   job.placeTasks([{ index: 0, machine: MachineId('vm-000001') }], now);
   const record = encodeJob(job, Epoch(3));
   const cases: [string, unknown][] = [
--- a/test/unit/placement-order.test.ts
+++ b/test/unit/placement-order.test.ts
@@ -18,11 +18,11 @@
   seconds,
 } from '../../src/units/index.js';
 import { JobKind, type JobSpec } from '../../src/wire/index.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 
 const jobOf = (change: Partial<JobSpec>, number = 1): Job => {
   const id = JobId(`run-${String(number).padStart(6, '0')}`);
-  return new Job(id, spec({ id, ...change }), WallMs(0), Revision(1));
+  return new Job(id, jobSpec({ id, ...change }), WallMs(0), Revision(1));
 };
 
 const objective = (change: Partial<Objective>): Objective => ({
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -23,9 +23,9 @@
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { Network } from '../standin/network.js';
 import { StateService } from '../standin/state.js';
-import { applyMoves, type PlacingRules } from '../support/job-moves.js';
-import { spec } from '../support/jobs.js';
-import { settingsFile } from '../support/settings.js';
+import { applyJobChanges, type PlacementRules } from '../support/job-changes.js';
+import { jobSpec } from '../support/job-spec.js';
+import { settingsFile } from '../support/settings-file.js';
 
 const seed = 20261202;
 const now = SteadyMs(0);
@@ -39,7 +39,7 @@
 const lower: StoreLimits = { requestRate: 80, writeRate: 15, valueBytes: 2048, transactionOps: 4 };
 const lowering = { ...present, next: lower };
 
-const machineOf: PlacingRules['machineOf'] = (pick, index) => {
+const machineOf: PlacementRules['machineFor'] = (pick, index) => {
   const number = (pick * 7919 + index * 104729) % 16_000;
   return MachineId(`vm-${String(number).padStart(6, '0')}`);
 };
@@ -74,9 +74,9 @@
       names,
       fc.boolean(),
       (moves, change, name, isCancelled) => {
-        const job = new Job(id, spec({ taskCount: 60, ...change }), WallMs(1.7e12), Revision(7));
+        const job = new Job(id, jobSpec({ taskCount: 60, ...change }), WallMs(1.7e12), Revision(7));
         job.placeTasks([{ index: 0, machine: MachineId(name) }], now);
-        applyMoves(job, moves, { maxOpen: 60, batch: 9, machineOf });
+        applyJobChanges(job, moves, { maxOpenTasks: 60, maxBatchSize: 9, machineFor: machineOf });
         if (isCancelled) job.cancel();
         job.boundZone = change.zone ?? undefined;
         const stored: unknown = JSON.parse(JSON.stringify(encodeJobCompactly(job, Epoch(3))));
@@ -97,13 +97,17 @@
     [100_000, 150],
   ];
   for (const [taskCount, minOpen] of sizes) {
-    const wide = spec({ taskCount });
+    const wide = jobSpec({ taskCount });
     const maxOpen = limits.maxOpenTasks(wide, 0);
     assert.ok(maxOpen >= minOpen, `only ${maxOpen} tasks at once`);
     fc.assert(
       fc.property(drawnMoves(300, 900), (moves) => {
         const job = new Job(id, wide, WallMs(1.7e12), Revision(123456));
-        applyMoves(job, moves, { maxOpen, batch: 9, machineOf });
+        applyJobChanges(job, moves, {
+          maxOpenTasks: maxOpen,
+          maxBatchSize: 9,
+          machineFor: machineOf,
+        });
         const { record, bytes } = limits.encode(job, Epoch(123456));
         assert.equal(bytes, encodedSize(record));
         assert.ok(bytes <= lower.valueBytes, `${bytes} bytes with ${job.openTaskCount} open tasks`);
@@ -115,7 +119,7 @@
 
 void test('which format is written, and which jobs are refused', () => {
   const placedJob = (taskCount: number): Job => {
-    const job = new Job(id, spec({ taskCount }), WallMs(1.7e12), Revision(1));
+    const job = new Job(id, jobSpec({ taskCount }), WallMs(1.7e12), Revision(1));
     const tasks = Array.from({ length: taskCount }, (_, index) => ({
       index,
       machine: MachineId(`vm-${String(index * 3).padStart(6, '0')}`),
@@ -144,10 +148,10 @@
   const { transactionOps } = new RecordLimits(lowering);
   assert.equal(transactionOps, 4, 'the smaller number of changes holds from the start');
   const limits = new RecordLimits(lowering);
-  const gang = spec({ kind: JobKind.gang });
+  const gang = jobSpec({ kind: JobKind.gang });
   assert.ok(limits.canStoreRecord(gang, 100));
   assert.ok(!limits.canStoreRecord(gang, 100_000), 'a gang that no record holds');
-  const largeSpec = spec({
+  const largeSpec = jobSpec({
     machineTypes: Array.from({ length: 16 }, () => 'y'.repeat(60)),
     image: 'x'.repeat(120),
   });
@@ -206,7 +210,7 @@
 /** A job that is to be created. */
 const newJob = (n: number, taskCount: number): Job => {
   const name = JobId(`run-${String(n).padStart(6, '0')}`);
-  const job = new Job(name, spec({ id: name, taskCount }), WallMs(0), Revision(0));
+  const job = new Job(name, jobSpec({ id: name, taskCount }), WallMs(0), Revision(0));
   job.markChanged(WritePriority.userRequest);
   return job;
 };
--- a/test/unit/remaining-quotas.test.ts
+++ b/test/unit/remaining-quotas.test.ts
@@ -15,7 +15,7 @@
   type TaskKey,
 } from '../../src/units/index.js';
 import { emptyFleet } from '../support/fleet.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 
 const team = (name: string, maxCpus: number, maxGpus: number) => ({
   name,
@@ -50,7 +50,7 @@
     ['an orphan of an unknown job: every team', [taskKey(finishedId, 0)], [], 0, 0],
   ];
   for (const [name, orphans, finals, vision, speech] of cases) {
-    const job = new Job(jobId, spec({ taskCount: 4, cpus: 2 }), WallMs(0), Revision(1));
+    const job = new Job(jobId, jobSpec({ taskCount: 4, cpus: 2 }), WallMs(0), Revision(1));
     const machine = MachineId('m1');
     job.placeTasks(
       [
--- a/test/unit/response-delivery-check.test.ts
+++ b/test/unit/response-delivery-check.test.ts
@@ -6,7 +6,7 @@
 import { ResponseDeliveryCheck } from '../../src/leader/response-delivery-check.js';
 import { Epoch, MachineId, SteadyMs, seconds } from '../../src/units/index.js';
 import type { TaskStatus } from '../../src/wire/index.js';
-import { emptyFleet, placedTask } from '../support/fleet.js';
+import { emptyFleet, createPlacedTask } from '../support/fleet.js';
 
 const epoch = Epoch(50);
 const lease = seconds(24);
@@ -19,7 +19,7 @@
 function isNotReceiving(steps: readonly Step[], isStartSent: boolean): boolean {
   const fleet = emptyFleet(lease);
   const machine = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, '');
-  const { job, placement, key } = placedTask(fleet, id, SteadyMs(0));
+  const { job, placement, key } = createPlacedTask(fleet, id, SteadyMs(0));
   if (isStartSent) placement.startSentInResponseTo = { session: 1, sequence: 0 };
   const check = new ResponseDeliveryCheck(epoch, new Map([[job.id, job]]), lease);
   const task: TaskStatus = { task: key, attempt: placement.attempt, state: 'fetching' };
--- a/test/unit/scale-in.test.ts
+++ b/test/unit/scale-in.test.ts
@@ -8,7 +8,7 @@
 import type { JobSpec } from '../../src/wire/index.js';
 import { machineTypes } from '../standin/machine-types.js';
 import { emptyFleet } from '../support/fleet.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 
 const NOW = SteadyMs(1_000_000);
 const ago = (s: number): SteadyMs => SteadyMs(NOW - seconds(s));
@@ -83,8 +83,8 @@
 });
 
 void test('machines of the smallest type are kept as far as anticipated work needs them', () => {
-  const urgent = spec({ cpus: 4 });
-  const onDemandOnly = spec({ cpus: 4, allowSpot: false });
+  const urgent = jobSpec({ cpus: 4 });
+  const onDemandOnly = jobSpec({ cpus: 4, allowSpot: false });
   type Case = [name: string, machines: Idle[], anticipated: [JobSpec, number][], back: string[]];
   const cases: Case[] = [
     ['all of one machine', [{}, {}], [[urgent, 2]], ['m0']],
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -10,13 +10,13 @@
 import { NodeId, Revision, WallMs, ms, sleep } from '../../src/units/index.js';
 import { encode, encodeJobSpec, parseSubmission, type JobSpec } from '../../src/wire/index.js';
 import { machineTypes } from '../standin/machine-types.js';
-import { JOB, leadingNode } from '../support/api.js';
-import { spec } from '../support/jobs.js';
-import { settingsFile } from '../support/settings.js';
+import { JOB_ID, createLeaderRequestHandlers } from '../support/leader-request-handlers.js';
+import { jobSpec } from '../support/job-spec.js';
+import { settingsFile } from '../support/settings-file.js';
 
 void test('an answer that rests on authority is given under it to the end', async () => {
-  const running = new Job(JOB, spec({}), WallMs(0), Revision(5));
-  const body = encode(encodeJobSpec(spec({})));
+  const running = new Job(JOB_ID, jobSpec({}), WallMs(0), Revision(5));
+  const body = encode(encodeJobSpec(jobSpec({})));
   type Case = [
     name: string,
     method: string,
@@ -25,14 +25,14 @@
     expected: number,
   ];
   const cases: Case[] = [
-    ['a question', 'GET', `/v1/jobs/${JOB}`, { kind: 'live', job: running }, 200],
-    ['a question about no job', 'GET', `/v1/jobs/${JOB}`, { kind: 'absent' }, 404],
+    ['a question', 'GET', `/v1/jobs/${JOB_ID}`, { kind: 'live', job: running }, 200],
+    ['a question about no job', 'GET', `/v1/jobs/${JOB_ID}`, { kind: 'absent' }, 404],
     ['a repeated submission', 'POST', '/v1/jobs', { kind: 'live', job: running }, 200],
-    ['a cancellation', 'POST', `/v1/jobs/${JOB}/abort`, { kind: 'live', job: running }, 200],
+    ['a cancellation', 'POST', `/v1/jobs/${JOB_ID}/abort`, { kind: 'live', job: running }, 200],
   ];
   for (const [name, method, path, found, expected] of cases) {
     for (const lost of [false, true]) {
-      const { userRequests, loseAuthority, answer } = leadingNode(found);
+      const { userRequests, loseAuthority, answer } = createLeaderRequestHandlers(found);
       const reply = userRequests.handle(method, path, body);
       await Promise.resolve();
       // The process stood still here, and another node has come to lead.
@@ -50,7 +50,7 @@
   catalog.update(machineTypes);
   const singleZoneCatalog = new MachineCatalog();
   singleZoneCatalog.update(machineTypes.map((type) => ({ ...type, zones: ['a'] })));
-  const submission = (change: Partial<JobSpec>) => encodeJobSpec(spec(change));
+  const submission = (change: Partial<JobSpec>) => encodeJobSpec(jobSpec(change));
   const valid = submission({});
   const cases: [string, unknown, number][] = [
     ['valid', valid, 0],
@@ -125,7 +125,7 @@
 });
 
 void test('a follower without a leader: a late answer of the store is given only if it is final', async () => {
-  const job = new Job(JOB, spec({}), WallMs(0), Revision(5));
+  const job = new Job(JOB_ID, jobSpec({}), WallMs(0), Revision(5));
   const final: FinalState = {
     status: 'done',
     taskCount: 4,
@@ -141,7 +141,7 @@
     ['a job that is over, late: that does not change', { kind: 'final', final }, 400, 200],
   ];
   for (const [name, stored, took, status] of cases) {
-    const node = leadingNode({ kind: 'absent' });
+    const node = createLeaderRequestHandlers({ kind: 'absent' });
     node.loseAuthority();
     node.jobRecords.lookUp = async () => {
       await sleep(node.clock, ms(took));
@@ -149,7 +149,7 @@
     };
     let repliedStatus = 0;
     void node.userRequests
-      .handle('GET', `/v1/jobs/${JOB}`, Buffer.alloc(0))
+      .handle('GET', `/v1/jobs/${JOB_ID}`, Buffer.alloc(0))
       .then((reply) => (repliedStatus = reply.status));
     await new Promise((resolve) => setImmediate(resolve));
     await node.time.run(1000);
@@ -158,7 +158,7 @@
 });
 
 void test('a submission that no leader answers is written by the node itself, if no record has the job', async () => {
-  const job = new Job(JOB, spec({}), WallMs(0), Revision(5));
+  const job = new Job(JOB_ID, jobSpec({}), WallMs(0), Revision(5));
   const live: StoredJob = { kind: 'live', job };
   interface Case {
     readonly name: string;
@@ -195,7 +195,7 @@
     { name: 'too many writes wait', wait: 1500, status: 429, retryAfter: 2 },
   ];
   for (const { name, leader, wait = 0, create, took = 0, stored, status, retryAfter } of cases) {
-    const node = leadingNode({ kind: 'absent' });
+    const node = createLeaderRequestHandlers({ kind: 'absent' });
     node.loseAuthority();
     const body = encode({});
     node.peers.set(NodeId('node-0'), {
@@ -217,7 +217,7 @@
     node.jobRecords.lookUp = () => Promise.resolve(stored ?? { kind: 'unknown' });
     const replies: Reply[] = [];
     void node.userRequests
-      .handle('POST', '/v1/jobs', encode(encodeJobSpec(spec({}))))
+      .handle('POST', '/v1/jobs', encode(encodeJobSpec(jobSpec({}))))
       .then((reply) => replies.push(reply));
     await new Promise((resolve) => setImmediate(resolve));
     await node.time.run(1000);
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -22,9 +22,9 @@
   parseSubmission,
   submissionId,
 } from '../../src/wire/index.js';
-import { spec } from '../support/jobs.js';
+import { jobSpec } from '../support/job-spec.js';
 
-const valid = encodeJobSpec(spec({}));
+const valid = encodeJobSpec(jobSpec({}));
 
 void test('submissions: each field is checked', () => {
   const cases: [string, Record<string, unknown>, boolean][] = [
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -6,7 +6,7 @@
 import { encodeResponse } from '../../src/peer/codec.js';
 import { NodeId, seconds } from '../../src/units/index.js';
 import { encode, encodeHeartbeat, type Heartbeat, type Command } from '../../src/wire/index.js';
-import { EPOCH, leadingNode } from '../support/api.js';
+import { EPOCH, createLeaderRequestHandlers } from '../support/leader-request-handlers.js';
 
 const heartbeatOf = (machine: string, fencingToken = 0): Heartbeat => ({
   machine,
@@ -24,7 +24,7 @@
 void test('a heartbeat gets no 200 before the leader knows which jobs are cancelled', async () => {
   for (const ready of [true, false]) {
     for (const relayed of [true, false]) {
-      const { workerHeartbeats, term } = leadingNode({ kind: 'absent' });
+      const { workerHeartbeats, term } = createLeaderRequestHandlers({ kind: 'absent' });
       let settle = (): void => undefined;
       Object.assign(term, {
         isReady: false,
@@ -57,7 +57,9 @@
     ['authority ended while it was handled', 3, true, 'refused'],
   ];
   for (const [name, token, loses, outcome] of cases) {
-    const { workerHeartbeats, term, loseAuthority } = leadingNode({ kind: 'absent' });
+    const { workerHeartbeats, term, loseAuthority } = createLeaderRequestHandlers({
+      kind: 'absent',
+    });
     const handle = term.handleRelayedHeartbeat;
     Object.assign(term, {
       handleRelayedHeartbeat: () => {
@@ -87,7 +89,7 @@
 });
 
 void test('a leader that is too small redirects workers, and serves those that are back at once', async () => {
-  const { workerHeartbeats, term, peers } = leadingNode({ kind: 'absent' });
+  const { workerHeartbeats, term, peers } = createLeaderRequestHandlers({ kind: 'absent' });
   Object.assign(term, { isRedirectingWorkers: true });
   const status = async (machine: string) =>
     (await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf(machine))))).status;
@@ -105,7 +107,7 @@
 });
 
 void test('the commands that answer a batch fit a frame; the heartbeats beyond are left to another', async () => {
-  const { workerHeartbeats, term, time } = leadingNode({ kind: 'absent' });
+  const { workerHeartbeats, term, time } = createLeaderRequestHandlers({ kind: 'absent' });
   const task = `run-${'9'.repeat(20)}/99999`;
   const commands = Array.from({ length: 300 }, (_, i): Command => {
     return { type: 'kill', task, attempt: 2 ** 40 + i, gracePeriodSeconds: 10 };
