--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -1,4 +1,4 @@
-/** Fleets and placed tasks for unit tests. */
+/** Creates fleets and placed tasks for unit tests. */
 import assert from 'node:assert/strict';
 import { Fleet } from '../../src/fleet/fleet.js';
 import { taskResources } from '../../src/fleet/resources.js';
@@ -16,7 +16,7 @@
 import type { JobSpec } from '../../src/wire/index.js';
 import { jobSpec } from './job-spec.js';
 
-/** A fleet without machines, at the beginning of a term. */
+/** Creates a fleet without machines, as at the start of a term. */
 export const emptyFleet = (lease: DurationMs): Fleet =>
   new Fleet({
     startedAt: SteadyMs(0),
@@ -26,14 +26,14 @@
     resourcesOf: () => undefined,
   });
 
-/** A task that is placed on a machine. */
+/** A task that is placed on a machine, with its job. */
 export interface PlacedTask {
   readonly job: Job;
   readonly placement: Placement;
   readonly key: TaskKey;
 }
 
-/** A new job of one task, placed on the machine by a committed record. */
+/** Creates a job with one task, which is placed on the machine and whose record is committed. */
 export function createPlacedTask(
   fleet: Fleet,
   machine: MachineId,
--- a/test/support/job-changes.ts
+++ b/test/support/job-changes.ts
@@ -1,38 +1,42 @@
-/** Changes of a job as a leader makes them, in a drawn order. */
+/** Random sequences of the changes that a leader makes to a job, for property tests. */
 import type { Job } from '../../src/ledger/job.js';
 import { SteadyMs, type MachineId } from '../../src/units/index.js';
 
-/** A change, and a number that picks what is changed: tasks are placed (0), or one that is ends (1) or is lost. */
+/**
+ * A change of a job. Kind 0 places waiting tasks, kind 1 completes a placed task, any other kind requeues a placed
+ * task as lost. `pick` is a random number that selects the tasks and machines.
+ */
 export type JobChange = readonly [kind: number, pick: number];
 
-/** How tasks are placed. */
+/** How `applyJobChanges` places tasks. */
 export interface PlacementRules {
-  /** How many tasks of the job may be open at once. */
+  /** The most tasks of the job that may be open at once. */
   readonly maxOpenTasks: number;
-  /** So many tasks are placed at once at most: one more than the remainder of the pick by this. */
+  /** The most tasks that one change places: it places up to `pick % maxBatchSize + 1`. */
   readonly maxBatchSize: number;
   readonly machineFor: (pick: number, index: number) => MachineId;
 }
 
-/** Makes the changes one after the other. Tasks are placed lowest index first. */
+/** Applies the changes in order. Tasks are placed lowest index first. */
 export function applyJobChanges(
   job: Job,
-  moves: readonly JobChange[],
-  { maxOpenTasks: maxOpen, maxBatchSize: batch, machineFor: machineOf }: PlacementRules,
+  changes: readonly JobChange[],
+  { maxOpenTasks, maxBatchSize, machineFor }: PlacementRules,
 ): void {
-  for (const [kind, pick] of moves) {
+  for (const [kind, pick] of changes) {
     const placed = [...job.placements.keys()];
-    const chosen = placed[pick % Math.max(1, placed.length)];
+    const selectedTask = placed[pick % Math.max(1, placed.length)];
     if (kind === 0) {
       const tasks: { index: number; machine: MachineId }[] = [];
       for (const index of job.waitingTasks.indexes()) {
-        if (tasks.length > pick % batch || job.openTaskCount + tasks.length >= maxOpen) break;
-        tasks.push({ index, machine: machineOf(pick, index) });
+        if (tasks.length > pick % maxBatchSize || job.openTaskCount + tasks.length >= maxOpenTasks)
+          break;
+        tasks.push({ index, machine: machineFor(pick, index) });
       }
       if (tasks.length > 0) job.placeTasks(tasks, SteadyMs(0));
-    } else if (chosen !== undefined) {
-      if (kind === 1) job.completeTask(chosen);
-      else job.requeueTask(chosen);
+    } else if (selectedTask !== undefined) {
+      if (kind === 1) job.completeTask(selectedTask);
+      else job.requeueTask(selectedTask);
     }
   }
 }
--- a/test/support/job-spec.ts
+++ b/test/support/job-spec.ts
@@ -1,8 +1,8 @@
-/** Jobs for tests that need one that is valid. */
+/** Creates job specs for tests. */
 import type { JobSpec } from '../../src/wire/index.js';
 
-/** A valid job, with what a case changes of it. */
-export function jobSpec(change: Partial<JobSpec>): JobSpec {
+/** Creates a valid job spec with the given changes. */
+export function jobSpec(changes: Partial<JobSpec>): JobSpec {
   return {
     id: 'run-000001',
     jobClass: 'train',
@@ -24,6 +24,6 @@
     checkpointIntervalSeconds: 0,
     checkpointSeconds: 0,
     deadlineSeconds: 60,
-    ...change,
+    ...changes,
   };
 }
--- a/test/support/leader-request-handlers.ts
+++ b/test/support/leader-request-handlers.ts
@@ -1,4 +1,4 @@
-/** The parts that answer requests, around a term that a test controls. */
+/** The HTTP handlers of a leader whose term is a stub, so that a test decides when and with what the term responds. */
 import { pino } from 'pino';
 import { LeaderView } from '../../src/api/leadership.js';
 import { UserRequests } from '../../src/api/user-requests.js';
@@ -17,32 +17,32 @@
 import { machineTypes } from '../standin/machine-types.js';
 import { settingsFile } from './settings-file.js';
 
-/** The job that tests ask about. */
+/** The id of the job to which test requests refer. */
 export const JOB_ID = JobId('run-000001');
-/** The epoch under which the node leads. */
+/** The epoch of the leader's term. */
 export const EPOCH = Epoch(7);
 
 /**
- * What answers HTTP on a node that leads until `loseAuthority` is called; its term answers every request
- * about a job with `found`, when `answer` is called.
+ * Creates the handlers of user requests and heartbeats on a controller that leads until `loseAuthority` is called.
+ * Its term resolves each request for a job with `lookupResult` once `resolveLookup` is called.
  */
-export function createLeaderRequestHandlers(found: JobLookupResult) {
+export function createLeaderRequestHandlers(lookupResult: JobLookupResult) {
   const settings = parseSettings(settingsFile(0));
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const jobRecords = {} as JobRecords;
   let epoch: Epoch | undefined = EPOCH;
-  let answer = (): void => undefined;
-  const answerLater = (): Promise<JobLookupResult> =>
-    new Promise((resolve) => (answer = () => resolve(found)));
+  let resolveLookup = (): void => undefined;
+  const lookUpLater = (): Promise<JobLookupResult> =>
+    new Promise((resolve) => (resolveLookup = () => resolve(lookupResult)));
   const term = {
     epoch,
     isClosed: false,
     isReady: true,
     isRedirectingWorkers: false,
-    findJob: answerLater,
-    cancelJob: answerLater,
-    submitJob: answerLater,
+    findJob: lookUpLater,
+    cancelJob: lookUpLater,
+    submitJob: lookUpLater,
     handleHeartbeat: () => ({ fencingToken: EPOCH, commands: [] }),
     handleRelayedHeartbeat: () => ({
       response: { fencingToken: EPOCH, commands: [] },
@@ -90,6 +90,6 @@
     time,
     clock,
     loseAuthority,
-    answer: () => answer(),
+    resolveLookup: () => resolveLookup(),
   };
 }
--- a/test/support/settings-file.ts
+++ b/test/support/settings-file.ts
@@ -1,16 +1,16 @@
-/** Settings for tests. */
+/** Creates settings files for tests. */
 
-/** A platform's settings file for three nodes, small enough to read. */
-export function settingsFile(node = 0, zones: readonly string[] = ['a', 'b', 'c']) {
-  const nodes = [0, 1, 2];
+/** Creates the content of a small settings file for one of three controllers. */
+export function settingsFile(controller = 0, zones: readonly string[] = ['a', 'b', 'c']) {
+  const controllers = [0, 1, 2];
   const zoneOf = (index: number): string => zones[index % zones.length] ?? 'a';
   return {
-    node: `node-${node}`,
-    area: zoneOf(node),
-    api_addr: `10.0.0.${node + 1}:8080`,
-    cluster_listen: `10.0.0.${node + 1}:8081`,
-    others: nodes
-      .filter((other) => other !== node)
+    node: `node-${controller}`,
+    area: zoneOf(controller),
+    api_addr: `10.0.0.${controller + 1}:8080`,
+    cluster_listen: `10.0.0.${controller + 1}:8081`,
+    others: controllers
+      .filter((other) => other !== controller)
       .map((other) => ({
         node: `node-${other}`,
         area: zoneOf(other),
--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/anticipated-work.test.ts
@@ -1,4 +1,7 @@
-/** For which submissions capacity is kept on standby, how much, and for how long. */
+/**
+ * Checks which submissions keep capacity on standby, how much, and for how long. Without the standby capacity, urgent
+ * jobs wait for a boot; if it outlives the submissions that it is for, idle machines are paid for.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AnticipatedWork } from '../../src/leader/anticipated-work.js';
@@ -6,28 +9,32 @@
 import type { JobSpec } from '../../src/wire/index.js';
 import { jobSpec } from '../support/job-spec.js';
 
-const at = (time: number): SteadyMs => SteadyMs(seconds(time));
+const atSecond = (second: number): SteadyMs => SteadyMs(seconds(second));
 const objectives = [{ kind: 'wait', jobClass: 'merge', within: seconds(5), times: 1 }];
 
-void test('capacity is kept for urgent jobs and awaited gangs, as long as they are recent', () => {
-  const cases: [name: string, change: Partial<JobSpec>, askedAt: number, isExpected: boolean][] = [
-    ['urgent', { priority: 'high' }, 10, true],
+void test('capacity is kept for recent urgent jobs and for recent gangs whose users wait for their start', () => {
+  const cases: [name: string, change: Partial<JobSpec>, readAt: number, isExpected: boolean][] = [
+    ['an urgent job', { priority: 'high' }, 10, true],
     ['a gang whose users wait for its start', { jobClass: 'merge', kind: 'ensemble' }, 10, true],
-    ['an array whose users wait for its start', { jobClass: 'merge' }, 10, false],
-    ['another gang', { kind: 'ensemble' }, 10, false],
-    ['neither', {}, 10, false],
-    ['long ago', { priority: 'high' }, 200, false],
+    ['an array job whose users wait for its start', { jobClass: 'merge' }, 10, false],
+    ['a gang without a wait objective', { kind: 'ensemble' }, 10, false],
+    ['an array job without a wait objective', {}, 10, false],
+    ['an urgent job submitted long ago', { priority: 'high' }, 200, false],
   ];
-  for (const [name, change, askedAt, isExpected] of cases) {
+  for (const [name, change, readAt, isExpected] of cases) {
     const work = new AnticipatedWork(objectives);
-    work.noteSubmission(jobSpec({ taskCount: 4, cpus: 2, ...change }), at(0));
-    // The forecast is read before the reserve, which is not read while nothing waits: it drops old images itself.
-    const forecast = work.anticipated(1000, at(askedAt));
+    work.noteSubmission(jobSpec({ taskCount: 4, cpus: 2, ...change }), atSecond(0));
+    // The reserve is not read while no task waits, so the forecast must drop old images itself: it is read first.
+    const forecast = work.anticipated(1000, atSecond(readAt));
     assert.deepEqual(
       forecast.map((submission) => submission.count),
       isExpected ? [4] : [],
       name,
     );
-    assert.equal(work.reserve(1000, at(askedAt)).get('img-01'), isExpected ? 16 : undefined, name);
+    assert.equal(
+      work.reserve(1000, atSecond(readAt)).get('img-01'),
+      isExpected ? 16 : undefined,
+      name,
+    );
   }
 });
--- a/test/unit/attempt-clearance.test.ts
+++ b/test/unit/attempt-clearance.test.ts
@@ -1,4 +1,8 @@
-/** When a worker may forget an attempt that has exited. */
+/**
+ * Checks when a worker may forget an attempt that has exited. If it forgets an attempt too early, a start command that
+ * is still in flight, or a late duplicate of one, runs the task again. If it forgets a completion before the store has
+ * it, the completion is lost.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSettings } from '../../src/config/settings.js';
@@ -13,15 +17,15 @@
 
 const settings = parseSettings(settingsFile());
 const { lease } = settings.workers;
-const id = MachineId('vm-1');
+const machineId = MachineId('vm-1');
 const WITHOUT_QUOTA: Partial<JobSpec> = { team: 'without-quota' };
 
-/** An attempt that has exited, and what is known of its job and of its start. */
+/** An attempt that has exited, with the state of its job and of its direct start command. */
 interface Attempt {
   readonly exitReason: string;
   readonly job: 'live' | 'completionUnstored' | 'unknown' | FinalState;
   readonly spec: Partial<JobSpec>;
-  readonly push: 'none' | 'unacknowledged' | 'acknowledged';
+  readonly directStart: 'none' | 'unacknowledged' | 'acknowledged';
 }
 
 const finalState = (status: FinalState['status'], team: string): FinalState => ({
@@ -32,23 +36,24 @@
   reason: '',
 });
 
-/** Whether the attempt may be forgotten at once, and after so long. */
-async function clearance(attempt: Attempt, after: DurationMs): Promise<[boolean, boolean]> {
+/** Whether the worker may forget the attempt at once, and whether it may after `delay`. */
+async function clearanceOf(attempt: Attempt, delay: DurationMs): Promise<[boolean, boolean]> {
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const fleet = emptyFleet(lease);
-  const { job, placement, key } = createPlacedTask(fleet, id, clock.steady(), attempt.spec);
+  const { job, placement, key } = createPlacedTask(fleet, machineId, clock.steady(), attempt.spec);
   if (attempt.exitReason === 'done') job.completeTask(0);
   else job.requeueTask(0);
   if (attempt.job !== 'completionUnstored') job.committedVersion = job.version;
-  const machine = fleet.machines.get(id);
+  const machine = fleet.machines.get(machineId);
   assert.ok(machine);
-  const pushed = attemptKey(key, placement.attempt);
-  if (attempt.push !== 'none') machine.directStarts.recordSent(pushed);
-  if (attempt.push === 'acknowledged') machine.directStarts.recordAcknowledged(pushed);
+  const startedAttempt = attemptKey(key, placement.attempt);
+  if (attempt.directStart !== 'none') machine.directStarts.recordSent(startedAttempt);
+  if (attempt.directStart === 'acknowledged')
+    machine.directStarts.recordAcknowledged(startedAttempt);
   const final = typeof attempt.job === 'string' ? undefined : attempt.job;
   const isLive = attempt.job === 'live' || attempt.job === 'completionUnstored';
-  const subject = new AttemptClearance({ finalState: () => final }, { clock, settings });
+  const clearance = new AttemptClearance({ finalState: () => final }, { clock, settings });
   const status = {
     task: key,
     attempt: placement.attempt,
@@ -56,53 +61,83 @@
     exitReason: attempt.exitReason,
   };
   const canClear = (): boolean =>
-    subject.canClear(machine, status, { job: job.id, index: 0 }, isLive ? job : undefined);
+    clearance.canClear(machine, status, { job: job.id, index: 0 }, isLive ? job : undefined);
   const atOnce = canClear();
-  await time.run(after);
+  await time.run(delay);
   return [atOnce, canClear()];
 }
 
-void test('an attempt is forgotten when no start of it can be delivered that would do harm', async () => {
-  const plain: Attempt = { exitReason: 'done', job: 'live', spec: WITHOUT_QUOTA, push: 'none' };
-  const pushed: Attempt = { ...plain, push: 'acknowledged' };
+void test('an attempt may be forgotten once no start of it can arrive that would do harm', async () => {
+  const completed: Attempt = {
+    exitReason: 'done',
+    job: 'live',
+    spec: WITHOUT_QUOTA,
+    directStart: 'none',
+  };
+  const startedDirectly: Attempt = { ...completed, directStart: 'acknowledged' };
   const failed = { exitReason: 'error' };
   const done = finalState('done', 'without-quota');
   const aborted = finalState('aborted', 'without-quota');
-  const cases: [name: string, attempt: Attempt, atOnce: boolean, later: boolean][] = [
-    ['completed, and the store has that', plain, true, true],
-    ['completed, and the store lacks that', { ...plain, job: 'completionUnstored' }, false, false],
-    ['failed', { ...plain, ...failed }, true, true],
-    ['of an unknown job', { ...plain, job: 'unknown' }, true, true],
-    ['a pushed start may be delivered', { ...plain, push: 'unacknowledged' }, false, false],
-    ['failed, so a duplicate of its start would run', { ...pushed, ...failed }, false, true],
-    ['completed, so a duplicate of its start ends at once', pushed, true, true],
-    ['completed, but its team has a quota', { ...pushed, spec: { team: 'vision' } }, false, true],
+  const cases: [name: string, attempt: Attempt, atOnce: boolean, afterMaxDelay: boolean][] = [
+    ['completed, which the store has recorded', completed, true, true],
+    [
+      'completed, which the store has not recorded',
+      { ...completed, job: 'completionUnstored' },
+      false,
+      false,
+    ],
+    ['failed', { ...completed, ...failed }, true, true],
+    ['completed, of an unknown job', { ...completed, job: 'unknown' }, true, true],
+    [
+      'its direct start may still be delivered',
+      { ...completed, directStart: 'unacknowledged' },
+      false,
+      false,
+    ],
+    [
+      'failed: a duplicate of its start would run again',
+      { ...startedDirectly, ...failed },
+      false,
+      true,
+    ],
+    ['completed: a duplicate of its start would exit at once', startedDirectly, true, true],
+    [
+      'completed, but its team has a quota',
+      { ...startedDirectly, spec: { team: 'vision' } },
+      false,
+      true,
+    ],
+    [
+      'completed, but its job must run in one zone',
+      { ...startedDirectly, spec: { ...WITHOUT_QUOTA, singleZone: true } },
+      false,
+      true,
+    ],
     [
-      'completed, but its job must be in one zone',
-      { ...pushed, spec: { ...WITHOUT_QUOTA, singleZone: true } },
+      'completed, but its job must be spread over two zones',
+      { ...startedDirectly, spec: { ...WITHOUT_QUOTA, spreadZones: true } },
       false,
       true,
     ],
+    ['completed, of a finished job', { ...startedDirectly, job: done }, true, true],
+    ['completed, of a cancelled job', { ...startedDirectly, job: aborted }, false, true],
     [
-      'completed, but its job must be in two zones',
-      { ...pushed, spec: { ...WITHOUT_QUOTA, spreadZones: true } },
+      'completed, of a finished job whose team has a quota',
+      { ...startedDirectly, job: finalState('done', 'vision') },
       false,
       true,
     ],
-    ['completed, of a job that is done', { ...pushed, job: done }, true, true],
-    ['completed, of a cancelled job', { ...pushed, job: aborted }, false, true],
     [
-      'completed, of a job whose team has a quota',
-      { ...pushed, job: finalState('done', 'vision') },
+      'completed after a direct start, of an unknown job',
+      { ...startedDirectly, job: 'unknown' },
       false,
       true,
     ],
-    ['completed, of an unknown job, and pushed', { ...pushed, job: 'unknown' }, false, true],
   ];
-  for (const [name, attempt, atOnce, later] of cases) {
-    assert.deepEqual(await clearance(attempt, ms(3 * lease)), [atOnce, later], name);
+  for (const [name, attempt, atOnce, afterMaxDelay] of cases) {
+    assert.deepEqual(await clearanceOf(attempt, ms(3 * lease)), [atOnce, afterMaxDelay], name);
     assert.deepEqual(
-      await clearance(attempt, ms(3 * lease - 1)),
+      await clearanceOf(attempt, ms(3 * lease - 1)),
       [atOnce, atOnce],
       `${name}: a duplicate may still be delivered`,
     );
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -1,4 +1,8 @@
-/** The autoscaler: the order of its cloud calls, their repeats, its pauses and its end. */
+/**
+ * Checks the cloud calls of the autoscaler: their order, retries, backoff and end. A retry under a new request id after
+ * a lost response would rent machines twice; calls that overlap or continue after the term would exceed the cloud's
+ * rate or compete with those of the next leader.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -19,51 +23,51 @@
 import { settingsFile } from '../support/settings-file.js';
 
 /** A scale-out request as the cloud receives it. */
-interface Hire {
+interface ScaleOutBody {
   readonly hire: string;
   readonly hall: string;
   readonly loaners: boolean;
   readonly how_many: number;
 }
 
-const ok = (body: unknown): Outcome => ({ kind: 'answer', status: 200, body });
+const okResponse = (body: unknown): Outcome => ({ kind: 'answer', status: 200, body });
 const NO_CAPACITY: Outcome = { kind: 'answer', status: 503, body: { error: 'no capacity' } };
-const NO_ANSWER: Outcome = { kind: 'unknown', reason: 'no answer in time' };
+const NO_RESPONSE: Outcome = { kind: 'unknown', reason: 'no answer in time' };
 
 /**
- * An autoscaler with a queue of one job of 8 CPUs, for which one machine is enough, ticked every 500 ms.
- * Scale-out requests get the `answers` in turn, and then machines.
+ * Creates an autoscaler that is ticked every 500 ms, with one queued job of 8 CPUs, for which one machine is enough.
+ * The first scale-out requests get `responses` in turn, later ones get machines; all take `latencyMs`.
  */
-function autoscalerWith({
-  answers = [],
-  answerAfter = 5,
-  change = {},
+function createAutoscaler({
+  responses = [],
+  latencyMs = 5,
+  specChange = {},
 }: {
-  answers?: Outcome[];
-  answerAfter?: number;
-  change?: Partial<JobSpec>;
+  responses?: Outcome[];
+  latencyMs?: number;
+  specChange?: Partial<JobSpec>;
 }) {
   const settings = parseSettings(settingsFile(0));
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const calls: string[] = [];
-  const requests: { at: number; body: Hire }[] = [];
+  const requests: { at: number; body: ScaleOutBody }[] = [];
   const respond = (request: Request): Outcome => {
-    if (request.path === '/flavors') return ok(encodeMachineTypes(machineTypes));
-    if (request.path !== '/machines') return ok({ boxes: [], has_next: false });
-    const body = request.body as Hire;
+    if (request.path === '/flavors') return okResponse(encodeMachineTypes(machineTypes));
+    if (request.path !== '/machines') return okResponse({ boxes: [], has_next: false });
+    const body = request.body as ScaleOutBody;
     requests.push({ at: time.now, body });
-    return answers.shift() ?? ok({ boxes: [`m-${requests.length}`] });
+    return responses.shift() ?? okResponse({ boxes: [`m-${requests.length}`] });
   };
   const http = {
     send: (request: Request): Promise<Outcome> => {
       calls.push(`${request.method} ${request.path}`);
       const outcome = respond(request);
-      return new Promise((resolve) => time.after(answerAfter, () => resolve(outcome)));
+      return new Promise((resolve) => time.after(latencyMs, () => resolve(outcome)));
     },
   };
   const fleet = emptyFleet(settings.workers.lease);
-  const job = new Job(JobId('run-000001'), jobSpec(change), clock.wall(), Revision(1));
+  const job = new Job(JobId('run-000001'), jobSpec(specChange), clock.wall(), Revision(1));
   const entry: QueueEntry = {
     rank: 2,
     isLate: false,
@@ -101,8 +105,8 @@
   return { autoscaler, time, fleet, calls, requests };
 }
 
-void test('the machine types are read first, then machines are rented, then they are listed', async () => {
-  const { time, calls, requests, fleet } = autoscalerWith({});
+void test('the autoscaler reads the machine types, then rents machines, then lists them', async () => {
+  const { time, calls, requests, fleet } = createAutoscaler({});
   await time.run(3000);
   assert.deepEqual(calls, ['GET /flavors', 'POST /machines', 'GET /machines?limit=500']);
   const { body } = requests[0]!;
@@ -110,60 +114,67 @@
   assert.deepEqual([...fleet.machines.keys()], ['m-1']);
 });
 
-void test('one call is made at a time', async () => {
-  const { time, calls } = autoscalerWith({ answerAfter: 2000 });
+void test('one cloud call is in flight at a time', async () => {
+  const { time, calls } = createAutoscaler({ latencyMs: 2000 });
   await time.run(1900);
   assert.deepEqual(calls, ['GET /flavors']);
   await time.run(3900);
   assert.deepEqual(calls, ['GET /flavors', 'POST /machines']);
 });
 
-void test('a request for machines is repeated under the same id until it is answered', async () => {
-  const unreadable = ok({});
+void test('a scale-out request is retried under the same id until it gets a usable response', async () => {
+  const unreadable = okResponse({});
   const failed: Outcome = { kind: 'answer', status: 500, body: undefined };
-  const { time, requests } = autoscalerWith({ answers: [NO_ANSWER, failed, unreadable] });
+  const { time, requests } = createAutoscaler({ responses: [NO_RESPONSE, failed, unreadable] });
   await time.run(20_000);
   const ids = requests.map(({ body }) => body.hire);
   assert.deepEqual(ids, ['e7-1', 'e7-1', 'e7-1', 'e7-1']);
 });
 
-void test('where an offer is refused, the others are tried, and on-demand ones after a while', async () => {
-  const answers = Array.from({ length: 6 }, () => NO_CAPACITY);
-  const { time, requests } = autoscalerWith({ answers });
+void test('when an offer is refused, other zones are tried, and on-demand machines after a while', async () => {
+  const responses = Array.from({ length: 6 }, () => NO_CAPACITY);
+  const { time, requests } = createAutoscaler({ responses });
   await time.run(8000);
   const offers = requests.map(({ body }) => [body.hall, body.loaners]);
   const inEachZone = (spot: boolean) => ['a', 'b', 'c'].map((zone) => [zone, spot]);
   assert.deepEqual(offers, [...inEachZone(true), ...inEachZone(false)]);
-  assert.equal(new Set(requests.map(({ body }) => body.hire)).size, 6, 'each under its own id');
+  assert.equal(
+    new Set(requests.map(({ body }) => body.hire)).size,
+    6,
+    'each request has its own id',
+  );
   assert.ok(requests[2]!.at < 5000 && requests[3]!.at >= 5000);
 });
 
-void test('an offer that is refused again and again is asked for after pauses that double', async () => {
-  const answers = Array.from({ length: 6 }, () => NO_CAPACITY);
-  // A single offer will do.
-  const { time, requests } = autoscalerWith({ answers, change: { zone: 'a', allowSpot: false } });
+void test('an offer that is refused repeatedly is requested again with exponential backoff', async () => {
+  const responses = Array.from({ length: 6 }, () => NO_CAPACITY);
+  // Only one offer suits the job.
+  const { time, requests } = createAutoscaler({
+    responses,
+    specChange: { zone: 'a', allowSpot: false },
+  });
   await time.run(230_000);
-  const pauses = requests.map(({ at }, index) => at - (requests[index - 1]?.at ?? 0));
-  // Plans are made once a second, and ticks every half of one.
+  const waits = requests.map(({ at }, index) => at - (requests[index - 1]?.at ?? 0));
+  // Each wait may be up to 2 s longer, since a plan is made once per second, and a tick takes place every 500 ms.
   const expected = [8000, 16_000, 32_000, 60_000, 60_000];
-  for (const [index, pause] of expected.entries()) {
-    const actual = pauses[index + 1] ?? 0;
-    assert.ok(actual >= pause && actual < pause + 2000, `${actual} for ${pause}`);
+  for (const [index, wait] of expected.entries()) {
+    const actual = waits[index + 1] ?? 0;
+    assert.ok(actual >= wait && actual < wait + 2000, `${actual} for ${wait}`);
   }
 });
 
 void test('a closed autoscaler makes no further calls', async () => {
-  const { autoscaler, time, calls } = autoscalerWith({});
+  const { autoscaler, time, calls } = createAutoscaler({});
   await time.run(2);
   assert.deepEqual(calls, ['GET /flavors']);
   autoscaler.close();
-  // The call in flight is answered, and ticks go on.
+  // The call in flight gets its response, and ticks continue.
   await time.run(5000);
   assert.deepEqual(calls, ['GET /flavors']);
 
-  const next = autoscalerWith({});
+  const next = createAutoscaler({});
   await next.time.run(5);
-  // Answered, and the next call is due.
+  // The first call has got its response, and the next one is due.
   next.autoscaler.close();
   await next.time.run(5000);
   assert.deepEqual(next.calls, ['GET /flavors']);
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -1,4 +1,8 @@
-/** Commands to workers: those that are pushed, and those in the replies to heartbeats. */
+/**
+ * Checks the commands to workers, both direct commands and those in responses to heartbeats. Guards against a lease that
+ * the controller extends although the worker's own lease has run out, against the start of an attempt that must stop,
+ * and against direct commands that are sent too early, twice or not at all.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -18,9 +22,9 @@
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 const epoch = Epoch(50);
-const id = MachineId('vm-1');
+const machineId = MachineId('vm-1');
 const heartbeat = {
-  machine: id,
+  machine: machineId,
   address: '10.1.0.1:9000',
   machineType: 'small',
   zone: 'a',
@@ -33,33 +37,40 @@
 };
 
 const observeMachine = (fleet: Fleet): Machine =>
-  fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, heartbeat.address);
+  fleet.observe(machineId, { machineType: 'small', zone: 'a', spot: true }, heartbeat.address);
 
-void test('the reply to a command extends a lease only as the first message of a new session', async () => {
+void test('the response to direct commands extends a lease only if it is the first message of a new session', async () => {
   const settings = parseSettings(settingsFile());
   const { lease } = settings.workers;
   type Case = [
     name: string,
     isBusy: boolean,
     priority: Priority,
-    replyStatus: number,
+    responseStatus: number,
     session: number,
     isExtended: boolean,
   ];
   const cases: Case[] = [
-    ['executed: no heartbeat was answered', false, 'normal', 200, 1, false],
-    ['none is sent while the process is behind', true, 'normal', 0, 1, false],
-    ['not even urgent ones', true, 'high', 0, 1, false],
-    ['refused in a new session: its lease runs from its beginning', false, 'normal', 409, 2, true],
+    ['executed: no heartbeat got a response', false, 'normal', 200, 1, false],
+    ['normal priority: not sent while the process is overloaded', true, 'normal', 0, 1, false],
+    ['high priority: not sent while the process is overloaded', true, 'high', 0, 1, false],
+    [
+      'refused in a new session: its lease runs from the start of the session',
+      false,
+      'normal',
+      409,
+      2,
+      true,
+    ],
   ];
-  for (const [name, isBusy, priority, replyStatus, session, isExtended] of cases) {
+  for (const [name, isBusy, priority, responseStatus, session, isExtended] of cases) {
     const time = new VirtualTime();
     const clock = new ProcessClock(time, 0, 0);
     const fleet = emptyFleet(lease);
     const machine = observeMachine(fleet);
     machine.recordStatus(toWorkerStatus(heartbeat), clock.steady());
     machine.extendLease(workerLeaseEnd(clock.steady(), lease));
-    const { job } = createPlacedTask(fleet, id, clock.steady(), { priority });
+    const { job } = createPlacedTask(fleet, machineId, clock.steady(), { priority });
     const deps = {
       settings,
       clock,
@@ -69,7 +80,7 @@
         send: () =>
           Promise.resolve({
             kind: 'answer',
-            status: replyStatus,
+            status: responseStatus,
             body: encodeHeartbeat({ ...heartbeat, session, sequence: 12 }),
           }),
       },
@@ -81,32 +92,32 @@
       { observe: () => undefined },
       deps as unknown as CommandSenderDependencies,
     );
-    // The worker's own lease may have expired by now, and a new session have begun.
+    // By now the worker's own lease may have expired and a new session may have begun.
     await time.run(lease);
-    const before = machine.leaseExpiresAt;
-    assert.ok(clock.steady() <= before);
+    const previousExpiry = machine.leaseExpiresAt;
+    assert.ok(clock.steady() <= previousExpiry);
     sender.isBusy = isBusy;
-    sender.schedulePush(id);
+    sender.schedulePush(machineId);
     await time.run(lease + 10);
     assert.equal(machine.status?.session, session, name);
-    assert.equal(machine.status.sequence, replyStatus === 0 ? 9 : 12, name);
-    assert.equal(machine.leaseExpiresAt > before, isExtended, name);
+    assert.equal(machine.status.sequence, responseStatus === 0 ? 9 : 12, name);
+    assert.equal(machine.leaseExpiresAt > previousExpiry, isExtended, name);
     if (isExtended) assert.ok(machine.leaseExpiresAt >= lease * 2, name);
   }
 });
 
-void test('an attempt that is to be stopped is not started any more', () => {
+void test('an attempt that must stop is not started', () => {
   const cases: [name: string, isEvicted: boolean, mayStillArrive: boolean, types: string[]][] = [
-    ['to run there', false, false, ['launch']],
+    ['an attempt that should run', false, false, ['launch']],
     ['evicted before its start was sent', true, false, []],
-    ['evicted, and its start may still be delivered', true, true, ['launch', 'kill']],
+    ['evicted while its direct start may still be delivered', true, true, ['launch', 'kill']],
   ];
   const settings = parseSettings(settingsFile());
   for (const [name, isEvicted, mayStillArrive, types] of cases) {
     const clock = new ProcessClock(new VirtualTime(), 0, 0);
     const fleet = emptyFleet(settings.workers.lease);
     const machine = observeMachine(fleet);
-    const { job, placement, key } = createPlacedTask(fleet, id, clock.steady());
+    const { job, placement, key } = createPlacedTask(fleet, machineId, clock.steady());
     if (isEvicted) placement.evictionGraceSeconds = 0;
     if (mayStillArrive) machine.directStarts.recordSent(attemptKey(key, placement.attempt));
     const ledger = { jobs: new Map([[job.id, job]]), finalState: () => undefined };
@@ -120,18 +131,23 @@
   }
 });
 
-void test('what is pushed to a machine, and that it is pushed once', () => {
+void test('direct commands follow from the state of a placement, and each is sent once', () => {
   type Change = (task: PlacedTask, machine: Machine) => void;
   const cases: [name: string, mayStart: boolean, change: Change, commands: string[]][] = [
-    ['placed', true, () => undefined, ['launch']],
-    ['placed, but starts are left to replies', false, () => undefined, []],
-    ['not committed', true, ({ job }) => (job.committedVersion = 0), []],
-    ['sent in a reply', true, ({ placement }) => (placement.startSentInResponseTo = heartbeat), []],
-    ['reported', true, ({ placement }) => (placement.isReported = true), []],
-    ['the machine is draining', true, (_, machine) => (machine.isDecommissioning = true), []],
-    ['cancelled, not sent', true, ({ job }) => (job.isCancelled = true), []],
+    ['a placed task', true, () => undefined, ['launch']],
+    ['a placed task, but starts are left to responses', false, () => undefined, []],
+    ['a placement that is not committed', true, ({ job }) => (job.committedVersion = 0), []],
+    [
+      'already started in a response',
+      true,
+      ({ placement }) => (placement.startSentInResponseTo = heartbeat),
+      [],
+    ],
+    ['already reported by its worker', true, ({ placement }) => (placement.isReported = true), []],
+    ['its machine is draining', true, (_, machine) => (machine.isDecommissioning = true), []],
+    ['cancelled, start not sent', true, ({ job }) => (job.isCancelled = true), []],
     [
-      'cancelled, sent in a reply',
+      'cancelled, started in a response',
       false,
       ({ job, placement }) => {
         job.isCancelled = true;
@@ -162,18 +178,18 @@
   for (const [name, mayStart, change, expected] of cases) {
     const fleet = emptyFleet(seconds(24));
     const machine = observeMachine(fleet);
-    const task = createPlacedTask(fleet, id, SteadyMs(0));
+    const task = createPlacedTask(fleet, machineId, SteadyMs(0));
     change(task, machine);
     const jobs = new Map([[task.job.id, task.job]]);
     const { commands, started } = preparePush(machine, jobs, mayStart);
-    const shown = commands.map((command) =>
+    const commandNames = commands.map((command) =>
       command.type === 'kill' ? `kill ${command.gracePeriodSeconds}` : command.type,
     );
-    assert.deepEqual(shown, expected, name);
+    assert.deepEqual(commandNames, expected, name);
     const attempt = attemptKey(task.key, task.placement.attempt);
     const isStart = expected.includes('launch');
     assert.deepEqual(started, isStart ? [attempt] : [], name);
     assert.equal(machine.directStarts.isUnacknowledged(attempt), isStart, name);
-    assert.deepEqual(preparePush(machine, jobs, mayStart).commands, [], `${name}: once`);
+    assert.deepEqual(preparePush(machine, jobs, mayStart).commands, [], `${name}: sent once`);
   }
 });
--- a/test/unit/compatibility.test.ts
+++ b/test/unit/compatibility.test.ts
@@ -1,4 +1,8 @@
-/** Messages and records of the version in production, as `tools/record-production.mjs` recorded them. */
+/**
+ * Checks messages and records against those of the version in production, as `tools/record-production.mjs` recorded
+ * them. During a rolling update both versions run: a change of the format would make peers disconnect each other, or
+ * make a new leader unable to read the jobs in the store.
+ */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -15,7 +19,7 @@
 import { Epoch, JobId, Revision, SteadyMs } from '../../src/units/index.js';
 import { decodeCommand, decodeHeartbeat } from '../../src/wire/index.js';
 
-/** A heartbeat that the version in production passes on, in the form of the protocol. */
+/** A relayed heartbeat as the version in production names its fields. */
 interface RecordedHeartbeat {
   readonly kind: string;
   readonly report?: unknown;
@@ -51,7 +55,7 @@
   readFileSync('test/data/production.json', 'utf8'),
 ) as unknown as Recorded;
 
-/** What the version in production calls its messages, and what this one does. */
+/** The message types: the names in the version in production, mapped to the names in this version. */
 const TYPE_NAMES = new Map([
   ['heartbeat', 'peerHeartbeat'],
   ['reports', 'workerHeartbeats'],
@@ -60,8 +64,8 @@
   ['reportResponses', 'heartbeatResponses'],
 ]);
 
-/** A recorded message by the names that it has in this version. */
-function messageOf({ message }: RecordedMessage): unknown {
+/** Converts a recorded message to the names of this version. */
+function toCurrentMessage({ message }: RecordedMessage): unknown {
   const { type, body, why, token, reports, orders, responses, report, ...rest } = message;
   return {
     ...rest,
@@ -71,54 +75,61 @@
     ...(token === undefined ? {} : { fencingToken: token }),
     ...(orders === undefined ? {} : { commands: orders.map(decodeCommand) }),
     ...(report === undefined ? {} : { heartbeat: report && decodeHeartbeat(report) }),
-    ...(reports === undefined ? {} : { heartbeats: reports.map(relayedOf) }),
-    ...(responses === undefined ? {} : { responses: responses.map(responseOf) }),
+    ...(reports === undefined ? {} : { heartbeats: reports.map(toRelayedHeartbeat) }),
+    ...(responses === undefined ? {} : { responses: responses.map(toHeartbeatResponse) }),
   };
 }
 
-const relayedOf = ({ report, token, ...rest }: RecordedHeartbeat): unknown => ({
+const toRelayedHeartbeat = ({ report, token, ...rest }: RecordedHeartbeat): unknown => ({
   ...rest,
   ...(report === undefined ? {} : { heartbeat: decodeHeartbeat(report) }),
   ...(token === undefined ? {} : { fencingToken: token }),
 });
 
-const responseOf = ({ orders, ...rest }: { readonly orders: readonly unknown[] }): unknown => ({
+const toHeartbeatResponse = ({
+  orders,
+  ...rest
+}: {
+  readonly orders: readonly unknown[];
+}): unknown => ({
   ...rest,
   commands: orders.map(decodeCommand),
 });
 
 const asJson = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-/** Encoding the recorded message must give the recorded bytes, and decoding those the message. */
-function assertSame<Message extends PeerRequest | PeerResponse>(
+/** Asserts that encoding the recorded message gives the recorded bytes, and that decoding these gives the message. */
+function assertRoundTrip<Message extends PeerRequest | PeerResponse>(
   recorded: RecordedMessage,
   encode: (id: number, message: Message) => Buffer,
   decode: (bytes: Buffer) => { readonly message: Message },
 ): void {
-  const message = messageOf(recorded) as Message;
+  const message = toCurrentMessage(recorded) as Message;
   assert.equal(encode(recorded.id, message).toString('hex'), recorded.bytes, message.type);
-  const back = decode(Buffer.from(recorded.bytes, 'hex'));
-  assert.deepEqual(asJson(back.message), asJson(message));
+  const decoded = decode(Buffer.from(recorded.bytes, 'hex'));
+  assert.deepEqual(asJson(decoded.message), asJson(message));
 }
 
-void test('messages between nodes are, byte for byte, those of the version in production', () => {
+void test('messages between controllers are byte for byte those of the version in production', () => {
   assert.equal(production.requests.length, 9);
-  for (const recorded of production.requests) assertSame(recorded, encodeRequest, decodeRequest);
+  for (const recorded of production.requests)
+    assertRoundTrip(recorded, encodeRequest, decodeRequest);
   assert.equal(production.responses.length, 6);
-  for (const recorded of production.responses) assertSame(recorded, encodeResponse, decodeResponse);
+  for (const recorded of production.responses)
+    assertRoundTrip(recorded, encodeResponse, decodeResponse);
 });
 
-void test('records of the version in production are read, and written as it writes them', () => {
-  const falling = {
+void test('records of the version in production are decoded, and encoded exactly as it encodes them', () => {
+  const fallingLimits = {
     requestRate: 80,
     writeRate: 15,
     valueBytes: 8192,
     transactionOps: 8,
     next: { requestRate: 80, writeRate: 15, valueBytes: 2048, transactionOps: 4 },
   };
-  const limits = new RecordLimits(falling);
-  const lowered = new RecordLimits(falling);
-  lowered.onSizeRefusal();
+  const limits = new RecordLimits(fallingLimits);
+  const loweredLimits = new RecordLimits(fallingLimits);
+  loweredLimits.onSizeRefusal();
   assert.equal(production.records.length, 7);
   for (const { name, live, final } of production.records) {
     const id = JobId('run-000412');
@@ -128,11 +139,11 @@
     assert.deepEqual(asJson(limits.encode(job, Epoch(live.e)).record), live, `${name}: no change`);
     if (final !== null) assert.deepEqual(asJson(encodeFinal(job.finalState())), final, name);
     assert.deepEqual(writeIdOf(live), { epoch: live.e, version: live.v });
-    // The same state in the next format, and within the limits to come.
+    // The compact format keeps the same state, and the record fits the lowered limits.
     const compact = asJson(encodeJobCompactly(job, Epoch(live.e)));
-    const back = decodeJob(id, compact, Revision(9), SteadyMs(0));
-    back.version = live.v;
-    assert.deepEqual(asJson(encodeJob(back, Epoch(live.e))), live, `${name}: compact`);
-    assert.ok(lowered.encode(job, Epoch(live.e)).bytes <= 2048, `${name}: too large`);
+    const decoded = decodeJob(id, compact, Revision(9), SteadyMs(0));
+    decoded.version = live.v;
+    assert.deepEqual(asJson(encodeJob(decoded, Epoch(live.e))), live, `${name}: compact`);
+    assert.ok(loweredLimits.encode(job, Epoch(live.e)).bytes <= 2048, `${name}: too large`);
   }
 });
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -1,4 +1,7 @@
-/** When the leadership of a node begins and ends. */
+/**
+ * Checks when the term of a controller starts and ends. Guards against two controllers that both act as leader, against
+ * a leader that gives up a term that it still holds, and against a lost response to the write of the leader key.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -8,21 +11,21 @@
 import { NodeId, ms, type Epoch } from '../../src/units/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
-void test('leadership that lapsed ends as soon as another node knows a later leader, and no earlier', async () => {
-  const cases: [name: string, node: string, epoch: number, stays: boolean][] = [
-    ['an earlier leader', 'node-1', 5, true],
-    ['this node itself', 'node-0', 9, true],
-    ['a later leader', 'node-1', 9, false],
+void test('a term without authority ends as soon as a peer knows a later leader, and not before', async () => {
+  const cases: [name: string, knownLeader: string, epoch: number, isKept: boolean][] = [
+    ['the peer knows an earlier leader', 'node-1', 5, true],
+    ['the peer knows this controller as leader', 'node-0', 9, true],
+    ['the peer knows a later leader', 'node-1', 9, false],
   ];
-  for (const [name, node, epoch, stays] of cases) {
+  for (const [name, knownLeader, epoch, isKept] of cases) {
     const time = new VirtualTime();
-    const lost: Epoch[] = [];
+    const endedTerms: Epoch[] = [];
     const store = {
       setRole: () => undefined,
       list: () => Promise.resolve({ items: [], revision: 6 }),
       createLease: () => Promise.resolve(1),
       transact: () => Promise.resolve({ kind: 'committed', revision: 7 }),
-      // From here on the store is out for this node alone.
+      // The store never responds to a renewal, so the authority of this controller lapses.
       renewLease: () => new Promise(() => undefined),
     };
     const log = pino({ level: 'silent' });
@@ -34,76 +37,110 @@
       clock: new ProcessClock(time, 0, 0),
       random: () => 0.5,
       log,
-      events: { onTermStarted: () => undefined, onTermEnded: (lostEpoch) => lost.push(lostEpoch) },
+      events: {
+        onTermStarted: () => undefined,
+        onTermEnded: (endedEpoch) => endedTerms.push(endedEpoch),
+      },
     });
     detach(election.run(), log, 'election');
     await new Promise((resolve) => setImmediate(resolve));
     assert.equal(election.authority(), 7);
     await time.run(5000);
     assert.deepEqual([election.authority(), election.leader()], [undefined, 'node-0']);
-    election.recordLeader(NodeId(node), epoch);
-    assert.equal(election.leader(), stays ? 'node-0' : node, name);
-    assert.deepEqual(lost, stays ? [] : [7], name);
+    election.recordLeader(NodeId(knownLeader), epoch);
+    assert.equal(election.leader(), isKept ? 'node-0' : knownLeader, name);
+    assert.deepEqual(endedTerms, isKept ? [] : [7], name);
     election.stop();
   }
 });
 
-void test('what a node does about each state of the leader key', async () => {
-  const ours = { node: 'node-0', run: 'run' };
+void test('a controller acquires, keeps or leaves the leader key according to its state', async () => {
+  const ownKey = { node: 'node-0', run: 'run' };
   interface Case {
     readonly name: string;
-    /** What the leader key holds; none: it is absent. */
-    readonly holder?: unknown;
-    /** Whether the lease that the key hangs on still stands. */
-    readonly leaseStands?: boolean;
-    /** What the store says to the transaction that writes the key. */
-    readonly write?: 'committed' | 'conflict' | 'unknown';
+    /** The content of the leader key; undefined if the key is absent. */
+    readonly keyContent?: unknown;
+    /** Whether the lease to which the key is bound can be renewed; undefined counts as true. */
+    readonly isLeaseValid?: boolean;
+    /** The outcome of the transaction that writes the key. */
+    readonly writeOutcome?: 'committed' | 'conflict' | 'unknown';
     readonly epoch?: number;
     readonly leader?: string;
     readonly writes: number;
     readonly revoked?: number;
   }
   const cases: Case[] = [
-    { name: 'absent', write: 'committed', epoch: 7, leader: 'node-0', writes: 1 },
+    { name: 'the key is absent', writeOutcome: 'committed', epoch: 7, leader: 'node-0', writes: 1 },
     {
-      name: 'of a process of this node that has ended',
-      holder: { node: 'node-0', run: 'earlier' },
-      write: 'committed',
+      name: 'written by an earlier process of this controller',
+      keyContent: { node: 'node-0', run: 'earlier' },
+      writeOutcome: 'committed',
       epoch: 7,
       leader: 'node-0',
       writes: 1,
     },
-    { name: 'ours', holder: ours, leaseStands: true, epoch: 5, leader: 'node-0', writes: 0 },
-    { name: 'ours, but its lease ran out', holder: ours, leaseStands: false, writes: 0 },
-    { name: 'of another node', holder: { node: 'node-1', run: 'x' }, leader: 'node-1', writes: 0 },
-    { name: 'not to be read', holder: 5, writes: 0 },
-    { name: 'written by another meanwhile', write: 'conflict', writes: 2, revoked: 2 },
-    { name: 'written, or not: the lease must stand', write: 'unknown', writes: 1, revoked: 0 },
+    {
+      name: 'written by this process',
+      keyContent: ownKey,
+      isLeaseValid: true,
+      epoch: 5,
+      leader: 'node-0',
+      writes: 0,
+    },
+    {
+      name: 'written by this process, but its lease has expired',
+      keyContent: ownKey,
+      isLeaseValid: false,
+      writes: 0,
+    },
+    {
+      name: 'held by another controller',
+      keyContent: { node: 'node-1', run: 'x' },
+      leader: 'node-1',
+      writes: 0,
+    },
+    { name: 'unreadable', keyContent: 5, writes: 0 },
+    { name: 'another controller writes it first', writeOutcome: 'conflict', writes: 2, revoked: 2 },
+    {
+      name: 'the outcome of the write is unknown: the lease must not be revoked',
+      writeOutcome: 'unknown',
+      writes: 1,
+      revoked: 0,
+    },
   ];
-  for (const { name, holder, leaseStands, write, epoch, leader, writes, revoked = 0 } of cases) {
+  for (const {
+    name,
+    keyContent,
+    isLeaseValid,
+    writeOutcome,
+    epoch,
+    leader,
+    writes,
+    revoked = 0,
+  } of cases) {
     const time = new VirtualTime();
     const counts = { reads: 0, writes: 0, revoked: 0 };
-    const never = new Promise(() => undefined);
+    const pendingForever = new Promise(() => undefined);
     const store = {
       setRole: () => undefined,
       list: () => {
         counts.reads++;
-        const data = { key: 'leader', data: holder, revision: 5 };
-        // Two rounds are enough to see what is repeated at once.
-        if (counts.reads > 2) return never;
-        return Promise.resolve({ items: holder === undefined ? [] : [data], revision: 6 });
+        const data = { key: 'leader', data: keyContent, revision: 5 };
+        // Two rounds suffice to show which steps are retried at once.
+        if (counts.reads > 2) return pendingForever;
+        return Promise.resolve({ items: keyContent === undefined ? [] : [data], revision: 6 });
       },
-      get: () => Promise.resolve({ kind: 'found', data: holder, revision: 5, leaseId: 1 }),
-      watch: () => never,
+      get: () => Promise.resolve({ kind: 'found', data: keyContent, revision: 5, leaseId: 1 }),
+      watch: () => pendingForever,
       createLease: () => Promise.resolve(1),
-      renewLease: () => Promise.resolve(leaseStands === false ? 'gone' : 'renewed'),
+      renewLease: () => Promise.resolve(isLeaseValid === false ? 'gone' : 'renewed'),
       revokeLease: () => {
         counts.revoked++;
         return Promise.resolve();
       },
       transact: () => {
         counts.writes++;
-        return Promise.resolve({ kind: write, revision: 7 });
+        return Promise.resolve({ kind: writeOutcome, revision: 7 });
       },
     };
     const log = pino({ level: 'silent' });
--- a/test/unit/eslint-rules.test.ts
+++ b/test/unit/eslint-rules.test.ts
@@ -1,4 +1,7 @@
-/** The lint rules of this project, `tools/eslint-rules.mjs`. */
+/**
+ * Checks the lint rules of this project, `tools/eslint-rules.mjs`. A rule that misses a case lets names of the external
+ * protocols or files without a comment at their head into the code; a rule that reports too much blocks valid code.
+ */
 import { resolve } from 'node:path';
 import { describe, it } from 'node:test';
 import { pathToFileURL } from 'node:url';
@@ -18,8 +21,8 @@
   return rule;
 }
 
-/** `words`: those that are reported, in their order. */
-const withWords = ([name, code, words]: [name: string, code: string, words: string[]]) => ({
+/** A case in which the rule reports `words` in this order. */
+const reportingWords = ([name, code, words]: [name: string, code: string, words: string[]]) => ({
   name,
   code,
   errors: words.map((word) => ({ messageId: 'word', data: { word } })),
@@ -28,37 +31,41 @@
 tester.run('protocol-words', ruleNamed('protocol-words'), {
   valid: [
     { name: 'plain names', code: 'const team = job.team;' },
-    { name: 'a word as a part of a name', code: 'const deskOf = hallway.boxed;' },
-    { name: 'another case', code: 'const Desk = job.DESK;' },
-    { name: 'a word in a text', code: "log.info('the desk of a box');" },
-    { name: 'a text that is a word, but not the name of a field', code: "log.info('desk');" },
+    { name: 'a word as part of a name', code: 'const deskOf = hallway.boxed;' },
+    { name: 'a word in other letter case', code: 'const Desk = job.DESK;' },
+    { name: 'a word in a string', code: "log.info('the desk of a box');" },
+    { name: 'a string that equals a word but names no field', code: "log.info('desk');" },
     { name: 'a word in a comment', code: '// desk\nconst team = 1;' },
     { name: 'a word as the value of a field', code: "const job = { kind: 'desk' };" },
-    { name: 'a name that is put together', code: 'const value = job[`${prefix}desk`];' },
+    { name: 'a computed name', code: 'const value = job[`${prefix}desk`];' },
   ],
   invalid: [
-    withWords(['a variable', 'const desk = 1;', ['desk']]),
-    withWords(['a parameter', 'function find(box: string) {}', ['box']]),
-    withWords(['a type', 'type T = clerk;', ['clerk']]),
-    withWords(['a field that is read', 'const team = job.desk;', ['desk']]),
-    withWords(['the key of a field', 'const job = { vcpus: 4 };', ['vcpus']]),
-    withWords(['a key that is also the value', 'const job = { hall };', ['hall']]),
-    withWords(['a field that is taken apart', 'const { desk: team } = job;', ['desk']]),
-    withWords(['a private field', 'class Job { #tally = 0; }', ['tally']]),
-    withWords(['a method', 'class Job { docket() {} }', ['docket']]),
-    withWords(['a field of a type', 'interface Job { ram_gb: number }', ['ram_gb']]),
-    withWords(['a key in quotes', "const job = { 'recall_s': 1 };", ['recall_s']]),
-    withWords(['a field of a class in quotes', "class Job { 'size_gb' = 1; }", ['size_gb']]),
-    withWords(['a type field in quotes', "interface Job { 'due_s': number }", ['due_s']]),
-    withWords(['a field by its name', "const team = job['desk'];", ['desk']]),
-    withWords(['a field by its name in backquotes', 'const team = job[`desk`];', ['desk']]),
-    withWords(["a type's field by its name", "type Team = Job['desk'];", ['desk']]),
-    withWords(['whether a field exists', "const has = 'baton' in message;", ['baton']]),
-    withWords(['several', 'const box = job.desk;', ['box', 'desk']]),
+    reportingWords(['a variable', 'const desk = 1;', ['desk']]),
+    reportingWords(['a parameter', 'function find(box: string) {}', ['box']]),
+    reportingWords(['a type', 'type T = clerk;', ['clerk']]),
+    reportingWords(['a field that is read', 'const team = job.desk;', ['desk']]),
+    reportingWords(['the key of a field', 'const job = { vcpus: 4 };', ['vcpus']]),
+    reportingWords(['a shorthand property', 'const job = { hall };', ['hall']]),
+    reportingWords(['a destructured field', 'const { desk: team } = job;', ['desk']]),
+    reportingWords(['a private field', 'class Job { #tally = 0; }', ['tally']]),
+    reportingWords(['a method', 'class Job { docket() {} }', ['docket']]),
+    reportingWords(['a field of a type', 'interface Job { ram_gb: number }', ['ram_gb']]),
+    reportingWords(['a quoted key', "const job = { 'recall_s': 1 };", ['recall_s']]),
+    reportingWords(['a quoted class field', "class Job { 'size_gb' = 1; }", ['size_gb']]),
+    reportingWords(['a quoted field of a type', "interface Job { 'due_s': number }", ['due_s']]),
+    reportingWords(['a field accessed by a string', "const team = job['desk'];", ['desk']]),
+    reportingWords([
+      'a field accessed by a template string',
+      'const team = job[`desk`];',
+      ['desk'],
+    ]),
+    reportingWords(["a type's field accessed by a string", "type Team = Job['desk'];", ['desk']]),
+    reportingWords(['a test whether a field exists', "const has = 'baton' in message;", ['baton']]),
+    reportingWords(['several words', 'const box = job.desk;', ['box', 'desk']]),
   ],
 });
 
-const failing =
+const reportedAs =
   (messageId: string) =>
   ([name, code]: [name: string, code: string]) => ({
     name,
@@ -72,13 +79,13 @@
     { name: 'a comment above a re-export', code: "/** For. */\nexport * from 'a';" },
     { name: 'an empty line before a declaration', code: '/** For. */\n\nexport const a = 1;' },
     {
-      name: 'a comment of its own for the first declaration',
+      name: 'a second comment for the first declaration',
       code: '/** For. */\n/** A. */\nlet a;',
     },
     { name: 'a comment of several lines', code: '/**\n * For.\n */\n\nlet a;' },
     { name: 'a comment below a shebang', code: "#!/usr/bin/env node\n/** For. */\nimport 'a';" },
     { name: 'a comment above a directive', code: "/** For. */\n'use strict';" },
-    { name: 'a file that is nothing but its comment', code: '/** For. */' },
+    { name: 'a file that holds only its comment', code: '/** For. */' },
   ],
   invalid: [
     ...(
@@ -86,17 +93,20 @@
         ['an empty file', ''],
         ['no comment', "import 'a';"],
         ['a line comment', "// For.\nimport 'a';"],
-        ['a block comment that is no doc comment', "/* For. */\nimport 'a';"],
+        ['a block comment that is not a doc comment', "/* For. */\nimport 'a';"],
         ['a comment below the first statement', "import 'a';\n/** For. */"],
         ['a line comment above the doc comment', "// License.\n/** For. */\nimport 'a';"],
-        ['nothing but a shebang', '#!/usr/bin/env node\n'],
+        ['only a shebang', '#!/usr/bin/env node\n'],
       ] as [string, string][]
-    ).map(failing('missing')),
+    ).map(reportedAs('missing')),
     ...(
       [
         ['the comment of the first declaration', '/** A. */\nexport const a = 1;'],
-        ['a line comment between', '/** A. */\n// B.\nexport const a = 1;'],
+        [
+          'a line comment between the doc comment and the declaration',
+          '/** A. */\n// B.\nexport const a = 1;',
+        ],
       ] as [string, string][]
-    ).map(failing('ofDeclaration')),
+    ).map(reportedAs('ofDeclaration')),
   ],
 });
--- a/test/unit/failure-backoff.test.ts
+++ b/test/unit/failure-backoff.test.ts
@@ -1,4 +1,8 @@
-/** Back-off after failed tasks, as it follows from the statuses of machines. */
+/**
+ * Checks the backoff of jobs and machines after failed tasks, as the statuses of machines report them. A job that keeps
+ * failing on every machine must not grow a backoff or a quarantine that outlasts a minute, during which it and other
+ * jobs would wait although resources are free.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -11,7 +15,7 @@
 import { jobSpec } from '../support/job-spec.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
-void test('a job that fails is held back, and kept off machines, for a minute at most', async () => {
+void test('a job that keeps failing is delayed, and kept off machines, for a minute at most', async () => {
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const fleet = emptyFleet(seconds(24));
@@ -26,9 +30,9 @@
     log: pino({ level: 'silent' }),
   });
   for (let i = 0; i < 15; i++) {
-    const id = MachineId(`vm-${i % 3}`);
-    const machine = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, '');
-    job.placeTasks([{ index: 0, machine: id }], clock.steady());
+    const machineId = MachineId(`vm-${i % 3}`);
+    const machine = fleet.observe(machineId, { machineType: 'small', zone: 'a', spot: true }, '');
+    job.placeTasks([{ index: 0, machine: machineId }], clock.steady());
     const attempt = job.placements.get(0)?.attempt ?? 0;
     const task = { task: `${job.id}/0`, attempt, state: 'exited', exitReason: 'error' };
     const heartbeat = {
@@ -40,10 +44,14 @@
     };
     reconciler.observe(machine, toWorkerStatus(heartbeat), 'heartbeat');
     assert.equal(job.placements.size, 0);
-    const latest = clock.steady() + seconds(60);
-    const heldUntil = [job.backoffUntil, machine.quarantinedUntil, ...job.avoidedMachines.values()];
-    for (const until of heldUntil) {
-      assert.ok(until <= latest, `failure ${i}: held until ${until} of ${latest}`);
+    const latestAllowed = clock.steady() + seconds(60);
+    const backoffEnds = [
+      job.backoffUntil,
+      machine.quarantinedUntil,
+      ...job.avoidedMachines.values(),
+    ];
+    for (const until of backoffEnds) {
+      assert.ok(until <= latestAllowed, `failure ${i}: held until ${until} of ${latestAllowed}`);
     }
     await time.run(time.now + 70_000);
   }
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -1,4 +1,8 @@
-/** What is known of a machine: its newest status, its lease, its load, and what is proven absent. */
+/**
+ * Checks what the controller knows of a machine: its newest status, its lease, its load, and which attempts are proven
+ * absent. A late or duplicate message must not replace newer facts: if an attempt counts as absent too early, its task
+ * runs twice.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -29,14 +33,14 @@
 const newMachine = (): Machine =>
   new Machine(MachineId('vm-1'), { machineType: 'a', zone: 'z', spot: true }, 10, SteadyMs(0));
 
-void test('statuses are ordered by session and sequence number, whichever way they came', () => {
+void test('statuses are ordered by session and sequence number, not by their arrival', () => {
   type Order = [session: number, sequence: number];
   const cases: [name: string, first: Order, second: Order, isFresh: boolean][] = [
-    ['the next one', [1, 10], [1, 11], true],
-    ['a repeat', [1, 10], [1, 10], false],
-    ['one that was delayed', [1, 10], [1, 9], false],
-    ['a new session numbers its messages from the start', [1, 10], [2, 1], true],
-    ['a late one of the session before', [2, 1], [1, 99], false],
+    ['the next status', [1, 10], [1, 11], true],
+    ['a duplicate', [1, 10], [1, 10], false],
+    ['a delayed status', [1, 10], [1, 9], false],
+    ['a new session, whose sequence numbers start again', [1, 10], [2, 1], true],
+    ['a late status of the previous session', [2, 1], [1, 99], false],
   ];
   for (const [name, [session1, sequence1], [session2, sequence2], isFresh] of cases) {
     const machine = newMachine();
@@ -47,20 +51,20 @@
   }
 });
 
-void test('pushed starts and late messages of a session end with its lease', () => {
+void test('when a lease expires, direct starts and late statuses of its session are dropped', () => {
   const machine = newMachine();
   machine.recordStatus(statusWith({ session: 3, sequence: 5 }), SteadyMs(1));
   machine.directStarts.recordSent('run-000001/0#1');
   machine.expireLease();
   assert.equal(machine.directStarts.unacknowledged.size, 0);
-  // Delayed on the way: the worker has long dropped these tasks.
+  // This status was delayed: the worker has dropped these tasks since.
   const late = statusWith({ session: 3, sequence: 6 });
   assert.equal(machine.recordStatus(late, SteadyMs(9)), false);
   const next = statusWith({ session: 4, sequence: 1 });
   assert.equal(machine.recordStatus(next, SteadyMs(9)), true);
 });
 
-void test('a reclaim notice that newer statuses do not show came from a late copy', () => {
+void test('a reclaim notice that newer statuses lack is dropped as a late copy', () => {
   const machine = newMachine();
   machine.recordStatus(statusWith({ sequence: 5, reclaimNoticeSeconds: 9 }), SteadyMs(1));
   assert.ok(machine.isDraining);
@@ -68,13 +72,13 @@
   assert.equal(machine.isDraining, false);
 });
 
-void test('a lease counts as expired only when it has on every clock', () => {
+void test('a lease counts as expired only when it has expired by every clock', () => {
   assert.ok(workerLeaseEnd(SteadyMs(0), seconds(24)) > 24_000 * 1.0005);
 });
 
-void test('what proves the absence of an attempt', () => {
+void test('an attempt is proven absent only if none of its starts can still be delivered', () => {
   const task = { task: key, attempt: 2, state: 'running' };
-  const none: readonly string[] = [];
+  const noStarts: readonly string[] = [];
   type Case = [
     name: string,
     change: Parameters<typeof statusWith>[0],
@@ -88,41 +92,62 @@
   const inherited = { isInherited: true };
   const heartbeat = 'heartbeat';
   const cases: Case[] = [
-    ['never sent', {}, heartbeat, unsent, none, true],
-    ['it is there', { tasks: [task] }, heartbeat, unsent, none, false],
+    ['its start was never sent', {}, heartbeat, unsent, noStarts, true],
+    ['the status lists it', { tasks: [task] }, heartbeat, unsent, noStarts, false],
     [
-      'another attempt is there',
+      'the status lists another attempt',
       { tasks: [{ ...task, attempt: 1 }] },
       heartbeat,
       unsent,
-      none,
+      noStarts,
       true,
     ],
     [
-      'it has ended there',
+      'the status lists it as exited',
       { tasks: [{ ...task, state: 'exited' }] },
       heartbeat,
       unsent,
-      none,
+      noStarts,
       true,
     ],
-    ['sent in reply to an earlier heartbeat', {}, heartbeat, sent, none, true],
-    ['sent in reply to this very heartbeat', { sequence: 9 }, heartbeat, sent, none, false],
-    // The reply with the start is still on its way to the worker that answered our command.
-    ['only the reply to a command is newer', {}, 'commandResponse', sent, none, false],
+    ['its start was sent in response to an earlier heartbeat', {}, heartbeat, sent, noStarts, true],
     [
-      'a new session since it was sent',
+      'its start was sent in response to this heartbeat',
+      { sequence: 9 },
+      heartbeat,
+      sent,
+      noStarts,
+      false,
+    ],
+    // The response with the start may still be in flight to the worker that responded to the direct commands.
+    ['only a response to direct commands is newer', {}, 'commandResponse', sent, noStarts, false],
+    [
+      'a new session since its start was sent',
       { session: 2, sequence: 1 },
       'commandResponse',
       sent,
-      none,
+      noStarts,
+      true,
+    ],
+    ['its direct start may still be delivered', {}, heartbeat, unsent, [`${key}#2`], false],
+    [
+      'a direct start of another attempt may still be delivered',
+      {},
+      heartbeat,
+      unsent,
+      [`${key}#1`],
       true,
     ],
-    ['a pushed start may still be delivered', {}, heartbeat, unsent, [`${key}#2`], false],
-    ['a pushed start of another attempt may', {}, heartbeat, unsent, [`${key}#1`], true],
-    // What an earlier leader sent is refused only once the worker has seen our epoch.
-    ['inherited, our epoch not seen', { fencingToken: 49 }, heartbeat, inherited, none, false],
-    ['inherited, our epoch seen', {}, heartbeat, inherited, none, true],
+    // The worker refuses the commands of an earlier leader only once it has seen the current epoch.
+    [
+      'inherited, and the worker has not seen the epoch',
+      { fencingToken: 49 },
+      heartbeat,
+      inherited,
+      noStarts,
+      false,
+    ],
+    ['inherited, and the worker has seen the epoch', {}, heartbeat, inherited, noStarts, true],
   ];
   for (const [name, change, source, start, unacknowledged, isProven] of cases) {
     const evidence = {
@@ -137,7 +162,7 @@
   }
 });
 
-void test('the load that is kept equals the load computed again', () => {
+void test('the load that is updated incrementally equals the load computed from scratch', () => {
   const sizes = [1, 2, 4].map((cpus) => ({ cpus, gpus: 0, memoryGb: cpus }));
   const resourcesOf = (job: JobId) => sizes[Number(job.slice(-1))];
   const state = fc.constantFrom('fetching', 'running', 'exited');
@@ -148,7 +173,7 @@
       const machine = newMachine();
       let sequence = 0;
       for (const [kind, n, list] of steps) {
-        // A job of unknown size (3) may be reported but is never placed.
+        // Job 3, of unknown size, may be reported but is never placed.
         const job = JobId(`run-${n}`);
         const task = {
           job,
@@ -177,7 +202,7 @@
   );
 });
 
-void test('the image cache forgets the least recently used images', () => {
+void test('the image cache evicts the least recently used images', () => {
   const cache = new ImageCache(10);
   cache.recordUse('a', 4);
   cache.recordUse('b', 4);
--- a/test/unit/planner.test.ts
+++ b/test/unit/planner.test.ts
@@ -1,4 +1,8 @@
-/** The scale-out planner: what it rents for waiting tasks, beside the machines that there are. */
+/**
+ * Checks what the scale-out planner rents for waiting tasks, given the machines that exist. A plan that ignores free or
+ * soon free capacity rents machines that are not needed; a plan that ignores refusals, boot times or zone rules leaves
+ * tasks waiting.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planScaleOut, type PlanningInput } from '../../src/capacity/planner.js';
@@ -26,7 +30,7 @@
   bootSeconds: 10,
   zones: ['a', 'b'],
 };
-/** Cheaper by the CPU if most of it is used, and slow to boot. */
+/** Cheaper per CPU if most of its CPUs are used, but slow to boot. */
 const LARGE: MachineType = {
   ...SMALL,
   name: 'large',
@@ -44,7 +48,7 @@
   spot: false,
 });
 
-/** Tasks of two CPUs that should not wait, and are not worth an on-demand machine. */
+/** Tasks of two CPUs that should not wait, but do not justify an on-demand machine. */
 const demand = (taskCount: number, change: Partial<Demand> = {}): Demand => ({
   resources: { cpus: 2, gpus: 0, memoryGb: 1 },
   taskCount,
@@ -60,13 +64,13 @@
   ...change,
 });
 
-const free = (offer: Offer, cpus: number): AvailableCapacity => ({
+const availableOn = (offer: Offer, cpus: number): AvailableCapacity => ({
   ...offer,
   free: { cpus, gpus: 0, memoryGb: 32 },
 });
 
-/** Eight CPUs whose tasks run for ten seconds. */
-const BUSY: Turnover = {
+/** The turnover of eight busy CPUs whose tasks run for ten seconds. */
+const BUSY_TURNOVER: Turnover = {
   ...spotIn('a'),
   capacity: { cpus: 8, gpus: 0, memoryGb: 32 },
   busyCpus: 8,
@@ -91,94 +95,129 @@
   planned: [Offer, number][],
 ];
 
-function check(cases: readonly Case[]): void {
+function checkPlans(cases: readonly Case[]): void {
   for (const [name, demands, change, planned] of cases) {
     const expected = planned.map(([offer, count]) => [offerKey(offer), count]);
     assert.deepEqual(plan(demands, change), expected, name);
   }
 }
 
-void test('how many machines are rented', () => {
-  check([
-    ['none without tasks', [], {}, []],
+void test('the planner rents as many machines as the waiting tasks need', () => {
+  checkPlans([
+    ['none without waiting tasks', [], {}, []],
     ['as many as hold all tasks', [demand(9)], {}, [[spotIn('a'), 3]]],
     ['jobs share machines', [demand(3), demand(1)], {}, [[spotIn('a'), 1]]],
-    ['no more than allowed', [demand(9)], { maxMachines: 2 }, [[spotIn('a'), 2]]],
-    ['none where all fit', [demand(4)], { available: [free(spotIn('a'), 8)] }, []],
-    ['for the rest', [demand(5)], { available: [free(spotIn('a'), 8)] }, [[spotIn('a'), 1]]],
+    ['no more than the maximum', [demand(9)], { maxMachines: 2 }, [[spotIn('a'), 2]]],
     [
-      'not on machines that are not allowed',
+      'none if all tasks fit the free capacity',
+      [demand(4)],
+      { available: [availableOn(spotIn('a'), 8)] },
+      [],
+    ],
+    [
+      'only for tasks beyond the free capacity',
+      [demand(5)],
+      { available: [availableOn(spotIn('a'), 8)] },
+      [[spotIn('a'), 1]],
+    ],
+    [
+      'free capacity in another zone does not count',
       [demand(4, { requiredZone: 'b' })],
-      { available: [free(spotIn('a'), 8)] },
+      { available: [availableOn(spotIn('a'), 8)] },
       [[spotIn('b'), 1]],
     ],
-    ['none for what fits no type', [demand(1, { machineTypes: ['large'] })], {}, []],
+    ['none for tasks that fit no machine type', [demand(1, { machineTypes: ['large'] })], {}, []],
   ]);
 });
 
-void test('none is rented for tasks that the running ones make place for in time', () => {
-  // 0.64 usable CPUs come free a second: those of two tasks in 6.25 seconds.
-  const wait = (s: number): Demand => demand(2, { acceptableWait: seconds(s) });
-  check([
-    ['both are served', [wait(6.5)], { turnover: [BUSY] }, []],
-    ['one is not', [wait(6)], { turnover: [BUSY] }, [[spotIn('a'), 1]]],
-    ['jobs wait one after the other', [wait(6.5), wait(13)], { turnover: [BUSY] }, []],
-    ['the second one too long', [wait(6.5), wait(12)], { turnover: [BUSY] }, [[spotIn('a'), 1]]],
-    ['nothing runs', [wait(6.5)], {}, [[spotIn('a'), 1]]],
+void test('no machine is rented for tasks that get the capacity of ending tasks in time', () => {
+  // Ending tasks free 0.64 usable CPUs per second: enough for two tasks in 6.25 seconds.
+  const waitingUpTo = (s: number): Demand => demand(2, { acceptableWait: seconds(s) });
+  checkPlans([
+    ['both tasks get capacity in time', [waitingUpTo(6.5)], { turnover: [BUSY_TURNOVER] }, []],
+    ['one task does not', [waitingUpTo(6)], { turnover: [BUSY_TURNOVER] }, [[spotIn('a'), 1]]],
+    [
+      'jobs get the freed capacity one after the other',
+      [waitingUpTo(6.5), waitingUpTo(13)],
+      { turnover: [BUSY_TURNOVER] },
+      [],
+    ],
+    [
+      'the second job would wait too long',
+      [waitingUpTo(6.5), waitingUpTo(12)],
+      { turnover: [BUSY_TURNOVER] },
+      [[spotIn('a'), 1]],
+    ],
+    ['no task runs', [waitingUpTo(6.5)], {}, [[spotIn('a'), 1]]],
   ]);
 });
 
-void test('which offer is chosen', () => {
+void test('the planner chooses the cheapest offer that suits the tasks', () => {
   const both = { machineTypes: [SMALL, LARGE] };
-  const late = { maxWait: seconds(30) };
+  const limitedWait = { maxWait: seconds(30) };
   const noSpotInA = new Set([offerKey(spotIn('a'))]);
   const noSpot = new Set([...noSpotInA, offerKey(spotIn('b'))]);
-  const none = new Set([...noSpot, offerKey(onDemandIn('a')), offerKey(onDemandIn('b'))]);
-  check([
-    ['the cheapest for many tasks', [demand(16)], both, [[spotIn('a', 'large'), 1]]],
-    ['a small one for few', [demand(4)], both, [[spotIn('a'), 1]]],
-    ['a large one with little to spare', [demand(14)], both, [[spotIn('a', 'large'), 1]]],
-    ['one that boots in time', [demand(16, late)], both, [[spotIn('a'), 4]]],
-    ['another zone if refused', [demand(4)], { refusedOffers: noSpotInA }, [[spotIn('b'), 1]]],
+  const allRefused = new Set([...noSpot, offerKey(onDemandIn('a')), offerKey(onDemandIn('b'))]);
+  checkPlans([
+    ['a large machine for many tasks', [demand(16)], both, [[spotIn('a', 'large'), 1]]],
+    ['a small machine for few tasks', [demand(4)], both, [[spotIn('a'), 1]]],
+    ['a large machine that is nearly filled', [demand(14)], both, [[spotIn('a', 'large'), 1]]],
+    ['machines that boot in time', [demand(16, limitedWait)], both, [[spotIn('a'), 4]]],
+    [
+      'another zone if the first is refused',
+      [demand(4)],
+      { refusedOffers: noSpotInA },
+      [[spotIn('b'), 1]],
+    ],
     ['no on-demand machine while there is time', [demand(4)], { refusedOffers: noSpot }, []],
     [
-      'an on-demand machine for what would be late',
-      [demand(4, late)],
+      'an on-demand machine for tasks that would be late',
+      [demand(4, limitedWait)],
       { refusedOffers: noSpot },
       [[onDemandIn('a'), 1]],
     ],
-    ['for what may not run on spot', [demand(4, { allowSpot: false })], {}, [[onDemandIn('a'), 1]]],
-    ['nothing if all are refused', [demand(4, late)], { refusedOffers: none }, []],
+    [
+      'an on-demand machine for tasks that may not run on spot',
+      [demand(4, { allowSpot: false })],
+      {},
+      [[onDemandIn('a'), 1]],
+    ],
+    [
+      'nothing if all offers are refused',
+      [demand(4, limitedWait)],
+      { refusedOffers: allRefused },
+      [],
+    ],
   ]);
 });
 
-void test('a gang with a zone rule is planned for by zones', () => {
+void test('a gang with a zone rule is planned for as a whole, zone by zone', () => {
   const gang = (change: Partial<Demand>): Demand => demand(8, { isGang: true, ...change });
-  check([
-    ['all in one', [gang({ singleZone: true })], {}, [[spotIn('a'), 2]]],
+  checkPlans([
+    ['all machines in one zone', [gang({ singleZone: true })], {}, [[spotIn('a'), 2]]],
     [
-      'where most of it fits already',
+      'the zone where most of it fits already',
       [gang({ singleZone: true })],
-      { available: [free(spotIn('b'), 8)] },
+      { available: [availableOn(spotIn('b'), 8)] },
       [[spotIn('b'), 1]],
     ],
     [
-      'where all of it fits, though nothing can be rented there',
+      'the zone where all of it fits, although nothing can be rented there',
       [demand(4, { isGang: true, singleZone: true })],
       {
-        available: [free(spotIn('b'), 8)],
+        available: [availableOn(spotIn('b'), 8)],
         refusedOffers: new Set([offerKey(spotIn('b')), offerKey(onDemandIn('b'))]),
       },
       [],
     ],
     [
-      'not where nothing can be rented',
+      'not a zone where nothing can be rented',
       [gang({ singleZone: true, maxWait: NO_WAIT })],
       { refusedOffers: new Set([offerKey(spotIn('a')), offerKey(onDemandIn('a'))]) },
       [[spotIn('b'), 2]],
     ],
     [
-      'half in each of two',
+      'half in each of two zones',
       [gang({ spreadZones: true })],
       {},
       [
@@ -187,9 +226,9 @@
       ],
     ],
     [
-      'an array is not bound',
+      'the zone rule does not bind the plan for an array job',
       [demand(8, { singleZone: true })],
-      { available: [free(spotIn('a'), 8), free(spotIn('b'), 8)] },
+      { available: [availableOn(spotIn('a'), 8), availableOn(spotIn('b'), 8)] },
       [],
     ],
   ]);
--- a/test/unit/response-delivery-check.test.ts
+++ b/test/unit/response-delivery-check.test.ts
@@ -1,4 +1,8 @@
-/** Machines whose heartbeats arrive while nothing that is sent to them does. */
+/**
+ * Checks which machines count as not receiving: their heartbeats arrive, but the responses and commands sent to them do
+ * not. If such a machine goes undetected, its tasks stay assigned to it although its worker's lease runs out; if a single
+ * lost response is enough, working machines are deleted.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { workerLeaseEnd } from '../../src/fleet/worker-lease.js';
@@ -10,26 +14,31 @@
 
 const epoch = Epoch(50);
 const lease = seconds(24);
-const id = MachineId('vm-1');
+const machineId = MachineId('vm-1');
 
-/** A heartbeat: its session, the token that the worker has seen, whether it shows the task, when it arrives. */
-type Step = readonly [session: number, fencingToken: number, showsTask: boolean, atSecond: number];
+/** A heartbeat: its session, the token that the worker has seen, whether it lists the task, and its arrival time. */
+type HeartbeatStep = readonly [
+  session: number,
+  fencingToken: number,
+  listsTask: boolean,
+  atSecond: number,
+];
 
-/** Whether the machine counts as not receiving after these heartbeats. */
-function isNotReceiving(steps: readonly Step[], isStartSent: boolean): boolean {
+/** Whether the machine counts as not receiving after the heartbeats. */
+function isNotReceiving(steps: readonly HeartbeatStep[], isStartSent: boolean): boolean {
   const fleet = emptyFleet(lease);
-  const machine = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, '');
-  const { job, placement, key } = createPlacedTask(fleet, id, SteadyMs(0));
+  const machine = fleet.observe(machineId, { machineType: 'small', zone: 'a', spot: true }, '');
+  const { job, placement, key } = createPlacedTask(fleet, machineId, SteadyMs(0));
   if (isStartSent) placement.startSentInResponseTo = { session: 1, sequence: 0 };
   const check = new ResponseDeliveryCheck(epoch, new Map([[job.id, job]]), lease);
   const task: TaskStatus = { task: key, attempt: placement.attempt, state: 'fetching' };
-  for (const [i, [session, fencingToken, showsTask, atSecond]] of steps.entries()) {
+  for (const [i, [session, fencingToken, listsTask, atSecond]] of steps.entries()) {
     const now = SteadyMs(atSecond * 1000);
     const status = toWorkerStatus({
       session,
       sequence: i,
       fencingToken,
-      tasks: showsTask ? [task] : [],
+      tasks: listsTask ? [task] : [],
     });
     const previous = machine.status;
     assert.ok(machine.recordStatus(status, now));
@@ -39,10 +48,10 @@
   return machine.notReceivingSince !== undefined;
 }
 
-void test('which machines count as not receiving', () => {
-  const cases: [name: string, isStartSent: boolean, steps: Step[], expected: boolean][] = [
+void test('a machine counts as not receiving when its heartbeats show that responses were lost', () => {
+  const cases: [name: string, isStartSent: boolean, steps: HeartbeatStep[], expected: boolean][] = [
     [
-      'nothing was sent',
+      'no command was sent',
       false,
       [
         [1, 50, false, 0],
@@ -52,7 +61,7 @@
       false,
     ],
     [
-      'one reply without effect may have been lost',
+      'one response without effect may have been lost',
       true,
       [
         [1, 50, false, 0],
@@ -61,7 +70,7 @@
       false,
     ],
     [
-      'two replies in a row without effect',
+      'two successive responses without effect',
       true,
       [
         [1, 50, false, 0],
@@ -71,7 +80,7 @@
       true,
     ],
     [
-      'the start has arrived after all',
+      'the start arrives after all',
       true,
       [
         [1, 50, false, 0],
@@ -92,7 +101,7 @@
       true,
     ],
     [
-      'the worker has learnt the epoch at last',
+      'the worker learns the epoch late',
       false,
       [
         [1, 49, false, 0],
@@ -103,7 +112,7 @@
       false,
     ],
     [
-      'a new session while its lease should have lasted',
+      'a new session long before the lease should expire',
       false,
       [
         [1, 50, false, 0],
@@ -112,7 +121,7 @@
       true,
     ],
     [
-      'a new session when its lease was about to expire',
+      'a new session when the lease is about to expire',
       false,
       [
         [1, 50, false, 0],
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -32,12 +32,12 @@
   ];
   for (const [name, method, path, found, expected] of cases) {
     for (const lost of [false, true]) {
-      const { userRequests, loseAuthority, answer } = createLeaderRequestHandlers(found);
+      const { userRequests, loseAuthority, resolveLookup } = createLeaderRequestHandlers(found);
       const reply = userRequests.handle(method, path, body);
       await Promise.resolve();
       // The process stood still here, and another node has come to lead.
       if (lost) loseAuthority();
-      answer();
+      resolveLookup();
       const { status } = await reply;
       assert.equal(status, lost ? 503 : expected, name);
     }
