--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/anticipated-work.test.ts
@@ -1,6 +1,6 @@
 /**
- * Checks which submissions keep capacity on standby, how much, and for how long. Without the standby capacity, urgent
- * jobs wait for a boot; if it outlives the submissions that it is for, idle machines are paid for.
+ * Checks which submissions keep capacity on standby, how much, and for how long. Without the standby capacity,
+ * urgent jobs wait for a boot; if it outlives the submissions that it is for, idle machines are paid for.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/attempt-clearance.test.ts
+++ b/test/unit/attempt-clearance.test.ts
@@ -1,7 +1,7 @@
 /**
- * Checks when a worker may forget an attempt that has exited. If it forgets an attempt too early, a start command that
- * is still in flight, or a late duplicate of one, runs the task again. If it forgets a completion before the store has
- * it, the completion is lost.
+ * Checks when a worker may forget an attempt that has exited. If it forgets an attempt too early, a start command
+ * that is still in flight, or a late duplicate of one, runs the task again. If it forgets a completion before the
+ * store has it, the completion is lost.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -1,7 +1,7 @@
 /**
- * Checks the cloud calls of the autoscaler: their order, retries, backoff and end. A retry under a new request id after
- * a lost response would rent machines twice; calls that overlap or continue after the term would exceed the cloud's
- * rate or compete with those of the next leader.
+ * Checks the cloud calls of the autoscaler: their order, retries, backoff and end. A retry under a new request id
+ * after a lost response would rent machines twice; calls that overlap or continue after the term would exceed the
+ * cloud's rate or compete with those of the next leader.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -1,7 +1,7 @@
 /**
- * Checks the commands to workers, both direct commands and those in responses to heartbeats. Guards against a lease that
- * the controller extends although the worker's own lease has run out, against the start of an attempt that must stop,
- * and against direct commands that are sent too early, twice or not at all.
+ * Checks the commands to workers, both direct commands and those in responses to heartbeats. Guards against a lease
+ * that the controller extends although the worker's own lease has run out, against the start of an attempt that must
+ * stop, and against direct commands that are sent too early, twice or not at all.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/commit-queue.test.ts
+++ b/test/unit/commit-queue.test.ts
@@ -1,7 +1,7 @@
 /**
  * Checks which records are due to be written, in which order, and when waiters for a commit are resolved. Guards
- * against admissions that wait behind progress updates, against overlapping writes of one job, and against waiters that
- * are never resolved.
+ * against admissions that wait behind progress updates, against overlapping writes of one job, and against waiters
+ * that are never resolved.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/config.test.ts
+++ b/test/unit/config.test.ts
@@ -1,6 +1,7 @@
 /**
- * Checks the settings files of the platform and of operators, and the command line that names them. An error must name
- * the wrong field, so that an operator finds it, and no setting may let a cancelled task run for longer than allowed.
+ * Checks the settings files of the platform and of operators, and the command line that names them. An error must
+ * name the wrong field, so that an operator finds it, and no setting may let a cancelled task run for longer than
+ * allowed.
  */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -1,6 +1,7 @@
 /**
- * Checks when the term of a controller starts and ends. Guards against two controllers that both act as leader, against
- * a leader that gives up a term that it still holds, and against a lost response to the write of the leader key.
+ * Checks when the term of a controller starts and ends. Guards against two controllers that both act as leader,
+ * against a leader that gives up a term that it still holds, and against a lost response to the write of the leader
+ * key.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/eslint-rules.test.ts
+++ b/test/unit/eslint-rules.test.ts
@@ -1,6 +1,7 @@
 /**
- * Checks the lint rules of this project, `tools/eslint-rules.mjs`. A rule that misses a case lets names of the external
- * protocols or files without a comment at their head into the code; a rule that reports too much blocks valid code.
+ * Checks the lint rules of this project, `tools/eslint-rules.mjs`. A rule that misses a case lets names of the
+ * external protocols or files without a comment at their head into the code; a rule that reports too much blocks
+ * valid code.
  */
 import { resolve } from 'node:path';
 import { describe, it } from 'node:test';
--- a/test/unit/expiring-map.test.ts
+++ b/test/unit/expiring-map.test.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the map whose entries expire. If entries are evicted by number or outlive their time, the controller forgets
- * what it still needs, or its memory grows without bound.
+ * Checks the map whose entries expire. If entries are evicted by number or outlive their time, the controller
+ * forgets what it still needs, or its memory grows without bound.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/failure-backoff.test.ts
+++ b/test/unit/failure-backoff.test.ts
@@ -1,7 +1,7 @@
 /**
- * Checks the backoff of jobs and machines after failed tasks, as the statuses of machines report them. A job that keeps
- * failing on every machine must not grow a backoff or a quarantine that outlasts a minute, during which it and other
- * jobs would wait although resources are free.
+ * Checks the backoff of jobs and machines after failed tasks, as the statuses of machines report them. A job that
+ * keeps failing on every machine must not grow a backoff or a quarantine that outlasts a minute, during which it and
+ * other jobs would wait although resources are free.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -51,7 +51,10 @@
       ...job.avoidedMachines.values(),
     ];
     for (const until of backoffEnds) {
-      assert.ok(until <= latestAllowed, `failure ${i}: held until ${until} of ${latestAllowed}`);
+      assert.ok(
+        until <= latestAllowed,
+        `failure ${i}: delayed until ${until}, allowed until ${latestAllowed}`,
+      );
     }
     await time.run(time.now + 70_000);
   }
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -1,7 +1,7 @@
 /**
- * Checks what the controller knows of a machine: its newest status, its lease, its load, and which attempts are proven
- * absent. A late or duplicate message must not replace newer facts: if an attempt counts as absent too early, its task
- * runs twice.
+ * Checks what the controller knows of a machine: its newest status, its lease, its load, and which attempts are
+ * proven absent. A late or duplicate message must not replace newer facts: if an attempt counts as absent too early,
+ * its task runs twice.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/gang-lifecycle.test.ts
+++ b/test/unit/gang-lifecycle.test.ts
@@ -1,4 +1,8 @@
-/** The life cycle of gangs, and what is done about it. */
+/**
+ * Checks the phases of a gang and the action that each requires. Guards against a gang of which some tasks keep
+ * running after another was lost, against a checkpoint that starts too late to be saved before a reclaim, and
+ * against a gang that is run again although one of its tasks has completed.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -34,11 +38,11 @@
   reclaimIn: undefined,
   isReachable: true,
 };
-const gathering: GangTask = { ...running, isRunning: false };
-const placed: GangTask = { ...gathering, isReported: false };
-const leaving = (inMs: number): GangTask => ({ ...running, reclaimIn: ms(inMs) });
+const starting: GangTask = { ...running, isRunning: false };
+const placed: GangTask = { ...starting, isReported: false };
+const reclaimedIn = (inMs: number): GangTask => ({ ...running, reclaimIn: ms(inMs) });
 
-/** A gang of three tasks that takes three seconds to save a checkpoint. */
+/** Creates a gang of three tasks, each of which takes three seconds to save a checkpoint. */
 const gang = (tasks: readonly GangTask[], change: Partial<GangState> = {}): GangState => ({
   taskCount: 3,
   waitingCount: 3 - tasks.length,
@@ -48,64 +52,74 @@
   ...change,
 });
 
-void test('the phase of a gang and the action that follows from the states of its tasks', () => {
+void test('the states of its tasks determine the phase of a gang and the next action', () => {
   const cases: [name: string, state: GangState, phase: GangPhase, action: GangAction][] = [
     ['no task is placed', gang([]), 'waiting', 'none'],
-    ['not all reported', gang([placed, gathering, gathering]), 'placed', 'none'],
+    ['one task is not reported yet', gang([placed, starting, starting]), 'placed', 'none'],
     [
-      'one has not started, for want of its image',
-      gang([gathering, gathering, running]),
+      'two tasks do not run yet, because they lack the image',
+      gang([starting, starting, running]),
       'gathering',
       'none',
     ],
-    ['all run', gang([running, running, running]), 'running', 'none'],
-    ['lost a task before it ran', gang([gathering, placed]), 'stopping', 'endAttempt'],
-    ['lost a task while running', gang([running, running]), 'stopping', 'endAttempt'],
+    ['all tasks run', gang([running, running, running]), 'running', 'none'],
+    ['a task is lost before the gang runs', gang([starting, placed]), 'stopping', 'endAttempt'],
+    ['a task is lost while the gang runs', gang([running, running]), 'stopping', 'endAttempt'],
     [
-      'lost a task while saving',
+      'a task is lost while another saves its checkpoint',
       gang([{ ...running, isStopping: true }, running]),
       'stopping',
       'endAttempt',
     ],
-    ['being saved', gang([running, running, { ...running, isStopping: true }]), 'stopping', 'none'],
     [
-      'a machine is reclaimed much later',
-      gang([running, running, leaving(9000)]),
+      'a task is being stopped',
+      gang([running, running, { ...running, isStopping: true }]),
+      'stopping',
+      'none',
+    ],
+    [
+      'a machine is reclaimed in 9 s: too early to stop the gang',
+      gang([running, running, reclaimedIn(9000)]),
       'running',
       'none',
     ],
     [
-      'a machine is reclaimed soon',
-      gang([running, leaving(5500), running]),
+      'a machine is reclaimed in 5.5 s: just time for a checkpoint',
+      gang([running, reclaimedIn(5500), running]),
       'running',
       'saveAndStop',
     ],
-    ['too soon to save', gang([running, leaving(2500), running]), 'running', 'none'],
     [
-      'it has no checkpoints',
-      gang([running, leaving(5500), running], { checkpointTime: undefined }),
+      'a machine is reclaimed in 2.5 s: too late for a checkpoint',
+      gang([running, reclaimedIn(2500), running]),
+      'running',
+      'none',
+    ],
+    [
+      'a machine is reclaimed soon, but the gang has no checkpoints',
+      gang([running, reclaimedIn(5500), running], { checkpointTime: undefined }),
       'running',
       'none',
     ],
     [
-      'one machine can not be reached',
-      gang([leaving(5500), running, { ...running, isReachable: false }]),
+      'a machine is reclaimed soon, but another is unreachable',
+      gang([reclaimedIn(5500), running, { ...running, isReachable: false }]),
       'running',
       'none',
     ],
     [
-      'one is done, the others still count as running',
+      'one task is done while the others still count as running',
       gang([running, running], { doneCount: 1, waitingCount: 0 }),
       'done',
       'complete',
     ],
     [
-      'one is done, another is lost',
+      'one task is done, and another is lost',
       gang([running], { doneCount: 1, waitingCount: 1 }),
       'done',
       'complete',
     ],
-    ['all are done', gang([], { doneCount: 3, waitingCount: 0 }), 'done', 'none'],
+    ['all tasks are done', gang([], { doneCount: 3, waitingCount: 0 }), 'done', 'none'],
   ];
   for (const [name, state, phase, action] of cases) {
     assert.equal(phaseOf(state), phase, name);
@@ -113,7 +127,7 @@
   }
 });
 
-void test('when one task of a gang is done, all are, wherever the others were seen last', async () => {
+void test('when one task of a gang is done, the whole job is done, in whatever state the others were seen last', async () => {
   const job = new Job(
     JobId('run-000001'),
     jobSpec({ kind: 'ensemble', taskCount: 3 }),
@@ -137,12 +151,15 @@
     log: pino({ level: 'silent' }),
     events: { onCapacityChanged: () => undefined, onGangBroken: () => undefined },
   });
-  const unreachable = { canReach: () => false, schedulePush: () => assert.fail('stops a task') };
+  const unreachable = {
+    canReach: () => false,
+    schedulePush: () => assert.fail('a task was stopped'),
+  };
   const gangs = new GangController(placements, unreachable, clock);
   gangs.noteBroken(job);
   const wasFinishedAtOnce = job.isFinished;
   await time.run(1);
-  assert.equal(wasFinishedAtOnce, false, 'it is reviewed in a later turn');
+  assert.equal(wasFinishedAtOnce, false, 'the gang is reviewed in a later turn');
   assert.ok(job.isFinished && job.doneCount === 3);
   assert.equal(job.finalState().status, 'done');
 });
--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -1,4 +1,9 @@
-/** Heartbeats that a follower passes on to the leader. */
+/**
+ * Checks heartbeats that a follower relays to the leader. An unchanged heartbeat is sent as a reference to its
+ * baseline, so after a lost, repeated or late message, a restart of the worker or a failover, a wrong baseline would
+ * leave the leader with a state that the worker does not have. A response that comes too late makes workers try
+ * other controllers.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -50,7 +55,7 @@
 });
 const running = (task: string): TaskStatus => ({ task, attempt: 1, state: 'running' });
 
-/** What a leader knows of machines, without jobs. */
+/** The fleet of a leader without jobs, and its handler of heartbeats. */
 class LeaderState {
   readonly fleet: Fleet = emptyFleet(settings.workers.lease);
   readonly handler: HeartbeatHandler;
@@ -74,8 +79,8 @@
     });
   }
 
-  /** The state of all machines, without what depends on the way by which it was received. */
-  contents(): unknown {
+  /** The state of all machines, except what depends on how it was received. */
+  machineStates(): unknown {
     return [...this.fleet.machines.values()].map((machine) => ({
       id: machine.id,
       session: machine.status?.session,
@@ -94,20 +99,20 @@
   }
 }
 
-/** A request with the heartbeats that it stands for. */
+/** A delivered request with the full heartbeats that it represents. */
 interface Message {
   readonly request: PeerRequest;
-  readonly meant: readonly Heartbeat[];
+  readonly fullHeartbeats: readonly Heartbeat[];
 }
 
 type Fault = 'none' | 'requestLost' | 'responseLost' | 'deliveredTwice';
 
-/** A leader behind links that lose and repeat messages, beside one that receives every heartbeat in full. */
+/** A leader behind links that lose and repeat messages, and a reference that receives each heartbeat in full. */
 class Leader {
   relayed: LeaderState;
   full: LeaderState;
   fault: Fault = 'none';
-  /** How many heartbeats were accepted by reference. */
+  /** The number of heartbeats that were accepted by reference. */
   unchanged = 0;
   private readonly delivered: Message[] = [];
 
@@ -122,8 +127,8 @@
     this.full = new LeaderState(epoch, this.clock);
   }
 
-  /** `meant`: the heartbeat that those of a request stand for, in whatever form they are sent. */
-  peer(meant: () => Heartbeat): Peer {
+  /** `currentHeartbeat` returns in full the heartbeat that the request under way carries, in whichever form. */
+  peer(currentHeartbeat: () => Heartbeat): Peer {
     return {
       responsive: true,
       request: async (request) => {
@@ -132,7 +137,10 @@
         if (fault === 'requestLost') return undefined;
         assert.ok(request.type === 'workerHeartbeats');
         const copy = decodeRequest(encodeRequest(1, request)).message;
-        const message = { request: copy, meant: request.heartbeats.map(() => meant()) };
+        const message = {
+          request: copy,
+          fullHeartbeats: request.heartbeats.map(() => currentHeartbeat()),
+        };
         this.delivered.push(message);
         let response = this.deliver(message);
         if (fault === 'deliveredTwice') response = this.deliver(message);
@@ -142,17 +150,17 @@
     };
   }
 
-  /** A message that was delivered before arrives once more, however late. */
+  /** Delivers an earlier message again, however late. */
   deliverAgain(n: number): void {
     const message = this.delivered[n % Math.max(1, this.delivered.length)];
     if (message) this.deliver(message);
   }
 
-  private deliver({ request, meant }: Message): PeerResponse {
+  private deliver({ request, fullHeartbeats }: Message): PeerResponse {
     assert.ok(request.type === 'workerHeartbeats');
     const responses = request.heartbeats.map((relayed, i): HeartbeatResponse => {
       const response = this.handle(request.epoch, relayed);
-      const heartbeat = meant[i];
+      const heartbeat = fullHeartbeats[i];
       assert.ok(heartbeat);
       if (response.outcome === 'accepted') this.full.handler.handleDirect(heartbeat);
       return response;
@@ -163,13 +171,18 @@
   }
 
   private handle(epoch: number, relayed: RelayedHeartbeat): HeartbeatResponse {
-    const node = NodeId('node-1');
+    const relayControllerId = NodeId('node-1');
     if (relayed.kind === 'full') {
-      const { response, baseline } = this.relayed.handler.handleRelayed(relayed.heartbeat, node);
+      const { response, baseline } = this.relayed.handler.handleRelayed(
+        relayed.heartbeat,
+        relayControllerId,
+      );
       return { outcome: 'accepted', baseline, commands: response.commands };
     }
     const isKnown = epoch === this.relayed.epoch;
-    const reply = isKnown ? this.relayed.handler.handleUnchanged(relayed, node) : undefined;
+    const reply = isKnown
+      ? this.relayed.handler.handleUnchanged(relayed, relayControllerId)
+      : undefined;
     if (!reply) return { outcome: 'baselineUnknown', baseline: 0, commands: [] };
     this.unchanged++;
     return { outcome: 'accepted', baseline: relayed.unchangedSince, commands: reply.commands };
@@ -217,7 +230,7 @@
   { maxLength: 60, size: 'max' },
 );
 
-/** Three machines that report to a leader through two relays. */
+/** Three machines that send heartbeats to a leader through two relays. */
 class Cluster {
   readonly time = new VirtualTime();
   readonly leader: Leader;
@@ -256,7 +269,7 @@
         this.leader.deliverAgain(step.which);
         return;
       case 'command':
-        this.answerCommand(step.machine);
+        this.respondToCommand(step.machine);
         return;
       case 'restart':
         this.change(step.machine, { session: 1, sequence: 0, tasks: [] });
@@ -268,24 +281,24 @@
     }
   }
 
-  /** A machine's status changes; so does its sequence number, unless it is given. */
+  /** Changes a machine's heartbeat. Its sequence number rises by one unless `change` sets it. */
   private change(n: number, change: Partial<Heartbeat>): Heartbeat {
-    const before = this.machines[n] ?? heartbeatOf(`vm-${n}`);
-    return (this.machines[n] = { ...before, sequence: before.sequence + 1, ...change });
+    const previous = this.machines[n] ?? heartbeatOf(`vm-${n}`);
+    return (this.machines[n] = { ...previous, sequence: previous.sequence + 1, ...change });
   }
 
-  /** The leader learns of a machine by its answer to a command. */
-  private answerCommand(n: number): void {
-    const answer = this.change(n, { tasks: [running('run-000002/0')] });
+  /** The leader receives a machine's status in the response to a direct command. */
+  private respondToCommand(n: number): void {
+    const response = this.change(n, { tasks: [running('run-000002/0')] });
     for (const { fleet } of [this.leader.relayed, this.leader.full]) {
       fleet.machines
-        .get(MachineId(answer.machine))
-        ?.recordStatus(toWorkerStatus(answer), this.clock.steady());
+        .get(MachineId(response.machine))
+        ?.recordStatus(toWorkerStatus(response), this.clock.steady());
     }
   }
 }
 
-void test('relayed heartbeats leave the same state as full ones, whatever is lost, repeated or late', async () => {
+void test('relayed heartbeats leave the same state as full ones, whichever messages are lost, repeated or late', async () => {
   let unchanged = 0;
   await fc.assert(
     fc.asyncProperty(steps, async (list) => {
@@ -294,7 +307,7 @@
       for (const step of list) {
         cluster.apply(step);
         await time.run(time.now + 400);
-        assert.deepEqual(leader.relayed.contents(), leader.full.contents());
+        assert.deepEqual(leader.relayed.machineStates(), leader.full.machineStates());
       }
       unchanged += leader.unchanged;
     }),
@@ -303,7 +316,7 @@
   assert.ok(unchanged > 100, `${unchanged} heartbeats were accepted by reference`);
 });
 
-void test('batches shrink where the leader is slow and grow where it is fast, within bounds', () => {
+void test('batches shrink while the leader is slow and grow while it is fast, within limits', () => {
   const cases: [size: number, responseTimeMs: number, next: number][] = [
     [40, 1500, 20],
     [12, 2500, 10],
@@ -318,12 +331,12 @@
   }
 });
 
-void test('which heartbeats count as unchanged', () => {
+void test('a heartbeat counts as unchanged if only its sequence number and token differ', () => {
   const tasks = [running('run-000001/0')];
-  const cases: [name: string, change: Partial<Heartbeat>, same: boolean][] = [
+  const cases: [name: string, change: Partial<Heartbeat>, isSame: boolean][] = [
     ['a later heartbeat', { sequence: 9, fencingToken: 4 }, true],
-    ['no notice, in the other form', { reclaimNoticeSeconds: undefined }, true],
-    ['a notice', { reclaimNoticeSeconds: 20 }, false],
+    ['an undefined reclaim notice instead of null', { reclaimNoticeSeconds: undefined }, true],
+    ['a reclaim notice', { reclaimNoticeSeconds: 20 }, false],
     ['another session', { session: 2 }, false],
     ['another address', { address: '10.1.0.2:9000' }, false],
     ['one task fewer', { tasks: [] }, false],
@@ -331,38 +344,61 @@
     ['another state', { tasks: [{ ...running('run-000001/0'), state: 'exited' }] }, false],
     ['an exit reason', { tasks: [{ ...running('run-000001/0'), exitReason: 'done' }] }, false],
   ];
-  for (const [name, change, same] of cases) {
+  for (const [name, change, isSame] of cases) {
     const first = heartbeatOf('vm-1', { tasks });
-    assert.equal(isUnchanged(first, { ...first, ...change }), same, name);
+    assert.equal(isUnchanged(first, { ...first, ...change }), isSame, name);
   }
 });
 
-void test('a heartbeat is answered by the leader, or not at all, in time for its worker', async () => {
-  type Answers = (PeerResponse | undefined)[];
-  const answered = (outcome: HeartbeatResponse['outcome']): PeerResponse => ({
+void test('a relayed heartbeat gets the response of the leader or none, before its worker gives up', async () => {
+  type LeaderResponses = (PeerResponse | undefined)[];
+  const leaderResponse = (outcome: HeartbeatResponse['outcome']): PeerResponse => ({
     type: 'heartbeatResponses',
     epoch: 5,
     responses: [{ outcome, baseline: 1, commands: [] }],
   });
-  const cases: [name: string, leaderAfter: number, answers: Answers, reply: boolean][] = [
-    ['a leader that is known', 0, [answered('accepted')], true],
-    ['a leader appears', 1000, [answered('accepted')], true],
-    ['none appears', 60_000, [], false],
-    ['one that may not answer yet', 0, [answered('refused'), answered('accepted')], true],
-    ['one that may never answer', 0, Array.from({ length: 99 }, () => answered('refused')), false],
-    ['one that needs it in full', 0, [answered('baselineUnknown'), answered('accepted')], true],
-    ['no response', 0, [undefined], false],
+  const cases: [
+    name: string,
+    leaderKnownAfterMs: number,
+    leaderResponses: LeaderResponses,
+    hasReply: boolean,
+  ][] = [
+    ['the leader is known', 0, [leaderResponse('accepted')], true],
+    ['a leader becomes known', 1000, [leaderResponse('accepted')], true],
+    ['no leader becomes known', 60_000, [], false],
+    [
+      'the leader refuses at first',
+      0,
+      [leaderResponse('refused'), leaderResponse('accepted')],
+      true,
+    ],
+    [
+      'the leader always refuses',
+      0,
+      Array.from({ length: 99 }, () => leaderResponse('refused')),
+      false,
+    ],
+    [
+      'the leader does not know the baseline',
+      0,
+      [leaderResponse('baselineUnknown'), leaderResponse('accepted')],
+      true,
+    ],
+    ['the leader does not respond', 0, [undefined], false],
   ];
-  for (const [name, leaderAfter, answers, expected] of cases) {
+  for (const [name, leaderKnownAfterMs, leaderResponses, hasReply] of cases) {
     const time = new VirtualTime();
     const clock = new ProcessClock(time, 0, 0);
-    const peer: Peer = { responsive: true, request: () => Promise.resolve(answers.shift()) };
-    const leaderPeer = (): Peer | undefined => (time.now >= leaderAfter ? peer : undefined);
+    const peer: Peer = {
+      responsive: true,
+      request: () => Promise.resolve(leaderResponses.shift()),
+    };
+    const leaderPeer = (): Peer | undefined => (time.now >= leaderKnownAfterMs ? peer : undefined);
     const relay = new HeartbeatRelay({ node: NodeId('node-1'), clock, log, leaderPeer });
     let reply: HeartbeatReply | 'none' | undefined;
     void relay.send(heartbeatOf('vm-1'), 200).then((received) => (reply = received ?? 'none'));
     await time.run(ms(3500));
-    assert.equal(reply !== 'none', expected, name);
-    assert.ok(reply !== undefined, `${name}: within the time that a worker waits`);
+    assert.equal(reply !== 'none', hasReply, name);
+    assert.ok(reply !== undefined, `${name}: settled before the worker gives up`);
   }
 });
--- a/test/unit/index-ranges.test.ts
+++ b/test/unit/index-ranges.test.ts
@@ -1,4 +1,7 @@
-/** Sets of task indexes against sets of numbers. */
+/**
+ * Compares sets of task indexes, which are stored as ranges, with plain sets of numbers. A wrong split or merge of
+ * ranges would lose a task or place it twice.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -6,10 +9,10 @@
 
 const seed = 20260312;
 
-void test('ranges behave like a set of numbers', () => {
-  const drawn = fc.array(fc.tuple(fc.boolean(), fc.nat(40)), { maxLength: 120 });
+void test('index ranges hold the same indexes as a set of numbers after the same changes', () => {
+  const changesArbitrary = fc.array(fc.tuple(fc.boolean(), fc.nat(40)), { maxLength: 120 });
   fc.assert(
-    fc.property(drawn, (changes) => {
+    fc.property(changesArbitrary, (changes) => {
       const ranges = IndexRanges.of([[0, 20]]);
       const set = new Set(Array.from({ length: 20 }, (_, i) => i));
       for (const [isAdded, i] of changes) {
--- a/test/unit/job-codec.test.ts
+++ b/test/unit/job-codec.test.ts
@@ -1,4 +1,8 @@
-/** Live records in format 1: what they keep, how large they get, one that replaces another, damaged ones. */
+/**
+ * Checks live records in format 1: what they keep, how large they get, how a record from the store replaces the job
+ * in memory, and damaged records. A lost field or a record above the size limit of the store would lose accepted
+ * work; a damaged record that is read as valid could end a job whose tasks did not run.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -14,18 +18,18 @@
 const now = SteadyMs(0);
 const id = JobId('run-000001');
 
-const machineOf: PlacementRules['machineFor'] = (pick) => MachineId(`vm-${100000 + (pick % 28)}`);
+const machineFor: PlacementRules['machineFor'] = (pick) => MachineId(`vm-${100000 + (pick % 28)}`);
 
-const drawnMoves = fc.array(fc.tuple(fc.nat(2), fc.nat(1000)), { maxLength: 200 });
+const changesArbitrary = fc.array(fc.tuple(fc.nat(2), fc.nat(1000)), { maxLength: 200 });
 
 const placedTasks = (job: Job): unknown[] =>
   [...job.placements].map(([index, { machine, attempt }]) => [index, machine, attempt]).sort();
 
-void test('a job is the same after it was encoded and decoded', () => {
+void test('a job is the same after it is encoded and decoded', () => {
   fc.assert(
-    fc.property(drawnMoves, fc.boolean(), (moves, isCancelled) => {
+    fc.property(changesArbitrary, fc.boolean(), (changes, isCancelled) => {
       const job = new Job(id, jobSpec({ taskCount: 60 }), WallMs(5), Revision(7));
-      applyJobChanges(job, moves, { maxOpenTasks: 60, maxBatchSize: 7, machineFor: machineOf });
+      applyJobChanges(job, changes, { maxOpenTasks: 60, maxBatchSize: 7, machineFor });
       if (isCancelled) job.cancel();
       const restored = decodeJob(
         id,
@@ -43,21 +47,21 @@
   );
 });
 
-void test('a record of 100,000 tasks stays within the size of a value', () => {
+void test('the record of a job of 100,000 tasks stays within the size limit of a value', () => {
   const wide = jobSpec({ taskCount: 100_000, image: 'x'.repeat(120), jobClass: 'y'.repeat(120) });
   const maxOpen = maxOpenTasksInV1(wide, 8192);
   assert.ok(maxOpen > 50, `only ${maxOpen} tasks at once`);
-  const manyMoves = fc.array(fc.tuple(fc.constantFrom(0, 0, 1, 2), fc.nat(100_000)), {
+  const manyChangesArbitrary = fc.array(fc.tuple(fc.constantFrom(0, 0, 1, 2), fc.nat(100_000)), {
     minLength: 400,
     maxLength: 900,
   });
   fc.assert(
-    fc.property(manyMoves, (moves) => {
+    fc.property(manyChangesArbitrary, (changes) => {
       const job = new Job(id, wide, WallMs(Date.UTC(2026, 0)), Revision(123456));
-      applyJobChanges(job, moves, {
+      applyJobChanges(job, changes, {
         maxOpenTasks: maxOpen,
         maxBatchSize: 7,
-        machineFor: machineOf,
+        machineFor,
       });
       assert.ok(encodedSize(encodeJob(job, Epoch(123456))) <= 8192);
     }),
@@ -65,31 +69,33 @@
   );
 });
 
-void test('a record that replaces ours keeps what is known of the attempts that both name', () => {
+void test('a job that is read from the store inherits what is known of attempts that it shares with the job in memory', () => {
   const machine = MachineId('vm-000001');
   const otherMachine = MachineId('vm-000002');
-  const ours = new Job(id, jobSpec({ taskCount: 4 }), WallMs(5), Revision(7));
-  ours.placeTasks([{ index: 0, machine }], now);
-  const late = decodeJob(id, encodeJob(ours, Epoch(3)), Revision(8), now);
-  const first = ours.placements.get(0);
+  const known = new Job(id, jobSpec({ taskCount: 4 }), WallMs(5), Revision(7));
+  known.placeTasks([{ index: 0, machine }], now);
+  const replacement = decodeJob(id, encodeJob(known, Epoch(3)), Revision(8), now);
+  const first = known.placements.get(0);
   assert.ok(first);
   first.startSentInResponseTo = { session: 1, sequence: 9 };
-  // A later write of ours, which ended in a conflict with the late one.
-  ours.placeTasks([{ index: 1, machine: otherMachine }], now);
-  const usedVersion = ours.version;
-  late.inheritFrom(ours);
-  const kept = late.placements.get(0);
+  // The write of this later placement failed because of a conflict with the replacement.
+  known.placeTasks([{ index: 1, machine: otherMachine }], now);
+  const usedVersion = known.version;
+  replacement.inheritFrom(known);
+  const placement = replacement.placements.get(0);
   assert.deepEqual(
-    [kept?.startSentInResponseTo, kept?.isInherited],
+    [placement?.startSentInResponseTo, placement?.isInherited],
     [{ session: 1, sequence: 9 }, false],
   );
-  assert.equal(late.placements.has(1), false);
-  assert.ok(late.version > usedVersion && late.committedVersion === late.version);
-  late.placeTasks([{ index: 1, machine }], now);
-  assert.equal(late.placements.get(1)?.attempt, 3, 'no attempt number is used twice');
+  assert.equal(replacement.placements.has(1), false);
+  assert.ok(
+    replacement.version > usedVersion && replacement.committedVersion === replacement.version,
+  );
+  replacement.placeTasks([{ index: 1, machine }], now);
+  assert.equal(replacement.placements.get(1)?.attempt, 3, 'no attempt number is used twice');
 });
 
-void test('damaged records are refused rather than read as finished work', () => {
+void test('damaged records are refused instead of being read as finished tasks', () => {
   const job = new Job(id, jobSpec({ taskCount: 8 }), WallMs(5), Revision(7));
   job.placeTasks([{ index: 0, machine: MachineId('vm-000001') }], now);
   const record = encodeJob(job, Epoch(3));
@@ -98,8 +104,8 @@
     ['a placement is missing', { ...record, p: [] }],
     ['a task is in two states', { ...record, w: [[0, 8]] }],
     ['a placement names no machine', { ...record, m: [] }],
-    ['a later format', { ...record, f: 3 }],
-    ['no record', 'x'],
+    ['a format of a later version', { ...record, f: 3 }],
+    ['a value that is not a record', 'x'],
   ];
   for (const [name, data] of cases) {
     assert.throws(() => decodeJob(id, data, Revision(1), now), RecordError, name);
--- a/test/unit/machine-catalog.test.ts
+++ b/test/unit/machine-catalog.test.ts
@@ -1,4 +1,8 @@
-/** The catalog of machine types: which changes are worth storing, and what is restored. */
+/**
+ * Checks the catalog of machine types: which changes are stored, and what is restored. If a change is not stored, a
+ * controller that starts while the cloud is unavailable checks submissions by outdated types; if each new price is
+ * stored, writes are wasted.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
@@ -18,8 +22,8 @@
 };
 const LARGE: MachineType = { ...SMALL, name: 'large', cpus: 32 };
 
-void test('an update reports a change of the machine types, but not of their prices alone', () => {
-  const cases: [name: string, update: MachineType[], changed: boolean][] = [
+void test('an update reports a change of the machine types, but not a change of prices alone', () => {
+  const cases: [name: string, update: MachineType[], isChange: boolean][] = [
     ['the same types', [SMALL, LARGE], false],
     ['another on-demand price', [{ ...SMALL, onDemandPrice: 0.5 }, LARGE], false],
     ['another spot price', [SMALL, { ...LARGE, spotPrice: 0.1 }], false],
@@ -28,12 +32,12 @@
       [SMALL, LARGE].map((type) => ({ ...type, onDemandPrice: 1, spotPrice: 1 })),
       false,
     ],
-    ['a type more', [SMALL, LARGE, { ...SMALL, name: 'medium' }], true],
-    ['a type less', [SMALL], true],
-    ['no types any more', [], true],
-    ['a type of another name', [SMALL, { ...LARGE, name: 'huge' }], true],
+    ['an additional type', [SMALL, LARGE, { ...SMALL, name: 'medium' }], true],
+    ['a removed type', [SMALL], true],
+    ['no types', [], true],
+    ['a renamed type', [SMALL, { ...LARGE, name: 'huge' }], true],
     ['more cpus', [{ ...SMALL, cpus: 9 }, LARGE], true],
-    ['gpus', [{ ...SMALL, gpus: 1 }, LARGE], true],
+    ['additional gpus', [{ ...SMALL, gpus: 1 }, LARGE], true],
     ['less memory', [{ ...SMALL, memoryGb: 16 }, LARGE], true],
     ['a larger cache', [{ ...SMALL, cacheGb: 40 }, LARGE], true],
     ['a slower network', [{ ...SMALL, fetchGbPerSecond: 0.1 }, LARGE], true],
@@ -41,15 +45,15 @@
     ['another zone', [{ ...SMALL, zones: ['a', 'c'] }, LARGE], true],
     ['a price and a zone', [{ ...SMALL, spotPrice: 0.1, zones: ['a'] }, LARGE], true],
   ];
-  for (const [name, update, changed] of cases) {
+  for (const [name, update, isChange] of cases) {
     const catalog = new MachineCatalog();
     assert.equal(catalog.update([SMALL, LARGE]), true, 'the first types are a change');
-    assert.equal(catalog.update(update), changed, name);
-    assert.deepEqual(catalog.all(), update, `${name}: it is taken in whatever it changes`);
+    assert.equal(catalog.update(update), isChange, name);
+    assert.deepEqual(catalog.all(), update, `${name}: the update is applied whatever it changes`);
   }
 });
 
-void test('stored machine types are restored as they were, unless newer ones are known', () => {
+void test('stored machine types are restored unless newer ones are known', () => {
   const writer = new MachineCatalog();
   writer.update([SMALL, LARGE]);
   const stored = writer.encode();
--- a/test/unit/peer.test.ts
+++ b/test/unit/peer.test.ts
@@ -1,4 +1,8 @@
-/** The channel between controllers: messages, links and the server. */
+/**
+ * Checks the channel between controllers: its messages, the link and the server. Guards against messages that are
+ * decoded to something else, against an unreadable message that floods the log or blocks other peers, and against a
+ * slow peer that counts as gone or a dead one that counts as responsive.
+ */
 import assert from 'node:assert/strict';
 import net, { type AddressInfo } from 'node:net';
 import { test } from 'node:test';
@@ -88,71 +92,71 @@
   { type: 'commandResult', outcome: 'unknown', reason: 'no answer in time', heartbeat: null },
 ];
 
-/** A value without the classes of decoded records. */
-const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+/** Converts a value to plain objects, without the classes of decoded records. */
+const toPlain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-void test('messages between nodes are decoded as they were encoded, and anything else is refused', () => {
+void test('messages between controllers are decoded as they were encoded, and other data is refused', () => {
   for (const request of requests) {
     const bytes = encodeRequest(7, request);
-    assert.deepEqual(plain(decodeRequest(bytes)), plain({ id: 7, message: request }));
+    assert.deepEqual(toPlain(decodeRequest(bytes)), toPlain({ id: 7, message: request }));
     assert.throws(() => decodeResponse(bytes), request.type);
     assert.throws(() => decodeRequest(bytes.subarray(0, -1)), request.type);
   }
   for (const response of responses) {
     const bytes = encodeResponse(7, response);
-    assert.deepEqual(plain(decodeResponse(bytes)), plain({ id: 7, message: response }));
+    assert.deepEqual(toPlain(decodeResponse(bytes)), toPlain({ id: 7, message: response }));
     assert.throws(() => decodeRequest(bytes), response.type);
   }
   assert.throws(() => decodeRequest(Buffer.from('another version')));
 });
 
-const listening = (server: net.Server): Promise<Endpoint> =>
+const listen = (server: net.Server): Promise<Endpoint> =>
   new Promise((resolve) => {
     server.listen(0, '127.0.0.1', () => {
       resolve(Endpoint(`127.0.0.1:${(server.address() as AddressInfo).port}`));
     });
   });
 
-void test('a peer that sends an unreadable message is disconnected, and logged once', async () => {
+void test('a peer that sends an unreadable message is disconnected, and repeats are not logged', async () => {
   const logged: string[] = [];
   const log = pino({ level: 'warn' }, { write: (line) => logged.push(line) });
   const server = servePeers(() => Promise.resolve({ type: 'acknowledged', ok: true }), log);
-  const endpoint = await listening(server);
+  const endpoint = await listen(server);
   const port = Number(endpoint.split(':')[1]);
   for (let i = 0; i < 2; i++) {
-    const stranger = net.connect(port, '127.0.0.1');
-    stranger.write(Buffer.from([0, 0, 0, 3, 9, 9, 9]));
-    stranger.on('error', () => undefined);
-    await new Promise((resolve) => stranger.on('close', resolve));
+    const invalidPeer = net.connect(port, '127.0.0.1');
+    invalidPeer.write(Buffer.from([0, 0, 0, 3, 9, 9, 9]));
+    invalidPeer.on('error', () => undefined);
+    await new Promise((resolve) => invalidPeer.on('close', resolve));
   }
   assert.equal(logged.length, 1);
   const link = new PeerLink(endpoint, systemClock, log);
   try {
     const response = await link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
-    assert.deepEqual(plain(response), { type: 'acknowledged', ok: true });
+    assert.deepEqual(toPlain(response), { type: 'acknowledged', ok: true });
   } finally {
     link.close();
     server.close();
   }
 });
 
-void test('a peer that answers late counts as responsive; one that answers nothing for long does not', async () => {
+void test('a peer that responds late counts as responsive, and one that has not responded for long does not', async () => {
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const log = pino({ level: 'silent' });
-  const answers: (() => void)[] = [];
-  let noteArrival = (): void => undefined;
-  const arrival = new Promise<void>((resolve) => (noteArrival = resolve));
+  const pendingResponses: (() => void)[] = [];
+  let onArrival = (): void => undefined;
+  const firstArrival = new Promise<void>((resolve) => (onArrival = resolve));
   const server = servePeers(async () => {
-    const answered = new Promise<void>((resolve) => answers.push(resolve));
-    noteArrival();
-    await answered;
+    const responseDue = new Promise<void>((resolve) => pendingResponses.push(resolve));
+    onArrival();
+    await responseDue;
     return { type: 'acknowledged', ok: true };
   }, log);
-  const link = new PeerLink(await listening(server), clock, log);
+  const link = new PeerLink(await listen(server), clock, log);
   try {
     const first = link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
-    await arrival;
+    await firstArrival;
     assert.ok(link.responsive, 'a request has just been sent');
     const second = link.request({ type: 'peerHeartbeat', status }, ms(800));
     await time.run(time.now + 900);
@@ -160,8 +164,8 @@
     assert.ok(link.responsive, 'a response is late');
     await time.run(time.now + 2000);
     assert.ok(!link.responsive, 'no response for long');
-    for (const answer of answers) answer();
-    assert.deepEqual(plain(await first), { type: 'acknowledged', ok: true });
+    for (const sendResponse of pendingResponses) sendResponse();
+    assert.deepEqual(toPlain(await first), { type: 'acknowledged', ok: true });
     assert.ok(link.responsive, 'a response has arrived');
   } finally {
     link.close();
--- a/test/unit/placer.test.ts
+++ b/test/unit/placer.test.ts
@@ -1,4 +1,8 @@
-/** Where the placer puts tasks: cases of each rule, and limits that hold for all inputs. */
+/**
+ * Checks where the placer puts tasks: cases of each rule, and constraints that hold for all inputs. A wrong
+ * placement exceeds a machine or a quota, violates a constraint of a job, or leaves a large task or a gang waiting
+ * while smaller tasks take each gap.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -60,11 +64,11 @@
   ...change,
 });
 
-void test('capacity kept for large tasks and urgent work: who may use it, and how much', () => {
-  const big: Resources = { cpus: 32, gpus: 0, memoryGb: 64 };
-  const half: Resources = { cpus: 16, gpus: 0, memoryGb: 64 };
-  const large = request('l', 1, { resources: { cpus: 24, gpus: 0, memoryGb: 1 }, rank: 1 });
-  const halfFull = [machine('m1', { capacity: big, free: half })];
+void test('capacity reserved for large tasks or urgent work stays free, except for one task of a job that waited too long', () => {
+  const largeCapacity: Resources = { cpus: 32, gpus: 0, memoryGb: 64 };
+  const halfOfCapacity: Resources = { cpus: 16, gpus: 0, memoryGb: 64 };
+  const largeTask = request('l', 1, { resources: { cpus: 24, gpus: 0, memoryGb: 1 }, rank: 1 });
+  const halfFullMachine = [machine('m1', { capacity: largeCapacity, free: halfOfCapacity })];
   const reserved = new Map([['img', 64]]);
   const quota = new Map([['t', { cpus: 20, gpus: 0 }]]);
   const none = new Map<string, never>();
@@ -75,31 +79,31 @@
     ImageReserve,
     number,
   ][] = [
-    ['a large task reserves its machine', [large, request('j', 4)], none, none, 0],
+    ['a large task reserves a machine', [largeTask, request('j', 4)], none, none, 0],
     [
-      'a job that waited too long begins there all the same',
-      [large, request('j', 4, { mustStart: true })],
+      'a job that waited too long starts there with one task',
+      [largeTask, request('j', 4, { mustStart: true })],
       none,
       none,
       1,
     ],
     [
-      'but not if the large task is starved itself',
-      [{ ...large, rank: -1 }, request('j', 4, { mustStart: true })],
+      'a job that waited too long does not start there if the large task is starved',
+      [{ ...largeTask, rank: -1 }, request('j', 4, { mustStart: true })],
       none,
       none,
       0,
     ],
     [
       'a task beyond the quota of its team reserves nothing',
-      [large, request('j', 4)],
+      [largeTask, request('j', 4)],
       quota,
       none,
       4,
     ],
     ['the reserve for urgent work stays free', [request('j', 4)], none, reserved, 0],
     [
-      'a job that waited too long begins in the reserve',
+      'a job that waited too long starts in the reserve with one task',
       [request('j', 4, { mustStart: true })],
       none,
       reserved,
@@ -107,73 +111,73 @@
     ],
   ];
   for (const [name, requests, teams, reserve, placed] of cases) {
-    const machines = reserve.size > 0 ? [machine('m1', { images: ['img'] })] : halfFull;
-    // `place` changes the quotas that it is given.
+    const machines = reserve.size > 0 ? [machine('m1', { images: ['img'] })] : halfFullMachine;
+    // `placeTasks` changes the quotas that it is given.
     const quotas = new Map([...teams].map(([team, quota]) => [team, { ...quota }]));
     const input = { requests, machines, quotas, maxAssignments: 100, reserve };
     assert.equal(placeTasks(input).length, placed, name);
   }
 });
 
-void test('a task goes to the best of the machines it may use', () => {
-  const big: Resources = { cpus: 32, gpus: 0, memoryGb: 64 };
+void test('a task goes to the best of the machines that it may use', () => {
+  const largeCapacity: Resources = { cpus: 32, gpus: 0, memoryGb: 64 };
   const cases: [string, TaskRequest, CandidateMachine[], string | undefined][] = [
     [
-      'the holder of its image',
+      'a machine that has its image',
       request('j', 1),
       [machine('m1'), machine('m2', { images: ['img'] })],
       'm2',
     ],
     [
-      'else the freest',
+      'otherwise the machine with the most free CPUs',
       request('j', 1),
       [machine('m1', { free: { cpus: 4, gpus: 0, memoryGb: 32 } }), machine('m2')],
       'm2',
     ],
     [
-      'the smaller type',
+      'a machine of the smaller type',
       request('j', 1),
-      [machine('m1', { capacity: big, free: big }), machine('m2')],
+      [machine('m1', { capacity: largeCapacity, free: largeCapacity }), machine('m2')],
       'm2',
     ],
     [
-      'only an allowed type',
+      'only a machine of an allowed type',
       request('j', 1, { machineTypes: ['fat'] }),
       [machine('m1'), machine('m2', { machineType: 'fat' })],
       'm2',
     ],
     [
-      'only the allowed zone',
+      'only a machine in the required zone',
       request('j', 1, { requiredZone: 'b' }),
       [machine('m1'), machine('m2', { zone: 'b' })],
       'm2',
     ],
     [
-      'no spot machine',
+      'no spot machine unless allowed',
       request('j', 1, { allowSpot: false }),
       [machine('m1'), machine('m2', { spot: false })],
       'm2',
     ],
     [
-      'not where it failed',
+      'not a machine that the job avoids',
       request('j', 1, { avoidedMachines: new Set([MachineId('m1')]) }),
       [machine('m1'), machine('m2')],
       'm2',
     ],
     [
-      'its zone',
+      'a machine in the zone to which the job is bound',
       request('j', 1, { singleZone: true, boundZone: 'b' }),
       [machine('m1'), machine('m2', { zone: 'b' })],
       'm2',
     ],
     [
-      'not too many in a zone',
+      'no machine if its zone has the maximum of tasks',
       request('j', 1, { maxPerZone: 1, placedByZone: new Map([['a', 1]]) }),
       [machine('m1')],
       undefined,
     ],
     [
-      'nowhere without capacity',
+      'no machine if none has the capacity',
       request('j', 1, { resources: { cpus: 16, gpus: 0, memoryGb: 1 } }),
       [machine('m1')],
       undefined,
@@ -190,7 +194,7 @@
   }
 });
 
-void test('a gang is placed whole or not at all, and leaves the capacity to others', () => {
+void test('a gang is placed as a whole or not at all, and then leaves the capacity to other jobs', () => {
   const gang = request('g', 5, { isGang: true });
   const other = request('o', 4);
   const quotas = new Map<string, RemainingQuota>();
@@ -208,8 +212,8 @@
   assert.equal(placeTasks({ requests: [gang], machines, quotas, maxAssignments: 10 }).length, 5);
 });
 
-void test('a gang that must be in one zone goes where all of it fits, and starts soonest', () => {
-  const small: Resources = { cpus: 4, gpus: 0, memoryGb: 32 };
+void test('a gang that must run in one zone goes to the zone where all of it fits and starts first', () => {
+  const halfFree: Resources = { cpus: 4, gpus: 0, memoryGb: 32 };
   const gang = request('g', 4, { isGang: true, singleZone: true });
   const cases: [
     name: string,
@@ -218,29 +222,29 @@
     zone: string | undefined,
   ][] = [
     [
-      'the best machine is alone in its zone',
-      [machine('m1', { images: ['img'], free: small }), machine('m2', { zone: 'b' })],
+      'the zone of the best machine is too small',
+      [machine('m1', { images: ['img'], free: halfFree }), machine('m2', { zone: 'b' })],
       undefined,
       'b',
     ],
     [
-      'one zone has to fetch the image for a part',
+      'one zone must fetch the image for some tasks',
       [
-        machine('m1', { images: ['img'], free: small }),
-        machine('m2', { free: small }),
+        machine('m1', { images: ['img'], free: halfFree }),
+        machine('m2', { free: halfFree }),
         machine('m3', { zone: 'b', images: ['img'], pricePerCpu: 9 }),
       ],
       undefined,
       'b',
     ],
     [
-      'capacity for half of it in each zone',
-      [machine('m1', { free: small }), machine('m2', { zone: 'b', free: small })],
+      'each zone has capacity for half of it only',
+      [machine('m1', { free: halfFree }), machine('m2', { zone: 'b', free: halfFree })],
       undefined,
       undefined,
     ],
-    ['its team may start half of it', [machine('m1')], 4, undefined],
-    ['its team may start all of it', [machine('m1')], 8, 'a'],
+    ['the quota of its team allows half of it', [machine('m1')], 4, undefined],
+    ['the quota of its team allows all of it', [machine('m1')], 8, 'a'],
   ];
   for (const [name, machines, quota, zone] of cases) {
     const quotas = new Map(quota === undefined ? [] : [['t', { cpus: quota, gpus: Infinity }]]);
@@ -252,7 +256,7 @@
   }
 });
 
-void test('machines are reserved for a gang that does not fit, in one zone, if they could ever hold it', () => {
+void test('machines of one zone are reserved for a gang that does not fit now, if they could hold it when empty', () => {
   const free: Resources = { cpus: 4, gpus: 0, memoryGb: 32 };
   const machines = [
     machine('m1', { free }),
@@ -261,9 +265,9 @@
     machine('m4', { zone: 'b', free: { ...free, cpus: 0 } }),
   ];
   const cases: [name: string, count: number, unreserved: string[]][] = [
-    ['it could have all of one machine', 4, ['m1', 'm1', 'm3']],
-    ['it could have two of the other zone', 8, ['m1', 'm1']],
-    ['no zone is large enough', 13, ['m1', 'm1', 'm2', 'm2', 'm3']],
+    ['one machine could hold it', 4, ['m1', 'm1', 'm3']],
+    ['two machines of the other zone could hold it', 8, ['m1', 'm1']],
+    ['no zone could hold it', 13, ['m1', 'm1', 'm2', 'm2', 'm3']],
   ];
   for (const [name, count, unreserved] of cases) {
     const gang = request('g', count, { isGang: true, singleZone: true });
@@ -273,8 +277,8 @@
   }
 });
 
-/** A cluster and jobs, drawn at random. */
-const drawnMachines = fc.array(
+/** Random clusters and jobs. */
+const machinesArbitrary = fc.array(
   fc.record({
     machineType: fc.constantFrom('small', 'fat'),
     zone: fc.constantFrom('a', 'b', 'c'),
@@ -284,7 +288,7 @@
   }),
   { maxLength: 6 },
 );
-const drawnRequests = fc.array(
+const requestsArbitrary = fc.array(
   fc.record({
     count: fc.integer({ min: 1, max: 12 }),
     resources: fc.record({
@@ -304,8 +308,8 @@
   { maxLength: 5 },
 );
 
-/** Places under the same limit on the processors and GPUs of team `t`. */
-const placeWithin = (
+/** Places tasks while team `t` may use up to `limit` CPUs and as many GPUs. */
+const placeWithQuota = (
   limit: number,
   requests: readonly TaskRequest[],
   machines: readonly CandidateMachine[],
@@ -314,8 +318,8 @@
   return placeTasks({ requests, machines, quotas, maxAssignments: 50 });
 };
 
-/** What tasks take together. */
-const sumOf = (tasks: readonly TaskRequest[]): Resources =>
+/** The total resources of the tasks. */
+const totalResources = (tasks: readonly TaskRequest[]): Resources =>
   tasks.reduce(
     (sum, { resources }) => ({
       cpus: sum.cpus + resources.cpus,
@@ -332,52 +336,58 @@
   readonly machine: CandidateMachine;
 }
 
-function assertFitsMachine(placed: readonly Placed[], { id, free }: CandidateMachine): void {
-  const used = sumOf(placed.filter((p) => p.machine.id === id).map((p) => p.request));
+function assertFitsInMachine(placed: readonly Placed[], { id, free }: CandidateMachine): void {
+  const used = totalResources(placed.filter((p) => p.machine.id === id).map((p) => p.request));
   assert.ok(used.cpus <= free.cpus && used.gpus <= free.gpus && used.memoryGb <= free.memoryGb);
 }
 
-function assertKeepsJobRules(placed: readonly Placed[], job: TaskRequest): void {
+function assertMeetsJobConstraints(placed: readonly Placed[], job: TaskRequest): void {
   const tasks = placed.filter((p) => p.request.id === job.id);
   if (tasks.length === 0) return;
   const zones = new Map<string, number>();
   for (const { machine } of tasks) zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
-  if (job.isGang) assert.equal(tasks.length, job.taskCount, 'all or none');
+  if (job.isGang)
+    assert.equal(tasks.length, job.taskCount, 'a gang is placed as a whole or not at all');
   if (job.singleZone) assert.equal(zones.size, 1);
   for (const count of zones.values()) assert.ok(count <= job.maxPerZone);
 }
 
-void test('no placement breaks capacity, a quota, a zone rule or the allowed types', () => {
+void test('no placement violates the free capacity, a quota, a zone constraint or the allowed machine types', () => {
   fc.assert(
-    fc.property(drawnMachines, drawnRequests, fc.nat(30), (machineCases, jobCases, limit) => {
-      const machines = machineCases.map((m, i) => machine(`m${i}`, { ...m, capacity: m.free }));
-      const requests = jobCases.map((j, i) =>
-        request(`j${i}`, j.count, {
-          ...j,
-          maxPerZone: j.spreadZones ? Math.ceil(j.count / 2) : Infinity,
-        }),
-      );
-      const assignments = placeWithin(limit, requests, machines);
-      const again = placeWithin(limit, requests, machines);
-      assert.deepEqual(assignments, again, 'the same input gives the same placements');
-      // With a job of tiny tasks in the queue, none of which waits, every machine is searched.
-      const tiny = request('tiny', 0, { resources: { cpus: 0, gpus: 0, memoryGb: 0 }, rank: 99 });
-      const exhaustive = placeWithin(limit, [...requests, tiny], machines);
-      assert.deepEqual(assignments, exhaustive, 'machines that are skipped could hold nothing');
-      const placed = assignments.map((assignment): Placed => {
-        const assigned = requests.find(({ id }) => id === assignment.job);
-        const target = machines.find(({ id }) => id === assignment.machine);
-        assert.ok(assigned && target);
-        assert.ok(isAllowed(assigned, target));
-        return { index: assignment.index, request: assigned, machine: target };
-      });
-      const tasks = new Set(placed.map((p) => `${p.request.id}/${p.index}`));
-      assert.equal(tasks.size, placed.length, 'a task is placed once');
-      for (const m of machines) assertFitsMachine(placed, m);
-      const ofTeam = placed.filter((p) => p.request.team === 't').map((p) => p.request);
-      assert.ok(sumOf(ofTeam).cpus <= limit);
-      for (const job of requests) assertKeepsJobRules(placed, job);
-    }),
+    fc.property(
+      machinesArbitrary,
+      requestsArbitrary,
+      fc.nat(30),
+      (machineCases, jobCases, limit) => {
+        const machines = machineCases.map((m, i) => machine(`m${i}`, { ...m, capacity: m.free }));
+        const requests = jobCases.map((j, i) =>
+          request(`j${i}`, j.count, {
+            ...j,
+            maxPerZone: j.spreadZones ? Math.ceil(j.count / 2) : Infinity,
+          }),
+        );
+        const assignments = placeWithQuota(limit, requests, machines);
+        const again = placeWithQuota(limit, requests, machines);
+        assert.deepEqual(assignments, again, 'the same input gives the same placements');
+        // The placer skips machines too full for the smallest task; with this job in the queue it skips none.
+        const tiny = request('tiny', 0, { resources: { cpus: 0, gpus: 0, memoryGb: 0 }, rank: 99 });
+        const exhaustive = placeWithQuota(limit, [...requests, tiny], machines);
+        assert.deepEqual(assignments, exhaustive, 'skipped machines could hold no task');
+        const placed = assignments.map((assignment): Placed => {
+          const assigned = requests.find(({ id }) => id === assignment.job);
+          const target = machines.find(({ id }) => id === assignment.machine);
+          assert.ok(assigned && target);
+          assert.ok(isAllowed(assigned, target));
+          return { index: assignment.index, request: assigned, machine: target };
+        });
+        const tasks = new Set(placed.map((p) => `${p.request.id}/${p.index}`));
+        assert.equal(tasks.size, placed.length, 'each task is placed at most once');
+        for (const m of machines) assertFitsInMachine(placed, m);
+        const ofTeam = placed.filter((p) => p.request.team === 't').map((p) => p.request);
+        assert.ok(totalResources(ofTeam).cpus <= limit);
+        for (const job of requests) assertMeetsJobConstraints(placed, job);
+      },
+    ),
     { seed },
   );
 });
--- a/test/unit/placing-loop.test.ts
+++ b/test/unit/placing-loop.test.ts
@@ -1,24 +1,28 @@
-/** When placing rounds run: batched, slower if they take long, and none after the loop is closed. */
+/**
+ * Checks when placing rounds run. A round for each event, or rounds that follow each other without a gap, would
+ * occupy the leader so that it renews its lease too late; a round after the end of the term would act without
+ * authority.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { PlacingLoop } from '../../src/leader/placing-loop.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
-/** A loop whose rounds take so many milliseconds, and the times at which they began. */
-function loopOf(roundTakes: (round: number) => number) {
+/** Creates a loop whose rounds take `roundDurationMs`, and records when they start. */
+function createLoop(roundDurationMs: (round: number) => number) {
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const startedAt: number[] = [];
   const loop = new PlacingLoop(clock, pino({ level: 'silent' }), () => {
     startedAt.push(time.now);
-    time.now += roundTakes(startedAt.length);
+    time.now += roundDurationMs(startedAt.length);
   });
   return { time, clock, loop, startedAt };
 }
 
 void test('events within the batch delay lead to one placing round', async () => {
-  const { time, loop, startedAt } = loopOf(() => 0);
+  const { time, loop, startedAt } = createLoop(() => 0);
   loop.schedule();
   await time.run(4);
   loop.schedule();
@@ -31,7 +35,7 @@
 
 void test('the batch delay follows the duration of the last round, within limits', async () => {
   const durations = [10, 100, 0];
-  const { time, loop, startedAt } = loopOf((round) => durations[round - 1] ?? 0);
+  const { time, loop, startedAt } = createLoop((round) => durations[round - 1] ?? 0);
   for (const until of [1000, 2000, 3000, 4000]) {
     loop.schedule();
     await time.run(until);
@@ -40,7 +44,7 @@
 });
 
 void test('a round that fails does not end the loop', async () => {
-  const { time, loop, startedAt } = loopOf((round) => {
+  const { time, loop, startedAt } = createLoop((round) => {
     if (round === 1) throw new Error('unreadable');
     return 0;
   });
@@ -51,10 +55,10 @@
   assert.deepEqual(startedAt, [5, 105]);
 });
 
-void test('no round begins once the loop is closed, not even one that was due', async () => {
-  const { time, clock, loop, startedAt } = loopOf(() => 0);
+void test('no round starts once the loop is closed, not even one that was due', async () => {
+  const { time, clock, loop, startedAt } = createLoop(() => 0);
   loop.schedule();
-  // The timer fires while the process stands still, so it can no longer be cancelled.
+  // The timer expires while the process is frozen, so it can no longer be cancelled.
   clock.freeze(true);
   await time.run(50);
   loop.close();
--- a/test/unit/planner.test.ts
+++ b/test/unit/planner.test.ts
@@ -1,7 +1,7 @@
 /**
- * Checks what the scale-out planner rents for waiting tasks, given the machines that exist. A plan that ignores free or
- * soon free capacity rents machines that are not needed; a plan that ignores refusals, boot times or zone rules leaves
- * tasks waiting.
+ * Checks what the scale-out planner rents for waiting tasks, given the machines that exist. A plan that ignores free
+ * or soon free capacity rents machines that are not needed; a plan that ignores refusals, boot times or zone rules
+ * leaves tasks waiting.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/remaining-quotas.test.ts
+++ b/test/unit/remaining-quotas.test.ts
@@ -1,4 +1,7 @@
-/** What teams may still start: what counts against a quota, and what is not known. */
+/**
+ * Checks how much each team may still start: which tasks count against a quota, and what happens when the size of a
+ * task is unknown. A task that is not counted lets its team exceed the quota.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { remainingQuotas } from '../../src/leader/remaining-quotas.js';
@@ -17,14 +20,14 @@
 import { emptyFleet } from '../support/fleet.js';
 import { jobSpec } from '../support/job-spec.js';
 
-const team = (name: string, maxCpus: number, maxGpus: number) => ({
+const createTeam = (name: string, maxCpus: number, maxGpus: number) => ({
   name,
   guaranteedCpus: 0,
   guaranteedGpus: 0,
   maxCpus,
   maxGpus,
 });
-const TEAMS = [team('vision', 24, 0), team('speech', 0, 4), team('tools', 0, 0)];
+const TEAMS = [createTeam('vision', 24, 0), createTeam('speech', 0, 4), createTeam('tools', 0, 0)];
 
 const jobId = JobId('run-000001');
 const finishedId = JobId('run-000002');
@@ -36,20 +39,26 @@
   reason: 'all tasks done',
 };
 
-void test('tasks on machines, placed or orphaned, count against the quota of their team', () => {
+void test('placed and orphaned tasks on machines count against the quota of their team', () => {
   const cases: [
     name: string,
     orphans: TaskKey[],
-    finals: FinalState[],
-    vision: number,
-    speech: number,
+    finalStates: FinalState[],
+    visionCpus: number,
+    speechGpus: number,
   ][] = [
-    ['two placed tasks of two processors', [], [], 20, 4],
-    ['an orphaned attempt beside them', [taskKey(jobId, 3)], [], 18, 4],
-    ['an orphan of a job that is over: its team', [taskKey(finishedId, 0)], [finished], 0, 4],
-    ['an orphan of an unknown job: every team', [taskKey(finishedId, 0)], [], 0, 0],
+    ['two placed tasks of two CPUs', [], [], 20, 4],
+    ['an orphaned task besides', [taskKey(jobId, 3)], [], 18, 4],
+    [
+      'an orphan of a finished job: its team may start nothing',
+      [taskKey(finishedId, 0)],
+      [finished],
+      0,
+      4,
+    ],
+    ['an orphan of an unknown job: no team may start anything', [taskKey(finishedId, 0)], [], 0, 0],
   ];
-  for (const [name, orphans, finals, vision, speech] of cases) {
+  for (const [name, orphans, finalStates, visionCpus, speechGpus] of cases) {
     const job = new Job(jobId, jobSpec({ taskCount: 4, cpus: 2 }), WallMs(0), Revision(1));
     const machine = MachineId('m1');
     job.placeTasks(
@@ -61,7 +70,7 @@
     );
     const ledger: Pick<Ledger, 'jobs' | 'finalState'> = {
       jobs: new Map([[jobId, job]]),
-      finalState: (id) => (id === finishedId ? finals[0] : undefined),
+      finalState: (id) => (id === finishedId ? finalStates[0] : undefined),
     };
     const fleet = emptyFleet(seconds(24));
     for (const key of orphans) fleet.recordOrphan(key, machine);
@@ -69,8 +78,8 @@
     assert.deepEqual(
       [...quotas],
       [
-        ['vision', { cpus: vision, gpus: vision === 0 ? 0 : Infinity }],
-        ['speech', { cpus: speech === 0 ? 0 : Infinity, gpus: speech }],
+        ['vision', { cpus: visionCpus, gpus: visionCpus === 0 ? 0 : Infinity }],
+        ['speech', { cpus: speechGpus === 0 ? 0 : Infinity, gpus: speechGpus }],
       ],
       name,
     );
--- a/test/unit/response-delivery-check.test.ts
+++ b/test/unit/response-delivery-check.test.ts
@@ -1,7 +1,7 @@
 /**
- * Checks which machines count as not receiving: their heartbeats arrive, but the responses and commands sent to them do
- * not. If such a machine goes undetected, its tasks stay assigned to it although its worker's lease runs out; if a single
- * lost response is enough, working machines are deleted.
+ * Checks which machines count as not receiving: their heartbeats arrive, but the responses and commands sent to them
+ * do not. If such a machine goes undetected, its tasks stay assigned to it although its worker's lease runs out; if
+ * a single lost response is enough, working machines are deleted.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/unit/scale-in.test.ts
+++ b/test/unit/scale-in.test.ts
@@ -1,4 +1,7 @@
-/** Scale-in: which idle machines are given back, and when. */
+/**
+ * Checks which idle machines scale-in deletes, and when. A machine that is kept for too long costs money without
+ * need; one that is deleted too early must be rented again after a boot, and urgent work waits for it.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { findIdleMachines } from '../../src/capacity/scale-in.js';
@@ -11,20 +14,20 @@
 import { jobSpec } from '../support/job-spec.js';
 
 const NOW = SteadyMs(1_000_000);
-const ago = (s: number): SteadyMs => SteadyMs(NOW - seconds(s));
+const secondsAgo = (s: number): SteadyMs => SteadyMs(NOW - seconds(s));
 
-interface Idle {
+interface IdleMachine {
   readonly spot?: boolean;
   readonly machineType?: string;
-  /** Seconds. */
+  /** In seconds, as is `rentedFor`. */
   readonly idleFor?: number;
   readonly rentedFor?: number;
   readonly change?: (machine: Machine) => void;
 }
 
-/** The ids of the machines given back, of machines named m0, m1, ... that are idle for long by default. */
-function givenBack(
-  machines: readonly Idle[],
+/** Returns the ids of the machines to delete. Machines are named m0, m1 and so on, and idle for long by default. */
+function idsToDelete(
+  machines: readonly IdleMachine[],
   anticipated: readonly [JobSpec, number][] = [],
 ): string[] {
   const catalog = new MachineCatalog();
@@ -37,14 +40,14 @@
     const kind = { machineType: idle.machineType ?? 'small', zone: 'a', spot: idle.spot ?? true };
     const machine = fleet.observe(MachineId(`m${index}`), kind, '');
     machine.isUp = true;
-    machine.idleSince = ago(idle.idleFor ?? 100);
-    machine.rentedAt = ago(idle.rentedFor ?? 500);
+    machine.idleSince = secondsAgo(idle.idleFor ?? 100);
+    machine.rentedAt = secondsAgo(idle.rentedFor ?? 500);
     idle.change?.(machine);
   });
   const found = findIdleMachines({
     fleet,
     catalog,
-    // Of a boot of 10 seconds.
+    // A boot takes 10 seconds.
     idleBootTimes: 1.5,
     anticipatedWork: anticipated.map(([of, count]) => ({ spec: of, count })),
     now: NOW,
@@ -52,7 +55,7 @@
   return found.map(({ id }) => id);
 }
 
-void test('a machine is given back once it has been idle for longer than a boot is worth', () => {
+void test('a machine is deleted once keeping it idle costs more than a boot', () => {
   const job = JobId('run-000001');
   const assign = (machine: Machine): void =>
     machine.assign(taskKey(job, 0), {
@@ -61,40 +64,67 @@
       attempt: 1,
       resources: { cpus: 1, gpus: 0, memoryGb: 1 },
       image: 'img',
-      placedAt: ago(1),
+      placedAt: secondsAgo(1),
     });
-  const cases: [name: string, machine: Idle, isGivenBack: boolean][] = [
-    ['idle for long', {}, true],
-    ['a spot machine for less than 1.5 boots', { idleFor: 14 }, false],
-    ['a spot machine for 1.5 boots', { idleFor: 15 }, true],
-    ['an on-demand machine for a quarter of that', { idleFor: 3.75, spot: false }, true],
-    ['an on-demand machine for less', { idleFor: 3.5, spot: false }, false],
-    ['within the time that is charged anyway', { rentedFor: 59 }, false],
-    ['after it', { rentedFor: 60 }, true],
-    ['not idle', { change: (machine) => (machine.idleSince = undefined) }, false],
-    ['with a task', { change: assign }, false],
+  const cases: [name: string, machine: IdleMachine, isDeleted: boolean][] = [
+    ['a spot machine that is idle for long', {}, true],
+    ['a spot machine that is idle for less than 1.5 boot times', { idleFor: 14 }, false],
+    ['a spot machine that is idle for 1.5 boot times', { idleFor: 15 }, true],
+    [
+      'an on-demand machine that is idle for a quarter of that',
+      { idleFor: 3.75, spot: false },
+      true,
+    ],
+    [
+      'an on-demand machine that is idle for less than a quarter of that',
+      { idleFor: 3.5, spot: false },
+      false,
+    ],
+    ['rented for less than the minimum charge', { rentedFor: 59 }, false],
+    ['rented for the minimum charge', { rentedFor: 60 }, true],
+    ['a machine that is not idle', { change: (machine) => (machine.idleSince = undefined) }, false],
+    ['a machine with a task', { change: assign }, false],
   ];
-  for (const [name, machine, isGivenBack] of cases) {
-    assert.deepEqual(givenBack([machine]), isGivenBack ? ['m0'] : [], name);
+  for (const [name, machine, isDeleted] of cases) {
+    assert.deepEqual(idsToDelete([machine]), isDeleted ? ['m0'] : [], name);
   }
-  const down: Idle = { change: (machine) => (machine.isUp = false) };
-  assert.deepEqual(givenBack([down, {}]), ['m1'], 'none that is down');
-  assert.deepEqual(givenBack([{}, { spot: false }, {}]), ['m1', 'm0', 'm2'], 'on-demand first');
+  const down: IdleMachine = { change: (machine) => (machine.isUp = false) };
+  assert.deepEqual(idsToDelete([down, {}]), ['m1'], 'a machine that is down is not deleted');
+  assert.deepEqual(
+    idsToDelete([{}, { spot: false }, {}]),
+    ['m1', 'm0', 'm2'],
+    'on-demand machines come first',
+  );
 });
 
-void test('machines of the smallest type are kept as far as anticipated work needs them', () => {
+void test('machines of the smallest type are kept while anticipated work needs them', () => {
   const urgent = jobSpec({ cpus: 4 });
   const onDemandOnly = jobSpec({ cpus: 4, allowSpot: false });
-  type Case = [name: string, machines: Idle[], anticipated: [JobSpec, number][], back: string[]];
+  type Case = [
+    name: string,
+    machines: IdleMachine[],
+    anticipated: [JobSpec, number][],
+    deletedIds: string[],
+  ];
   const cases: Case[] = [
-    ['all of one machine', [{}, {}], [[urgent, 2]], ['m0']],
-    ['a little more than one', [{}, {}], [[urgent, 3]], []],
-    ['more than there is', [{}], [[urgent, 9]], []],
-    ['the on-demand one goes first', [{}, { spot: false }], [[urgent, 2]], ['m1']],
-    ['unless it alone will do', [{}, { spot: false }], [[onDemandOnly, 2]], ['m0']],
-    ['a large machine goes all the same', [{ machineType: 'large' }, {}], [[urgent, 2]], ['m0']],
+    ['the work needs one of two machines', [{}, {}], [[urgent, 2]], ['m0']],
+    ['the work needs a little more than one machine', [{}, {}], [[urgent, 3]], []],
+    ['the work needs more than all machines', [{}], [[urgent, 9]], []],
+    ['the on-demand machine is deleted first', [{}, { spot: false }], [[urgent, 2]], ['m1']],
+    [
+      'the on-demand machine is kept if the work may run only there',
+      [{}, { spot: false }],
+      [[onDemandOnly, 2]],
+      ['m0'],
+    ],
+    [
+      'a large machine is deleted nevertheless',
+      [{ machineType: 'large' }, {}],
+      [[urgent, 2]],
+      ['m0'],
+    ],
   ];
-  for (const [name, machines, anticipated, back] of cases) {
-    assert.deepEqual(givenBack(machines, anticipated), back, name);
+  for (const [name, machines, anticipated, deletedIds] of cases) {
+    assert.deepEqual(idsToDelete(machines, anticipated), deletedIds, name);
   }
 });
--- a/test/unit/store-client.test.ts
+++ b/test/unit/store-client.test.ts
@@ -1,4 +1,7 @@
-/** The client of the state service under its rates. */
+/**
+ * Checks that the client of the store keeps to its share of the request rate. Above the rate the store refuses
+ * requests, and a renewal of the leader's lease that waits behind reads would come too late.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HttpClient, Request } from '../../src/net/http.js';
@@ -6,7 +9,7 @@
 import { Endpoint, ms } from '../../src/units/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
-void test('more reads than the rate allows: each is sent in order or refused at once, and renewals wait for none', async () => {
+void test('with more reads than the rate allows, each is sent in order or refused at once, and lease renewals do not wait', async () => {
   const time = new VirtualTime();
   const sent: { at: number; path: string }[] = [];
   const http: HttpClient = {
@@ -33,16 +36,19 @@
   void store.renewLease(3, ms(1000));
   await time.run(60);
   assert.ok(sent.some(({ path }) => path === '/leases/3/touch'));
-  const refused = outcomes.filter(({ kind }) => kind === 'failed').length;
-  assert.ok(refused > readCount / 2, `${refused} refused at once`);
+  const refusedCount = outcomes.filter(({ kind }) => kind === 'failed').length;
+  assert.ok(refusedCount > readCount / 2, `${refusedCount} refusedCount at once`);
   await time.run(5000);
   assert.equal(outcomes.length, readCount);
-  const answered = outcomes.filter(({ kind }) => kind === 'absent');
-  assert.ok(Math.max(...answered.map(({ at }) => at)) <= 1100, 'none waited beyond its patience');
-  const order = answered.map(({ index }) => index);
+  const responses = outcomes.filter(({ kind }) => kind === 'absent');
+  assert.ok(
+    Math.max(...responses.map(({ at }) => at)) <= 1100,
+    'no read waited longer than its queue timeout',
+  );
+  const order = responses.map(({ index }) => index);
   assert.deepEqual(
     order,
     [...order].sort((a, b) => a - b),
-    'first come, first served',
+    'reads are sent in the order of the calls',
   );
 });
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -1,4 +1,8 @@
-/** What users are answered, and which submissions are refused. */
+/**
+ * Checks the responses to users, and which submissions are refused. A controller whose authority ended while it
+ * handled a request must not respond with a state that a new leader may have changed; an accepted job must be in the
+ * store; and all controllers must refuse the same submissions.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Reply } from '../../src/api/reply.js';
@@ -14,7 +18,7 @@
 import { jobSpec } from '../support/job-spec.js';
 import { settingsFile } from '../support/settings-file.js';
 
-void test('an answer that rests on authority is given under it to the end', async () => {
+void test('a response that depends on authority is sent only if authority lasts until then', async () => {
   const running = new Job(JOB_ID, jobSpec({}), WallMs(0), Revision(5));
   const body = encode(encodeJobSpec(jobSpec({})));
   type Case = [
@@ -25,26 +29,26 @@
     expected: number,
   ];
   const cases: Case[] = [
-    ['a question', 'GET', `/v1/jobs/${JOB_ID}`, { kind: 'live', job: running }, 200],
-    ['a question about no job', 'GET', `/v1/jobs/${JOB_ID}`, { kind: 'absent' }, 404],
+    ['a query of a job', 'GET', `/v1/jobs/${JOB_ID}`, { kind: 'live', job: running }, 200],
+    ['a query of an unknown job', 'GET', `/v1/jobs/${JOB_ID}`, { kind: 'absent' }, 404],
     ['a repeated submission', 'POST', '/v1/jobs', { kind: 'live', job: running }, 200],
     ['a cancellation', 'POST', `/v1/jobs/${JOB_ID}/abort`, { kind: 'live', job: running }, 200],
   ];
   for (const [name, method, path, found, expected] of cases) {
-    for (const lost of [false, true]) {
+    for (const losesAuthority of [false, true]) {
       const { userRequests, loseAuthority, resolveLookup } = createLeaderRequestHandlers(found);
       const reply = userRequests.handle(method, path, body);
       await Promise.resolve();
-      // The process stood still here, and another node has come to lead.
-      if (lost) loseAuthority();
+      // The process was suspended here, and another controller has become leader.
+      if (losesAuthority) loseAuthority();
       resolveLookup();
       const { status } = await reply;
-      assert.equal(status, lost ? 503 : expected, name);
+      assert.equal(status, losesAuthority ? 503 : expected, name);
     }
   }
 });
 
-void test('submissions that can never run, or lack a field, are refused by every node alike', () => {
+void test('submissions that can never run or lack a field are refused by every controller alike', () => {
   const settings = parseSettings(settingsFile(0));
   const catalog = new MachineCatalog();
   catalog.update(machineTypes);
@@ -55,54 +59,58 @@
   const cases: [string, unknown, number][] = [
     ['valid', valid, 0],
     [
-      'nulls that may be missing',
+      'optional fields that are missing',
       { ...valid, builds: undefined, hall: undefined, due_s: undefined },
       0,
     ],
     [
-      'an array spread over zones in one zone: one part after the other',
+      'an array job spread over zones but bound to one zone: its tasks run one part after the other',
       submission({ spreadZones: true, zone: 'a', taskCount: 5 }),
       0,
     ],
     [
-      'an array spread over zones and in a single one: one part after the other',
+      'an array job spread over zones and in a single zone: its tasks run one part after the other',
       submission({ spreadZones: true, singleZone: true, taskCount: 5 }),
       0,
     ],
     [
-      'a gang spread over zones and in a single one',
+      'a gang spread over zones and in a single zone',
       submission({ kind: 'ensemble', spreadZones: true, singleZone: true }),
       422,
     ],
     [
-      'a gang of one',
+      'a gang of one task spread over zones and in a single zone',
       submission({ kind: 'ensemble', spreadZones: true, singleZone: true, taskCount: 1 }),
       0,
     ],
     [
-      'a gang spread over zones in one zone',
+      'a gang spread over zones but bound to one zone',
       submission({ kind: 'ensemble', spreadZones: true, zone: 'a' }),
       422,
     ],
-    ['a gang above its limit', submission({ kind: 'ensemble', taskCount: 5, cpus: 8 }), 422],
-    ['an array above its limit', submission({ taskCount: 5, cpus: 8 }), 0],
-    ['a task above its limit', submission({ cpus: 25 }), 422],
-    ['a task too large', submission({ memoryGb: 33 }), 422],
-    ['GPUs that no type has', submission({ gpus: 1 }), 422],
+    [
+      'a gang above the quota of its team',
+      submission({ kind: 'ensemble', taskCount: 5, cpus: 8 }),
+      422,
+    ],
+    ['an array job above the quota of its team', submission({ taskCount: 5, cpus: 8 }), 0],
+    ['a task above the quota of its team', submission({ cpus: 25 }), 422],
+    ['a task too large for any machine type', submission({ memoryGb: 33 }), 422],
+    ['more GPUs than any machine type has', submission({ gpus: 1 }), 422],
     ['an unknown team', submission({ team: 'nobody' }), 422],
     ['an unknown machine type', submission({ machineTypes: ['huge'] }), 422],
     ['an empty list of machine types', submission({ machineTypes: [] }), 422],
     ['an unknown zone', submission({ zone: 'z' }), 422],
     ['no tasks', submission({ taskCount: 0 }), 400],
-    ['half a task', submission({ taskCount: 1.5 }), 400],
+    ['a fractional number of tasks', submission({ taskCount: 1.5 }), 400],
     ['too many tasks', submission({ taskCount: 100_001 }), 400],
-    ['no processor', submission({ cpus: 0 }), 400],
+    ['no CPU', submission({ cpus: 0 }), 400],
     ['negative memory', submission({ memoryGb: -1 }), 400],
-    ['not a number', submission({ cpus: NaN }), 400],
+    ['a number of CPUs that is NaN', submission({ cpus: NaN }), 400],
     ['an infinite run time', submission({ expectedRuntimeSeconds: Infinity }), 400],
-    ['an id of another form', submission({ id: 'job-1' }), 400],
-    ['a number as a text', { ...valid, vcpus: '2' }, 400],
-    ['null where none may be', { ...valid, loaners: null }, 400],
+    ['an id of the wrong format', submission({ id: 'job-1' }), 400],
+    ['a number as a string', { ...valid, vcpus: '2' }, 400],
+    ['null in a required field', { ...valid, loaners: null }, 400],
     ...Object.keys(valid)
       .filter((field) => !['builds', 'hall', 'due_s'].includes(field))
       .map((field): [string, unknown, number] => [
@@ -110,7 +118,7 @@
         { ...valid, [field]: undefined },
         400,
       ]),
-    ['not a map', [valid], 400],
+    ['a list instead of a map', [valid], 400],
   ];
   for (const [name, body, status] of cases) {
     const parsed = parseSubmission(encode(body));
@@ -124,7 +132,7 @@
   );
 });
 
-void test('a follower without a leader: a late answer of the store is given only if it is final', async () => {
+void test('a follower without a leader responds with a late read of the store only if the state is final', async () => {
   const job = new Job(JOB_ID, jobSpec({}), WallMs(0), Revision(5));
   const final: FinalState = {
     status: 'done',
@@ -133,97 +141,106 @@
     team: 'vision',
     reason: '',
   };
-  const cases: [name: string, stored: StoredJob, took: number, status: number][] = [
-    ['a live job, at once', { kind: 'live', job }, 100, 200],
-    ['a live job, late: it may be cancelled by now', { kind: 'live', job }, 400, 503],
-    ['no job, at once', { kind: 'absent' }, 100, 404],
-    ['no job, late: it may be accepted by now', { kind: 'absent' }, 400, 503],
-    ['a job that is over, late: that does not change', { kind: 'final', final }, 400, 200],
+  const cases: [name: string, stored: StoredJob, readMs: number, status: number][] = [
+    ['a live job, read in time', { kind: 'live', job }, 100, 200],
+    ['a live job, read late: it may have been cancelled since', { kind: 'live', job }, 400, 503],
+    ['no job, read in time', { kind: 'absent' }, 100, 404],
+    ['no job, read late: it may have been accepted since', { kind: 'absent' }, 400, 503],
+    ['a finished job, read late: its state is final', { kind: 'final', final }, 400, 200],
   ];
-  for (const [name, stored, took, status] of cases) {
-    const node = createLeaderRequestHandlers({ kind: 'absent' });
-    node.loseAuthority();
-    node.jobRecords.lookUp = async () => {
-      await sleep(node.clock, ms(took));
+  for (const [name, stored, readMs, status] of cases) {
+    const follower = createLeaderRequestHandlers({ kind: 'absent' });
+    follower.loseAuthority();
+    follower.jobRecords.lookUp = async () => {
+      await sleep(follower.clock, ms(readMs));
       return stored;
     };
     let repliedStatus = 0;
-    void node.userRequests
+    void follower.userRequests
       .handle('GET', `/v1/jobs/${JOB_ID}`, Buffer.alloc(0))
       .then((reply) => (repliedStatus = reply.status));
     await new Promise((resolve) => setImmediate(resolve));
-    await node.time.run(1000);
+    await follower.time.run(1000);
     assert.equal(repliedStatus, status, name);
   }
 });
 
-void test('a submission that no leader answers is written by the node itself, if no record has the job', async () => {
+void test('a submission that the leader does not handle is written by the follower itself if no record has the job', async () => {
   const job = new Job(JOB_ID, jobSpec({}), WallMs(0), Revision(5));
   const live: StoredJob = { kind: 'live', job };
   interface Case {
     readonly name: string;
-    /** The status of the leader's response; none: it gives no response. */
-    readonly leader?: number;
-    readonly wait?: number;
+    /** The status of the leader's response; undefined if it does not respond. */
+    readonly leaderStatus?: number;
+    readonly creationWaitMs?: number;
     readonly create?: 'created' | 'exists' | 'unknown';
-    readonly took?: number;
+    readonly writeMs?: number;
     readonly stored?: StoredJob;
     readonly status: number;
     readonly retryAfter?: number;
   }
   const cases: Case[] = [
-    { name: 'the leader created it', leader: 201, status: 201 },
-    { name: 'the leader refuses it for a while', leader: 429, status: 429 },
-    { name: 'the leader is not ready', leader: 503, create: 'created', status: 201 },
-    { name: 'written at once', create: 'created', status: 201 },
-    { name: 'written late', create: 'created', took: 400, stored: live, status: 200 },
+    { name: 'the leader created it', leaderStatus: 201, status: 201 },
+    { name: 'the leader refuses it for now', leaderStatus: 429, status: 429 },
+    { name: 'the leader is not ready', leaderStatus: 503, create: 'created', status: 201 },
+    { name: 'written in time', create: 'created', status: 201 },
+    { name: 'written late', create: 'created', writeMs: 400, stored: live, status: 200 },
     {
-      name: 'written late, and not to be read',
+      name: 'written late, and then unreadable',
       create: 'created',
-      took: 400,
+      writeMs: 400,
       stored: { kind: 'unknown' },
       status: 503,
     },
-    { name: 'a repeat', create: 'exists', stored: live, status: 200 },
+    { name: 'a repeated submission', create: 'exists', stored: live, status: 200 },
     {
-      name: 'a record that is gone when it is read',
+      name: 'an existing record that is gone when it is read',
       create: 'exists',
       stored: { kind: 'absent' },
       status: 503,
     },
-    { name: 'an unknown outcome', create: 'unknown', status: 503, retryAfter: 1 },
-    { name: 'too many writes wait', wait: 1500, status: 429, retryAfter: 2 },
+    { name: 'the outcome of the write is unknown', create: 'unknown', status: 503, retryAfter: 1 },
+    { name: 'too many writes wait', creationWaitMs: 1500, status: 429, retryAfter: 2 },
   ];
-  for (const { name, leader, wait = 0, create, took = 0, stored, status, retryAfter } of cases) {
-    const node = createLeaderRequestHandlers({ kind: 'absent' });
-    node.loseAuthority();
+  for (const {
+    name,
+    leaderStatus,
+    creationWaitMs = 0,
+    create,
+    writeMs = 0,
+    stored,
+    status,
+    retryAfter,
+  } of cases) {
+    const follower = createLeaderRequestHandlers({ kind: 'absent' });
+    follower.loseAuthority();
     const body = encode({});
-    node.peers.set(NodeId('node-0'), {
+    follower.peers.set(NodeId('node-0'), {
       responsive: true,
       request: () =>
         Promise.resolve(
-          leader === undefined
+          leaderStatus === undefined
             ? undefined
-            : { type: 'userResponse', status: leader, retryAfter: 0, body },
+            : { type: 'userResponse', status: leaderStatus, retryAfter: 0, body },
         ),
     });
-    let creations = 0;
-    node.jobRecords.creationWait = () => ms(wait);
-    node.jobRecords.create = async () => {
-      creations++;
-      await sleep(node.clock, ms(took));
+    let creationCount = 0;
+    follower.jobRecords.creationWait = () => ms(creationWaitMs);
+    follower.jobRecords.create = async () => {
+      creationCount++;
+      await sleep(follower.clock, ms(writeMs));
       return create ?? 'unknown';
     };
-    node.jobRecords.lookUp = () => Promise.resolve(stored ?? { kind: 'unknown' });
+    follower.jobRecords.lookUp = () => Promise.resolve(stored ?? { kind: 'unknown' });
     const replies: Reply[] = [];
-    void node.userRequests
+    void follower.userRequests
       .handle('POST', '/v1/jobs', encode(encodeJobSpec(jobSpec({}))))
       .then((reply) => replies.push(reply));
     await new Promise((resolve) => setImmediate(resolve));
-    await node.time.run(1000);
+    await follower.time.run(1000);
     const [reply] = replies;
     assert.equal(reply?.status, status, name);
     if (retryAfter !== undefined) assert.equal(reply.retryAfter, retryAfter, name);
-    assert.equal(creations, create === undefined ? 0 : 1, name);
+    assert.equal(creationCount, create === undefined ? 0 : 1, name);
   }
 });
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -1,4 +1,8 @@
-/** Messages of the outside protocols: what is accepted, and how each field is mapped. */
+/**
+ * Checks the messages of the external protocols: which are accepted, and how each field is mapped. A wrong name or
+ * type breaks every user, worker or call to the cloud or the store; an unchecked field lets invalid values into the
+ * scheduler.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -26,27 +30,27 @@
 
 const valid = encodeJobSpec(jobSpec({}));
 
-void test('submissions: each field is checked', () => {
+void test('submissions: each field is validated', () => {
   const cases: [string, Record<string, unknown>, boolean][] = [
     ['valid', {}, true],
-    ['id of another form', { name_id: 'job-000001' }, false],
+    ['id of the wrong format', { name_id: 'job-000001' }, false],
     ['id with letters', { name_id: 'run-00a001' }, false],
     ['id missing', { name_id: undefined }, false],
-    ['id not text', { name_id: 7 }, false],
+    ['id not a string', { name_id: 7 }, false],
     ['docket empty', { docket: '' }, false],
     ['docket a number', { docket: 1 }, false],
     ['desk missing', { desk: undefined }, false],
     ['unknown shape', { shape: 'spiral' }, false],
     ['unknown urgency', { urgency: 'urgent' }, false],
     ['no tasks', { entries: 0 }, false],
-    ['most tasks', { entries: 100_000 }, true],
+    ['the maximum of tasks', { entries: 100_000 }, true],
     ['too many tasks', { entries: 100_001 }, false],
-    ['part of a task', { entries: 1.5 }, false],
+    ['a fractional number of tasks', { entries: 1.5 }, false],
     ['no cpus', { vcpus: 0 }, false],
     ['negative cpus', { vcpus: -1 }, false],
     ['infinite cpus', { vcpus: Infinity }, false],
     ['cpus not a number', { vcpus: NaN }, false],
-    ['cpus as text', { vcpus: '4' }, false],
+    ['cpus a string', { vcpus: '4' }, false],
     ['negative gpus', { gpus: -1 }, false],
     ['negative memory', { ram_gb: -0.5 }, false],
     ['image missing', { bundle: undefined }, false],
@@ -59,7 +63,7 @@
     ['zone a number', { hall: 3 }, false],
     ['together missing', { together: undefined }, false],
     ['together a number', { together: 1 }, false],
-    ['apart as text', { apart: 'no' }, false],
+    ['apart a string', { apart: 'no' }, false],
     ['loaners null', { loaners: null }, false],
     ['estimate negative', { expected_s: -3 }, false],
     ['checkpoint infinite', { stamp_every_s: Infinity }, false],
@@ -69,13 +73,13 @@
     ['due negative', { due_s: -1 }, false],
     ['an unknown field', { colour: 'red' }, true],
   ];
-  for (const [name, change, ok] of cases) {
+  for (const [name, change, isValid] of cases) {
     const parsed = parseSubmission(encode({ ...valid, ...change }));
-    assert.equal(parsed.ok, ok, `${name}: ${JSON.stringify(parsed)}`);
+    assert.equal(parsed.ok, isValid, `${name}: ${JSON.stringify(parsed)}`);
   }
 });
 
-void test('submissions: bodies that hold none are refused', () => {
+void test('submissions: bodies that hold no submission are refused', () => {
   const cases: [string, Buffer][] = [
     ['empty', Buffer.alloc(0)],
     ['JSON', Buffer.from(JSON.stringify(valid))],
@@ -83,7 +87,7 @@
     ['a number', encode(4)],
     ['null', encode(null)],
     ['more than one item', Buffer.concat([encode(valid), encode(1)])],
-    ['cut short', encode(valid).subarray(0, 40)],
+    ['truncated', encode(valid).subarray(0, 40)],
     ['too long', encode({ ...valid, padding: 'x'.repeat(MAX_BODY) })],
   ];
   for (const [name, body] of cases) assert.equal(parseSubmission(body).ok, false, name);
@@ -91,13 +95,13 @@
   assert.equal(submissionId(encode({ ...valid, name_id: 'x' })), undefined);
 });
 
-void test('integers beyond 32 bits travel as integers', () => {
+void test('integers beyond 32 bits are encoded as integers', () => {
   const bytes = encode({ baton: 2 ** 40 + 1 });
   assert.equal(bytes[bytes.length - 9], 0x1b);
   assert.deepEqual(decode(bytes), { baton: 2 ** 40 + 1 });
 });
 
-void test('heartbeats: null and missing fields are alike, unknown ones are ignored', () => {
+void test('heartbeats: null is equal to a missing field, and unknown fields are ignored', () => {
   const machine = { box: 'vm-000001', addr: '10.1.0.1:9000', build: 'a', hall: 'z', loaners: true };
   const message = { ...machine, shift: 1, tally: 2, baton: 3, entries: [] };
   assert.ok(decodeHeartbeat(message));
@@ -106,8 +110,8 @@
   assert.ok(!decodeHeartbeat(machine));
 });
 
-// The messages are the examples of the protocol.
-void test('submissions: every field of the protocol is mapped, there and back', () => {
+// The messages in this and the following tests are the examples of the protocol.
+void test('submissions: every field of the protocol is mapped in both directions', () => {
   const message = {
     name_id: 'run-000412',
     docket: 'train',
@@ -161,7 +165,7 @@
   assert.deepEqual(decodeJobSpecValues(id, values), parsed.value);
 });
 
-void test('workers: every field of the protocol is mapped, there and back', () => {
+void test('workers: every field of the protocol is mapped in both directions', () => {
   const message = {
     box: 'vm-000231',
     addr: '10.1.0.232:9000',
@@ -215,7 +219,7 @@
   assert.deepEqual(request, { baton: 41, shift: 3, orders });
 });
 
-void test('cloud and state service: every field of the protocol is mapped', () => {
+void test('cloud and store: every field of the protocol is mapped', () => {
   const types = {
     builds: [
       {
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -1,4 +1,9 @@
-/** Which heartbeats a leader answers, and when it sends workers to other nodes. */
+/**
+ * Checks which heartbeats a leader accepts, and when it redirects workers to other controllers. Status 200 renews
+ * the lease of all tasks on a machine: if a leader sends it without authority or before it knows the cancelled jobs,
+ * cancelled tasks keep running. Redirects must not send workers to and fro, nor to a controller that they can't
+ * reach.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { shouldRedirectWorkers } from '../../src/leader/worker-redirects.js';
@@ -22,16 +27,16 @@
 });
 
 void test('a heartbeat gets no 200 before the leader knows which jobs are cancelled', async () => {
-  for (const ready of [true, false]) {
-    for (const relayed of [true, false]) {
+  for (const becomesReady of [true, false]) {
+    for (const isRelayed of [true, false]) {
       const { workerHeartbeats, term } = createLeaderRequestHandlers({ kind: 'absent' });
-      let settle = (): void => undefined;
+      let settleRecovery = (): void => undefined;
       Object.assign(term, {
         isReady: false,
-        recoverySettled: new Promise<void>((resolve) => (settle = resolve)),
+        recoverySettled: new Promise<void>((resolve) => (settleRecovery = resolve)),
       });
       const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-1') };
-      const accepted = relayed
+      const accepted = isRelayed
         ? workerHeartbeats
             .handleRelayed(NodeId('node-1'), EPOCH, [full])
             .then(
@@ -43,27 +48,27 @@
             .handle(encode(encodeHeartbeat(heartbeatOf('vm-1'))))
             .then((reply) => reply.status === 200);
       await Promise.resolve();
-      term.isReady = ready;
-      settle();
-      assert.equal(await accepted, ready);
+      term.isReady = becomesReady;
+      settleRecovery();
+      assert.equal(await accepted, becomesReady);
     }
   }
 });
 
-void test('relayed heartbeats are accepted under authority only, and none with a newer token', async () => {
-  const cases: [name: string, token: number, loses: boolean, outcome: string][] = [
+void test('relayed heartbeats are accepted only under authority, and not with a newer token', async () => {
+  const cases: [name: string, token: number, losesAuthority: boolean, outcome: string][] = [
     ['an older token', 3, false, 'accepted'],
     ['a newer token', EPOCH + 1, false, 'refused'],
     ['authority ended while it was handled', 3, true, 'refused'],
   ];
-  for (const [name, token, loses, outcome] of cases) {
+  for (const [name, token, losesAuthority, outcome] of cases) {
     const { workerHeartbeats, term, loseAuthority } = createLeaderRequestHandlers({
       kind: 'absent',
     });
     const handle = term.handleRelayedHeartbeat;
     Object.assign(term, {
       handleRelayedHeartbeat: () => {
-        if (loses) loseAuthority();
+        if (losesAuthority) loseAuthority();
         return handle();
       },
     });
@@ -74,48 +79,53 @@
   }
 });
 
-void test('whether a leader redirects workers: neither early nor to and fro', () => {
-  const cases: [machines: number, cpu: number, before: boolean, redirects: boolean][] = [
-    [200, 0.2, false, false],
-    [300, 0.05, false, true],
-    [65, 0.05, true, true],
-    [65, 0.05, false, false],
-    [50, 0.05, true, false],
-  ];
-  for (const [machines, cpu, before, redirects] of cases) {
+void test('a leader redirects workers only above a load threshold, and stops only well below it', () => {
+  const cases: [machines: number, cpu: number, isRedirecting: boolean, shouldRedirect: boolean][] =
+    [
+      [200, 0.2, false, false],
+      [300, 0.05, false, true],
+      [65, 0.05, true, true],
+      [65, 0.05, false, false],
+      [50, 0.05, true, false],
+    ];
+  for (const [machines, cpu, isRedirecting, shouldRedirect] of cases) {
     const load = { machines, heartbeatInterval: seconds(3), cpu };
-    assert.equal(shouldRedirectWorkers(before, load), redirects, `${machines}`);
+    assert.equal(shouldRedirectWorkers(isRedirecting, load), shouldRedirect, `${machines}`);
   }
 });
 
-void test('a leader that is too small redirects workers, and serves those that are back at once', async () => {
+void test('a leader under high load redirects workers, and serves those that come back at once', async () => {
   const { workerHeartbeats, term, peers } = createLeaderRequestHandlers({ kind: 'absent' });
   Object.assign(term, { isRedirectingWorkers: true });
   const status = async (machine: string) =>
     (await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf(machine))))).status;
-  assert.equal(await status('vm-0'), 200, 'no other node answers');
+  assert.equal(await status('vm-0'), 200, 'no other controller responds');
   peers.set(NodeId('node-1'), { responsive: true, request: () => Promise.resolve(undefined) });
   assert.deepEqual(await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf('vm-1')))), {
     status: 421,
     body: { clerk: 'node-1' },
   });
-  assert.equal(await status('vm-1'), 200, 'back at once: it can not reach that node');
+  assert.equal(
+    await status('vm-1'),
+    200,
+    'back at once: the worker cannot reach the other controller',
+  );
   const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-2') };
-  const relayed = await workerHeartbeats.handleRelayed(NodeId('node-1'), EPOCH, [full]);
-  assert.ok(relayed.type === 'heartbeatResponses');
-  assert.equal(relayed.responses[0]?.outcome, 'accepted', 'relayed by another node');
+  const relayedResponse = await workerHeartbeats.handleRelayed(NodeId('node-1'), EPOCH, [full]);
+  assert.ok(relayedResponse.type === 'heartbeatResponses');
+  assert.equal(relayedResponse.responses[0]?.outcome, 'accepted', 'relayed by another controller');
 });
 
-void test('the commands that answer a batch fit a frame; the heartbeats beyond are left to another', async () => {
+void test('the commands in the response to a batch fit in one frame, and further heartbeats are left to another batch', async () => {
   const { workerHeartbeats, term, time } = createLeaderRequestHandlers({ kind: 'absent' });
   const task = `run-${'9'.repeat(20)}/99999`;
   const commands = Array.from({ length: 300 }, (_, i): Command => {
     return { type: 'kill', task, attempt: 2 ** 40 + i, gracePeriodSeconds: 10 };
   });
-  let handled = 0;
+  let handledCount = 0;
   Object.assign(term, {
     handleRelayedHeartbeat: () => {
-      handled++;
+      handledCount++;
       return { response: { fencingToken: EPOCH, commands }, baseline: 1 };
     },
   });
@@ -129,6 +139,9 @@
   assert.ok(response.type === 'heartbeatResponses');
   assert.equal(response.responses.length, batch.length);
   const accepted = response.responses.filter(({ outcome }) => outcome === 'accepted').length;
-  assert.ok(accepted > 0 && accepted === handled, 'what is not answered is not handled');
+  assert.ok(
+    accepted > 0 && accepted === handledCount,
+    'heartbeats that are not accepted are not handled',
+  );
   assert.ok(encodeResponse(1, response).length < MAX_FRAME_BYTES);
 });
