--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -1,7 +1,7 @@
 /**
  * Checks the cloud calls of the autoscaler: their order, retries, backoff and end. A retry under a new request id
- * after a lost response would rent machines twice; calls that overlap or continue after the term would exceed the
- * cloud's rate or compete with those of the next leader.
+ * after a lost response would rent machines twice, refused offers that are requested without backoff would use up the
+ * cloud's request rate, and a call after the end of the term would be made without authority.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -123,9 +123,11 @@
 });
 
 void test('a scale-out request is retried under the same id until it gets a usable response', async () => {
-  const unreadable = okResponse({});
-  const failed: Outcome = { kind: 'answer', status: 500, body: undefined };
-  const { time, requests } = createAutoscaler({ responses: [NO_RESPONSE, failed, unreadable] });
+  const unreadableResponse = okResponse({});
+  const failedResponse: Outcome = { kind: 'answer', status: 500, body: undefined };
+  const { time, requests } = createAutoscaler({
+    responses: [NO_RESPONSE, failedResponse, unreadableResponse],
+  });
   await time.run(20_000);
   const ids = requests.map(({ body }) => body.hire);
   assert.deepEqual(ids, ['e7-1', 'e7-1', 'e7-1', 'e7-1']);
@@ -172,10 +174,10 @@
   await time.run(5000);
   assert.deepEqual(calls, ['GET /flavors']);
 
-  const next = createAutoscaler({});
-  await next.time.run(5);
+  const second = createAutoscaler({});
+  await second.time.run(5);
   // The first call has got its response, and the next one is due.
-  next.autoscaler.close();
-  await next.time.run(5000);
-  assert.deepEqual(next.calls, ['GET /flavors']);
+  second.autoscaler.close();
+  await second.time.run(5000);
+  assert.deepEqual(second.calls, ['GET /flavors']);
 });
--- a/test/unit/config.test.ts
+++ b/test/unit/config.test.ts
@@ -78,7 +78,7 @@
     fc.property(durations, ({ lease, spare }) => {
       const times = { lease: seconds(lease), cancellationTime: seconds(lease + spare) };
       const { lease: leaderLease, renewInterval } = defaultsFor(times);
-      // At worst, authority ends this long after the last renewal, and a worker then got a response at the last moment.
+      // At worst, a worker gets its last response just before authority ends, this long after the last renewal.
       const authority = lowerBoundUnderDrift(leaderLease);
       assert.ok(authority + upperBoundUnderDrift(times.lease) < times.cancellationTime);
       assert.ok(leaderLease >= 1000 && leaderLease <= 4000 && renewInterval <= leaderLease / 3);
--- a/test/unit/fleet.test.ts
+++ b/test/unit/fleet.test.ts
@@ -30,7 +30,7 @@
     tasks: [],
     ...change,
   });
-const newMachine = (): Machine =>
+const createMachine = (): Machine =>
   new Machine(MachineId('vm-1'), { machineType: 'a', zone: 'z', spot: true }, 10, SteadyMs(0));
 
 void test('statuses are ordered by session and sequence number, not by their arrival', () => {
@@ -43,7 +43,7 @@
     ['a late status of the previous session', [2, 1], [1, 99], false],
   ];
   for (const [name, [session1, sequence1], [session2, sequence2], isFresh] of cases) {
-    const machine = newMachine();
+    const machine = createMachine();
     const first = statusWith({ session: session1, sequence: sequence1 });
     assert.ok(machine.recordStatus(first, SteadyMs(1)));
     const second = statusWith({ session: session2, sequence: sequence2 });
@@ -52,7 +52,7 @@
 });
 
 void test('when a lease expires, direct starts and late statuses of its session are dropped', () => {
-  const machine = newMachine();
+  const machine = createMachine();
   machine.recordStatus(statusWith({ session: 3, sequence: 5 }), SteadyMs(1));
   machine.directStarts.recordSent('run-000001/0#1');
   machine.expireLease();
@@ -65,7 +65,7 @@
 });
 
 void test('a reclaim notice that newer statuses lack is dropped as a late copy', () => {
-  const machine = newMachine();
+  const machine = createMachine();
   machine.recordStatus(statusWith({ sequence: 5, reclaimNoticeSeconds: 9 }), SteadyMs(1));
   assert.ok(machine.isDraining);
   machine.recordStatus(statusWith({ sequence: 6 }), SteadyMs(2));
@@ -165,32 +165,36 @@
 void test('the load that is updated incrementally equals the load computed from scratch', () => {
   const sizes = [1, 2, 4].map((cpus) => ({ cpus, gpus: 0, memoryGb: cpus }));
   const resourcesOf = (job: JobId) => sizes[Number(job.slice(-1))];
-  const state = fc.constantFrom('fetching', 'running', 'exited');
-  const tasks = fc.array(fc.tuple(fc.nat(3), fc.nat(2), state), { maxLength: 6 });
-  const step = fc.tuple(fc.constantFrom('assign', 'unassign', 'status', 'image'), fc.nat(3), tasks);
+  const stateArbitrary = fc.constantFrom('fetching', 'running', 'exited');
+  const tasksArbitrary = fc.array(fc.tuple(fc.nat(3), fc.nat(2), stateArbitrary), { maxLength: 6 });
+  const stepArbitrary = fc.tuple(
+    fc.constantFrom('assign', 'unassign', 'status', 'image'),
+    fc.nat(3),
+    tasksArbitrary,
+  );
   fc.assert(
-    fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
-      const machine = newMachine();
+    fc.property(fc.array(stepArbitrary, { maxLength: 40 }), (steps) => {
+      const machine = createMachine();
       let sequence = 0;
-      for (const [kind, n, list] of steps) {
+      for (const [kind, number, randomTasks] of steps) {
         // Job 3, of unknown size, may be reported but is never placed.
-        const job = JobId(`run-${n}`);
+        const job = JobId(`run-${number}`);
         const task = {
           job,
           index: 0,
           attempt: 1,
-          resources: sizes[n % 3]!,
-          image: `img-${n % 2}`,
+          resources: sizes[number % 3]!,
+          image: `img-${number % 2}`,
           placedAt: SteadyMs(0),
         };
-        if (kind === 'assign' && n < 3) machine.assign(taskKey(job, 0), task);
+        if (kind === 'assign' && number < 3) machine.assign(taskKey(job, 0), task);
         else if (kind === 'unassign') machine.unassign(taskKey(job, 0));
-        else if (kind === 'image') machine.recordImageUse(`img-${n}`, 4);
+        else if (kind === 'image') machine.recordImageUse(`img-${number}`, 4);
         else {
-          const reported = list.map(([k, attempt, s]) => ({
-            task: `run-${k}/0`,
+          const reported = randomTasks.map(([jobNumber, attempt, taskState]) => ({
+            task: `run-${jobNumber}/0`,
             attempt,
-            state: s,
+            state: taskState,
           }));
           const status = statusWith({ sequence: ++sequence, tasks: reported });
           machine.recordStatus(status, SteadyMs(sequence));
--- a/test/unit/gang-lifecycle.test.ts
+++ b/test/unit/gang-lifecycle.test.ts
@@ -43,7 +43,7 @@
 const reclaimedIn = (inMs: number): GangTask => ({ ...running, reclaimIn: ms(inMs) });
 
 /** Creates a gang of three tasks, each of which takes three seconds to save a checkpoint. */
-const gang = (tasks: readonly GangTask[], change: Partial<GangState> = {}): GangState => ({
+const createGang = (tasks: readonly GangTask[], change: Partial<GangState> = {}): GangState => ({
   taskCount: 3,
   waitingCount: 3 - tasks.length,
   doneCount: 0,
@@ -54,72 +54,82 @@
 
 void test('the states of its tasks determine the phase of a gang and the next action', () => {
   const cases: [name: string, state: GangState, phase: GangPhase, action: GangAction][] = [
-    ['no task is placed', gang([]), 'waiting', 'none'],
-    ['one task is not reported yet', gang([placed, starting, starting]), 'placed', 'none'],
+    ['no task is placed', createGang([]), 'waiting', 'none'],
+    ['one task is not reported yet', createGang([placed, starting, starting]), 'placed', 'none'],
     [
       'two tasks do not run yet, because they lack the image',
-      gang([starting, starting, running]),
+      createGang([starting, starting, running]),
       'gathering',
       'none',
     ],
-    ['all tasks run', gang([running, running, running]), 'running', 'none'],
-    ['a task is lost before the gang runs', gang([starting, placed]), 'stopping', 'endAttempt'],
-    ['a task is lost while the gang runs', gang([running, running]), 'stopping', 'endAttempt'],
+    ['all tasks run', createGang([running, running, running]), 'running', 'none'],
+    [
+      'a task is lost before the gang runs',
+      createGang([starting, placed]),
+      'stopping',
+      'endAttempt',
+    ],
+    [
+      'a task is lost while the gang runs',
+      createGang([running, running]),
+      'stopping',
+      'endAttempt',
+    ],
     [
       'a task is lost while another saves its checkpoint',
-      gang([{ ...running, isStopping: true }, running]),
+      createGang([{ ...running, isStopping: true }, running]),
       'stopping',
       'endAttempt',
     ],
     [
       'a task is being stopped',
-      gang([running, running, { ...running, isStopping: true }]),
+      createGang([running, running, { ...running, isStopping: true }]),
       'stopping',
       'none',
     ],
     [
       'a machine is reclaimed in 9 s: too early to stop the gang',
-      gang([running, running, reclaimedIn(9000)]),
+      createGang([running, running, reclaimedIn(9000)]),
       'running',
       'none',
     ],
     [
       'a machine is reclaimed in 5.5 s: just time for a checkpoint',
-      gang([running, reclaimedIn(5500), running]),
+      createGang([running, reclaimedIn(5500), running]),
       'running',
       'saveAndStop',
     ],
     [
       'a machine is reclaimed in 2.5 s: too late for a checkpoint',
-      gang([running, reclaimedIn(2500), running]),
+      createGang([running, reclaimedIn(2500), running]),
       'running',
       'none',
     ],
     [
       'a machine is reclaimed soon, but the gang has no checkpoints',
-      gang([running, reclaimedIn(5500), running], { checkpointTime: undefined }),
+      createGang([running, reclaimedIn(5500), running], { checkpointTime: undefined }),
       'running',
       'none',
     ],
     [
       'a machine is reclaimed soon, but another is unreachable',
-      gang([reclaimedIn(5500), running, { ...running, isReachable: false }]),
+      createGang([reclaimedIn(5500), running, { ...running, isReachable: false }]),
       'running',
       'none',
     ],
     [
       'one task is done while the others still count as running',
-      gang([running, running], { doneCount: 1, waitingCount: 0 }),
+      createGang([running, running], { doneCount: 1, waitingCount: 0 }),
       'done',
       'complete',
     ],
     [
       'one task is done, and another is lost',
-      gang([running], { doneCount: 1, waitingCount: 1 }),
+      createGang([running], { doneCount: 1, waitingCount: 1 }),
       'done',
       'complete',
     ],
-    ['all tasks are done', gang([], { doneCount: 3, waitingCount: 0 }), 'done', 'none'],
+    ['all tasks are done', createGang([], { doneCount: 3, waitingCount: 0 }), 'done', 'none'],
   ];
   for (const [name, state, phase, action] of cases) {
     assert.equal(phaseOf(state), phase, name);
--- a/test/unit/placer.test.ts
+++ b/test/unit/placer.test.ts
@@ -20,7 +20,7 @@
 
 const seed = 20260314;
 
-const machine = (
+const createMachine = (
   id: string,
   change: Partial<CandidateMachine> & { images?: string[] } = {},
 ): CandidateMachine => {
@@ -40,7 +40,11 @@
   };
 };
 
-const request = (id: string, count: number, change: Partial<TaskRequest> = {}): TaskRequest => ({
+const createTaskRequest = (
+  id: string,
+  count: number,
+  change: Partial<TaskRequest> = {},
+): TaskRequest => ({
   id: JobId(id),
   team: 't',
   resources: { cpus: 2, gpus: 0, memoryGb: 1 },
@@ -67,10 +71,13 @@
 void test('capacity reserved for large tasks or urgent work stays free, except for one task of a job that waited too long', () => {
   const largeCapacity: Resources = { cpus: 32, gpus: 0, memoryGb: 64 };
   const halfOfCapacity: Resources = { cpus: 16, gpus: 0, memoryGb: 64 };
-  const largeTask = request('l', 1, { resources: { cpus: 24, gpus: 0, memoryGb: 1 }, rank: 1 });
-  const halfFullMachine = [machine('m1', { capacity: largeCapacity, free: halfOfCapacity })];
-  const reserved = new Map([['img', 64]]);
-  const quota = new Map([['t', { cpus: 20, gpus: 0 }]]);
+  const largeTask = createTaskRequest('l', 1, {
+    resources: { cpus: 24, gpus: 0, memoryGb: 1 },
+    rank: 1,
+  });
+  const halfFullMachine = [createMachine('m1', { capacity: largeCapacity, free: halfOfCapacity })];
+  const reserveOf64Cpus = new Map([['img', 64]]);
+  const quotaOf20Cpus = new Map([['t', { cpus: 20, gpus: 0 }]]);
   const none = new Map<string, never>();
   const cases: [
     string,
@@ -79,39 +86,46 @@
     ImageReserve,
     number,
   ][] = [
-    ['a large task reserves a machine', [largeTask, request('j', 4)], none, none, 0],
+    ['a large task reserves a machine', [largeTask, createTaskRequest('j', 4)], none, none, 0],
     [
       'a job that waited too long starts there with one task',
-      [largeTask, request('j', 4, { mustStart: true })],
+      [largeTask, createTaskRequest('j', 4, { mustStart: true })],
       none,
       none,
       1,
     ],
     [
       'a job that waited too long does not start there if the large task is starved',
-      [{ ...largeTask, rank: -1 }, request('j', 4, { mustStart: true })],
+      [{ ...largeTask, rank: -1 }, createTaskRequest('j', 4, { mustStart: true })],
       none,
       none,
       0,
     ],
     [
       'a task beyond the quota of its team reserves nothing',
-      [largeTask, request('j', 4)],
-      quota,
+      [largeTask, createTaskRequest('j', 4)],
+      quotaOf20Cpus,
       none,
       4,
     ],
-    ['the reserve for urgent work stays free', [request('j', 4)], none, reserved, 0],
+    [
+      'the reserve for urgent work stays free',
+      [createTaskRequest('j', 4)],
+      none,
+      reserveOf64Cpus,
+      0,
+    ],
     [
       'a job that waited too long starts in the reserve with one task',
-      [request('j', 4, { mustStart: true })],
+      [createTaskRequest('j', 4, { mustStart: true })],
       none,
-      reserved,
+      reserveOf64Cpus,
       1,
     ],
   ];
   for (const [name, requests, teams, reserve, placed] of cases) {
-    const machines = reserve.size > 0 ? [machine('m1', { images: ['img'] })] : halfFullMachine;
+    const machines =
+      reserve.size > 0 ? [createMachine('m1', { images: ['img'] })] : halfFullMachine;
     // `placeTasks` changes the quotas that it is given.
     const quotas = new Map([...teams].map(([team, quota]) => [team, { ...quota }]));
     const input = { requests, machines, quotas, maxAssignments: 100, reserve };
@@ -124,62 +138,62 @@
   const cases: [string, TaskRequest, CandidateMachine[], string | undefined][] = [
     [
       'a machine that has its image',
-      request('j', 1),
-      [machine('m1'), machine('m2', { images: ['img'] })],
+      createTaskRequest('j', 1),
+      [createMachine('m1'), createMachine('m2', { images: ['img'] })],
       'm2',
     ],
     [
       'otherwise the machine with the most free CPUs',
-      request('j', 1),
-      [machine('m1', { free: { cpus: 4, gpus: 0, memoryGb: 32 } }), machine('m2')],
+      createTaskRequest('j', 1),
+      [createMachine('m1', { free: { cpus: 4, gpus: 0, memoryGb: 32 } }), createMachine('m2')],
       'm2',
     ],
     [
       'a machine of the smaller type',
-      request('j', 1),
-      [machine('m1', { capacity: largeCapacity, free: largeCapacity }), machine('m2')],
+      createTaskRequest('j', 1),
+      [createMachine('m1', { capacity: largeCapacity, free: largeCapacity }), createMachine('m2')],
       'm2',
     ],
     [
       'only a machine of an allowed type',
-      request('j', 1, { machineTypes: ['fat'] }),
-      [machine('m1'), machine('m2', { machineType: 'fat' })],
+      createTaskRequest('j', 1, { machineTypes: ['fat'] }),
+      [createMachine('m1'), createMachine('m2', { machineType: 'fat' })],
       'm2',
     ],
     [
       'only a machine in the required zone',
-      request('j', 1, { requiredZone: 'b' }),
-      [machine('m1'), machine('m2', { zone: 'b' })],
+      createTaskRequest('j', 1, { requiredZone: 'b' }),
+      [createMachine('m1'), createMachine('m2', { zone: 'b' })],
       'm2',
     ],
     [
       'no spot machine unless allowed',
-      request('j', 1, { allowSpot: false }),
-      [machine('m1'), machine('m2', { spot: false })],
+      createTaskRequest('j', 1, { allowSpot: false }),
+      [createMachine('m1'), createMachine('m2', { spot: false })],
       'm2',
     ],
     [
       'not a machine that the job avoids',
-      request('j', 1, { avoidedMachines: new Set([MachineId('m1')]) }),
-      [machine('m1'), machine('m2')],
+      createTaskRequest('j', 1, { avoidedMachines: new Set([MachineId('m1')]) }),
+      [createMachine('m1'), createMachine('m2')],
       'm2',
     ],
     [
       'a machine in the zone to which the job is bound',
-      request('j', 1, { singleZone: true, boundZone: 'b' }),
-      [machine('m1'), machine('m2', { zone: 'b' })],
+      createTaskRequest('j', 1, { singleZone: true, boundZone: 'b' }),
+      [createMachine('m1'), createMachine('m2', { zone: 'b' })],
       'm2',
     ],
     [
       'no machine if its zone has the maximum of tasks',
-      request('j', 1, { maxPerZone: 1, placedByZone: new Map([['a', 1]]) }),
-      [machine('m1')],
+      createTaskRequest('j', 1, { maxPerZone: 1, placedByZone: new Map([['a', 1]]) }),
+      [createMachine('m1')],
       undefined,
     ],
     [
       'no machine if none has the capacity',
-      request('j', 1, { resources: { cpus: 16, gpus: 0, memoryGb: 1 } }),
-      [machine('m1')],
+      createTaskRequest('j', 1, { resources: { cpus: 16, gpus: 0, memoryGb: 1 } }),
+      [createMachine('m1')],
       undefined,
     ],
   ];
@@ -195,12 +209,12 @@
 });
 
 void test('a gang is placed as a whole or not at all, and then leaves the capacity to other jobs', () => {
-  const gang = request('g', 5, { isGang: true });
-  const other = request('o', 4);
+  const gang = createTaskRequest('g', 5, { isGang: true });
+  const other = createTaskRequest('o', 4);
   const quotas = new Map<string, RemainingQuota>();
   const placed = placeTasks({
     requests: [gang, other],
-    machines: [machine('m1')],
+    machines: [createMachine('m1')],
     quotas,
     maxAssignments: 10,
   });
@@ -208,13 +222,13 @@
     placed.map((assignment) => assignment.job),
     ['o', 'o', 'o', 'o'],
   );
-  const machines = [machine('m1'), machine('m2')];
+  const machines = [createMachine('m1'), createMachine('m2')];
   assert.equal(placeTasks({ requests: [gang], machines, quotas, maxAssignments: 10 }).length, 5);
 });
 
 void test('a gang that must run in one zone goes to the zone where all of it fits and starts first', () => {
   const halfFree: Resources = { cpus: 4, gpus: 0, memoryGb: 32 };
-  const gang = request('g', 4, { isGang: true, singleZone: true });
+  const gang = createTaskRequest('g', 4, { isGang: true, singleZone: true });
   const cases: [
     name: string,
     machines: CandidateMachine[],
@@ -223,28 +237,31 @@
   ][] = [
     [
       'the zone of the best machine is too small',
-      [machine('m1', { images: ['img'], free: halfFree }), machine('m2', { zone: 'b' })],
+      [
+        createMachine('m1', { images: ['img'], free: halfFree }),
+        createMachine('m2', { zone: 'b' }),
+      ],
       undefined,
       'b',
     ],
     [
       'one zone must fetch the image for some tasks',
       [
-        machine('m1', { images: ['img'], free: halfFree }),
-        machine('m2', { free: halfFree }),
-        machine('m3', { zone: 'b', images: ['img'], pricePerCpu: 9 }),
+        createMachine('m1', { images: ['img'], free: halfFree }),
+        createMachine('m2', { free: halfFree }),
+        createMachine('m3', { zone: 'b', images: ['img'], pricePerCpu: 9 }),
       ],
       undefined,
       'b',
     ],
     [
       'each zone has capacity for half of it only',
-      [machine('m1', { free: halfFree }), machine('m2', { zone: 'b', free: halfFree })],
+      [createMachine('m1', { free: halfFree }), createMachine('m2', { zone: 'b', free: halfFree })],
       undefined,
       undefined,
     ],
-    ['the quota of its team allows half of it', [machine('m1')], 4, undefined],
-    ['the quota of its team allows all of it', [machine('m1')], 8, 'a'],
+    ['the quota of its team allows half of it', [createMachine('m1')], 4, undefined],
+    ['the quota of its team allows all of it', [createMachine('m1')], 8, 'a'],
   ];
   for (const [name, machines, quota, zone] of cases) {
     const quotas = new Map(quota === undefined ? [] : [['t', { cpus: quota, gpus: Infinity }]]);
@@ -259,10 +276,10 @@
 void test('machines of one zone are reserved for a gang that does not fit now, if they could hold it when empty', () => {
   const free: Resources = { cpus: 4, gpus: 0, memoryGb: 32 };
   const machines = [
-    machine('m1', { free }),
-    machine('m2', { zone: 'b', free }),
-    machine('m3', { zone: 'b', free: { ...free, cpus: 2 } }),
-    machine('m4', { zone: 'b', free: { ...free, cpus: 0 } }),
+    createMachine('m1', { free }),
+    createMachine('m2', { zone: 'b', free }),
+    createMachine('m3', { zone: 'b', free: { ...free, cpus: 2 } }),
+    createMachine('m4', { zone: 'b', free: { ...free, cpus: 0 } }),
   ];
   const cases: [name: string, count: number, unreserved: string[]][] = [
     ['one machine could hold it', 4, ['m1', 'm1', 'm3']],
@@ -270,8 +287,8 @@
     ['no zone could hold it', 13, ['m1', 'm1', 'm2', 'm2', 'm3']],
   ];
   for (const [name, count, unreserved] of cases) {
-    const gang = request('g', count, { isGang: true, singleZone: true });
-    const requests = [gang, request('o', 9)];
+    const gang = createTaskRequest('g', count, { isGang: true, singleZone: true });
+    const requests = [gang, createTaskRequest('o', 9)];
     const placed = placeTasks({ requests, machines, quotas: new Map(), maxAssignments: 100 });
     assert.deepEqual(placed.map((assignment) => assignment.machine).sort(), unreserved, name);
   }
@@ -359,9 +376,11 @@
       requestsArbitrary,
       fc.nat(30),
       (machineCases, jobCases, limit) => {
-        const machines = machineCases.map((m, i) => machine(`m${i}`, { ...m, capacity: m.free }));
+        const machines = machineCases.map((m, i) =>
+          createMachine(`m${i}`, { ...m, capacity: m.free }),
+        );
         const requests = jobCases.map((j, i) =>
-          request(`j${i}`, j.count, {
+          createTaskRequest(`j${i}`, j.count, {
             ...j,
             maxPerZone: j.spreadZones ? Math.ceil(j.count / 2) : Infinity,
           }),
@@ -370,7 +389,10 @@
         const again = placeWithQuota(limit, requests, machines);
         assert.deepEqual(assignments, again, 'the same input gives the same placements');
         // The placer skips machines too full for the smallest task; with this job in the queue it skips none.
-        const tiny = request('tiny', 0, { resources: { cpus: 0, gpus: 0, memoryGb: 0 }, rank: 99 });
+        const tiny = createTaskRequest('tiny', 0, {
+          resources: { cpus: 0, gpus: 0, memoryGb: 0 },
+          rank: 99,
+        });
         const exhaustive = placeWithQuota(limit, [...requests, tiny], machines);
         assert.deepEqual(assignments, exhaustive, 'skipped machines could hold no task');
         const placed = assignments.map((assignment): Placed => {
--- a/test/unit/planner.test.ts
+++ b/test/unit/planner.test.ts
@@ -49,7 +49,7 @@
 });
 
 /** Tasks of two CPUs that should not wait, but do not justify an on-demand machine. */
-const demand = (taskCount: number, change: Partial<Demand> = {}): Demand => ({
+const createDemand = (taskCount: number, change: Partial<Demand> = {}): Demand => ({
   resources: { cpus: 2, gpus: 0, memoryGb: 1 },
   taskCount,
   machineTypes: null,
@@ -105,34 +105,39 @@
 void test('the planner rents as many machines as the waiting tasks need', () => {
   checkPlans([
     ['none without waiting tasks', [], {}, []],
-    ['as many as hold all tasks', [demand(9)], {}, [[spotIn('a'), 3]]],
-    ['jobs share machines', [demand(3), demand(1)], {}, [[spotIn('a'), 1]]],
-    ['no more than the maximum', [demand(9)], { maxMachines: 2 }, [[spotIn('a'), 2]]],
+    ['as many as hold all tasks', [createDemand(9)], {}, [[spotIn('a'), 3]]],
+    ['jobs share machines', [createDemand(3), createDemand(1)], {}, [[spotIn('a'), 1]]],
+    ['no more than the maximum', [createDemand(9)], { maxMachines: 2 }, [[spotIn('a'), 2]]],
     [
       'none if all tasks fit the free capacity',
-      [demand(4)],
+      [createDemand(4)],
       { available: [availableOn(spotIn('a'), 8)] },
       [],
     ],
     [
       'only for tasks beyond the free capacity',
-      [demand(5)],
+      [createDemand(5)],
       { available: [availableOn(spotIn('a'), 8)] },
       [[spotIn('a'), 1]],
     ],
     [
       'free capacity in another zone does not count',
-      [demand(4, { requiredZone: 'b' })],
+      [createDemand(4, { requiredZone: 'b' })],
       { available: [availableOn(spotIn('a'), 8)] },
       [[spotIn('b'), 1]],
     ],
-    ['none for tasks that fit no machine type', [demand(1, { machineTypes: ['large'] })], {}, []],
+    [
+      'none for tasks that fit no machine type',
+      [createDemand(1, { machineTypes: ['large'] })],
+      {},
+      [],
+    ],
   ]);
 });
 
 void test('no machine is rented for tasks that get the capacity of ending tasks in time', () => {
   // Ending tasks free 0.64 usable CPUs per second: enough for two tasks in 6.25 seconds.
-  const waitingUpTo = (s: number): Demand => demand(2, { acceptableWait: seconds(s) });
+  const waitingUpTo = (s: number): Demand => createDemand(2, { acceptableWait: seconds(s) });
   checkPlans([
     ['both tasks get capacity in time', [waitingUpTo(6.5)], { turnover: [BUSY_TURNOVER] }, []],
     ['one task does not', [waitingUpTo(6)], { turnover: [BUSY_TURNOVER] }, [[spotIn('a'), 1]]],
@@ -159,32 +164,37 @@
   const noSpot = new Set([...noSpotInA, offerKey(spotIn('b'))]);
   const allRefused = new Set([...noSpot, offerKey(onDemandIn('a')), offerKey(onDemandIn('b'))]);
   checkPlans([
-    ['a large machine for many tasks', [demand(16)], both, [[spotIn('a', 'large'), 1]]],
-    ['a small machine for few tasks', [demand(4)], both, [[spotIn('a'), 1]]],
-    ['a large machine that is nearly filled', [demand(14)], both, [[spotIn('a', 'large'), 1]]],
-    ['machines that boot in time', [demand(16, limitedWait)], both, [[spotIn('a'), 4]]],
+    ['a large machine for many tasks', [createDemand(16)], both, [[spotIn('a', 'large'), 1]]],
+    ['a small machine for few tasks', [createDemand(4)], both, [[spotIn('a'), 1]]],
+    [
+      'a large machine that is nearly filled',
+      [createDemand(14)],
+      both,
+      [[spotIn('a', 'large'), 1]],
+    ],
+    ['machines that boot in time', [createDemand(16, limitedWait)], both, [[spotIn('a'), 4]]],
     [
       'another zone if the first is refused',
-      [demand(4)],
+      [createDemand(4)],
       { refusedOffers: noSpotInA },
       [[spotIn('b'), 1]],
     ],
-    ['no on-demand machine while there is time', [demand(4)], { refusedOffers: noSpot }, []],
+    ['no on-demand machine while there is time', [createDemand(4)], { refusedOffers: noSpot }, []],
     [
       'an on-demand machine for tasks that would be late',
-      [demand(4, limitedWait)],
+      [createDemand(4, limitedWait)],
       { refusedOffers: noSpot },
       [[onDemandIn('a'), 1]],
     ],
     [
       'an on-demand machine for tasks that may not run on spot',
-      [demand(4, { allowSpot: false })],
+      [createDemand(4, { allowSpot: false })],
       {},
       [[onDemandIn('a'), 1]],
     ],
     [
       'nothing if all offers are refused',
-      [demand(4, limitedWait)],
+      [createDemand(4, limitedWait)],
       { refusedOffers: allRefused },
       [],
     ],
@@ -192,7 +202,7 @@
 });
 
 void test('a gang with a zone rule is planned for as a whole, zone by zone', () => {
-  const gang = (change: Partial<Demand>): Demand => demand(8, { isGang: true, ...change });
+  const gang = (change: Partial<Demand>): Demand => createDemand(8, { isGang: true, ...change });
   checkPlans([
     ['all machines in one zone', [gang({ singleZone: true })], {}, [[spotIn('a'), 2]]],
     [
@@ -203,7 +213,7 @@
     ],
     [
       'the zone where all of it fits, although nothing can be rented there',
-      [demand(4, { isGang: true, singleZone: true })],
+      [createDemand(4, { isGang: true, singleZone: true })],
       {
         available: [availableOn(spotIn('b'), 8)],
         refusedOffers: new Set([offerKey(spotIn('b')), offerKey(onDemandIn('b'))]),
@@ -227,7 +237,7 @@
     ],
     [
       'the zone rule does not bind the plan for an array job',
-      [demand(8, { singleZone: true })],
+      [createDemand(8, { singleZone: true })],
       { available: [availableOn(spotIn('a'), 8), availableOn(spotIn('b'), 8)] },
       [],
     ],
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -207,7 +207,7 @@
     onCommitted: (job: Job) => committed.push(job.id),
     onReplaced: () => undefined,
     onDropped: () => undefined,
-    onFinished: (job: Job) => committed.push(`${job.id} over`),
+    onFinished: (job: Job) => committed.push(`${job.id} finished`),
     onLeadershipLost: () => assert.fail('leadership lost'),
   };
   const put = { writes: [{ put: 'leader', data: {} }] };
@@ -261,7 +261,7 @@
     );
     for (const job of jobs) for (const index of [...job.placements.keys()]) job.completeTask(index);
     await time.run(lowerAfter + 16_000);
-    assert.equal(committed.filter((entry) => entry.endsWith('over')).length, 4);
+    assert.equal(committed.filter((entry) => entry.endsWith('finished')).length, 4);
     assert.ok(storeService.tooLarge <= 3);
   }
 });
--- a/test/unit/store-client.test.ts
+++ b/test/unit/store-client.test.ts
@@ -37,7 +37,7 @@
   await time.run(60);
   assert.ok(sent.some(({ path }) => path === '/leases/3/touch'));
   const refusedCount = outcomes.filter(({ kind }) => kind === 'failed').length;
-  assert.ok(refusedCount > readCount / 2, `${refusedCount} refusedCount at once`);
+  assert.ok(refusedCount > readCount / 2, `${refusedCount} reads refused at once`);
   await time.run(5000);
   assert.equal(outcomes.length, readCount);
   const responses = outcomes.filter(({ kind }) => kind === 'absent');
