--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -5,14 +5,14 @@
 import type { UnchangedHeartbeat } from '../peer/messages.js';
 import { MachineId, type Clock, type DurationMs, type Epoch, type NodeId } from '../units/index.js';
 import type { Command, Heartbeat, HeartbeatReply } from '../wire/index.js';
-import type { StatusObserver } from './command-sender.js';
+import type { StatusObserver } from './direct-command-sender.js';
 import type { PlacementIndex } from './placement-index.js';
 import { ResponseDeliveryCheck } from './response-delivery-check.js';
 
 /** Decides the response commands for a heartbeat. */
 export interface ResponseCommandSource {
   /** Must be called after the status has been reconciled with the placements. */
-  commandsForResponse(machine: Machine, status: WorkerStatus): Command[];
+  commandsForHeartbeat(machine: Machine, status: WorkerStatus): Command[];
 }
 
 /** The dependencies of the heartbeat handler. */
@@ -98,6 +98,9 @@
     machine.relayControllerId = relayId;
     if (!wasUp) onMachineUp();
     observer.observe(machine, status, 'heartbeat');
-    return { fencingToken: epoch, commands: responseCommands.commandsForResponse(machine, status) };
+    return {
+      fencingToken: epoch,
+      commands: responseCommands.commandsForHeartbeat(machine, status),
+    };
   }
 }
--- a/src/leader/reply-commands.ts
+++ b/src/leader/response-commands.ts
@@ -1,4 +1,4 @@
-/** The commands with which a heartbeat is answered. */
+/** Chooses the commands that the response to a heartbeat carries. */
 import type { Machine } from '../fleet/machine.js';
 import { attemptKey, type WorkerStatus } from '../fleet/worker-status.js';
 import type { Job, Placement } from '../ledger/job.js';
@@ -8,17 +8,17 @@
 import { AttemptClearance } from './attempt-clearance.js';
 import type { TermDependencies } from './term-dependencies.js';
 import { isCommitted, shouldStopTask, placementOfAttempt } from './placement-state.js';
-import { clear, kill, launch } from './task-commands.js';
+import { clearCommand, killCommand, startCommand } from './task-commands.js';
 
-/** No start is added to a message that has this many commands, so that it fits a response to a worker. */
-export const MAX_COMMANDS = 300;
+/** A message with this many commands gets no further start commands, so that it fits in a response to a worker. */
+export const MAX_COMMANDS_PER_MESSAGE = 300;
 
 /**
- * Compares a machine's status, after it has been reconciled with the placements, with what should run there.
- * Nothing of a reply is remembered but which heartbeat a start was sent in reply to: it is sent again with each
- * reply until a status shows the attempt.
+ * Compares a machine's status, after it has been reconciled with the placements, with the tasks that should run there.
+ * The only state kept about a response is which heartbeat a start command was a response to. The start command is
+ * repeated in every response until a status shows the attempt.
  */
-export class ReplyCommands {
+export class ResponseCommands {
   private readonly clearance: AttemptClearance;
 
   constructor(
@@ -28,58 +28,59 @@
     this.clearance = new AttemptClearance(ledger, deps);
   }
 
-  /** The commands for the worker that sent this status with a heartbeat. */
-  commandsForResponse(machine: Machine, status: WorkerStatus): Command[] {
+  /** Builds the commands for the worker that sent this status with a heartbeat. */
+  commandsForHeartbeat(machine: Machine, status: WorkerStatus): Command[] {
     const commands: Command[] = [];
     for (const task of status.tasks) {
-      const command = this.commandForReported(machine, task);
+      const command = this.commandForReportedTask(machine, task);
       if (command) commands.push(command);
     }
     this.addStarts(commands, machine, status);
     return commands;
   }
 
-  private commandForReported(machine: Machine, status: TaskStatus): Command | undefined {
+  private commandForReportedTask(machine: Machine, status: TaskStatus): Command | undefined {
     const { task, attempt, state } = status;
     const ref = parseTaskKey(task);
-    // Not a task of this service.
-    if (!ref) return state === TaskState.exited ? clear(task, attempt) : undefined;
+    // The task was not started by this service.
+    if (!ref) return state === TaskState.exited ? clearCommand(task, attempt) : undefined;
     const job = this.ledger.jobs.get(ref.job);
     const placement = placementOfAttempt(job, ref.index, machine.id, attempt);
     if (state === TaskState.exited) {
-      const isClear = !placement && this.clearance.canClear(machine, status, ref, job);
-      return isClear ? clear(task, attempt) : undefined;
+      const shouldClear = !placement && this.clearance.canClear(machine, status, ref, job);
+      return shouldClear ? clearCommand(task, attempt) : undefined;
     }
-    if (!placement || job?.isCancelled) return kill(task, attempt, 0);
+    if (!placement || job?.isCancelled) return killCommand(task, attempt, 0);
     const { evictionGraceSeconds } = placement;
     return evictionGraceSeconds === undefined
       ? undefined
-      : kill(task, attempt, evictionGraceSeconds);
+      : killCommand(task, attempt, evictionGraceSeconds);
   }
 
-  /** Adds the starts of assigned tasks that the status doesn't show. */
+  /** Adds start commands for assigned tasks that the status doesn't show. */
   private addStarts(commands: Command[], machine: Machine, status: WorkerStatus): void {
     for (const [key, assigned] of machine.assignments) {
-      if (commands.length >= MAX_COMMANDS) break;
+      if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
       const job = this.ledger.jobs.get(assigned.job);
       const placement = job?.placements.get(assigned.index);
       const attempt = attemptKey(key, assigned.attempt);
       if (!job || !placement || status.byAttempt.has(attempt)) continue;
       if (shouldStopTask(job, placement)) {
-        // A pushed start may still be delivered. Executed and stopped here, it has no effect then.
+        // A start command that was sent directly may still be delivered. Once the attempt has been started and stopped
+        // here, that delivery has no effect.
         if (machine.directStarts.isUnacknowledged(attempt))
-          commands.push(launch(key, assigned.attempt), kill(key, assigned.attempt, 0));
+          commands.push(startCommand(key, assigned.attempt), killCommand(key, assigned.attempt, 0));
       } else if (
         isStartable(job, placement) &&
         (!machine.isDraining || machine.directStarts.isUnacknowledged(attempt))
       ) {
         placement.startSentInResponseTo = { session: status.session, sequence: status.sequence };
-        commands.push(launch(key, assigned.attempt));
+        commands.push(startCommand(key, assigned.attempt));
       }
     }
   }
 }
 
-/** An inherited placement is not started but queued again once its task is proven absent. */
+/** A task of an inherited placement isn't started, but requeued once it is proven absent from the machine. */
 const isStartable = (job: Job, placement: Placement): boolean =>
   !placement.isInherited && isCommitted(job, placement);
--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/anticipated-work.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { AnticipatedWork } from '../../src/leader/anticipated-work.js';
+import { DemandForecast } from '../../src/leader/demand-forecast.js';
 import { SteadyMs, seconds } from '../../src/units/index.js';
 import type { JobSpec } from '../../src/wire/index.js';
 import { jobSpec } from '../support/job-spec.js';
@@ -22,17 +22,17 @@
     ['an urgent job submitted long ago', { priority: 'high' }, 200, false],
   ];
   for (const [name, change, readAt, isExpected] of cases) {
-    const work = new AnticipatedWork(objectives);
-    work.noteSubmission(jobSpec({ taskCount: 4, cpus: 2, ...change }), atSecond(0));
+    const work = new DemandForecast(objectives);
+    work.recordSubmission(jobSpec({ taskCount: 4, cpus: 2, ...change }), atSecond(0));
     // The reserve is not read while no task waits, so the forecast must drop old images itself: it is read first.
-    const forecast = work.anticipated(1000, atSecond(readAt));
+    const forecast = work.anticipatedSubmissions(1000, atSecond(readAt));
     assert.deepEqual(
       forecast.map((submission) => submission.count),
       isExpected ? [4] : [],
       name,
     );
     assert.equal(
-      work.reserve(1000, atSecond(readAt)).get('img-01'),
+      work.reservedCpus(1000, atSecond(readAt)).get('img-01'),
       isExpected ? 16 : undefined,
       name,
     );
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -12,9 +12,12 @@
 import { workerLeaseEnd } from '../../src/fleet/worker-lease.js';
 import { attemptKey, toWorkerStatus } from '../../src/fleet/worker-status.js';
 import type { PlacementIndex } from '../../src/leader/placement-index.js';
-import { CommandSender, type CommandSenderDependencies } from '../../src/leader/command-sender.js';
-import { preparePush } from '../../src/leader/push-commands.js';
-import { ReplyCommands } from '../../src/leader/reply-commands.js';
+import {
+  DirectCommandSender,
+  type DirectCommandSenderDependencies,
+} from '../../src/leader/direct-command-sender.js';
+import { prepareDirectCommands } from '../../src/leader/direct-commands.js';
+import { ResponseCommands } from '../../src/leader/response-commands.js';
 import { Epoch, MachineId, SteadyMs, seconds } from '../../src/units/index.js';
 import { encodeHeartbeat, type Priority } from '../../src/wire/index.js';
 import { emptyFleet, createPlacedTask, type PlacedTask } from '../support/fleet.js';
@@ -86,18 +89,18 @@
       },
     };
     const placements = { fleet, ledger: { jobs: new Map([[job.id, job]]) } };
-    const sender = new CommandSender(
+    const sender = new DirectCommandSender(
       epoch,
       placements as unknown as PlacementIndex,
       { observe: () => undefined },
-      deps as unknown as CommandSenderDependencies,
+      deps as unknown as DirectCommandSenderDependencies,
     );
     // By now the worker's own lease may have expired and a new session may have begun.
     await time.run(lease);
     const previousExpiry = machine.leaseExpiresAt;
     assert.ok(clock.steady() <= previousExpiry);
-    sender.isBusy = isBusy;
-    sender.schedulePush(machineId);
+    sender.isControllerBusy = isBusy;
+    sender.scheduleDirectCommands(machineId);
     await time.run(lease + 10);
     assert.equal(machine.status?.session, session, name);
     assert.equal(machine.status.sequence, responseStatus === 0 ? 9 : 12, name);
@@ -121,8 +124,8 @@
     if (isEvicted) placement.evictionGraceSeconds = 0;
     if (mayStillArrive) machine.directStarts.recordSent(attemptKey(key, placement.attempt));
     const ledger = { jobs: new Map([[job.id, job]]), finalState: () => undefined };
-    const responseCommands = new ReplyCommands(ledger, { clock, settings });
-    const commands = responseCommands.commandsForResponse(machine, toWorkerStatus(heartbeat));
+    const responseCommands = new ResponseCommands(ledger, { clock, settings });
+    const commands = responseCommands.commandsForHeartbeat(machine, toWorkerStatus(heartbeat));
     assert.deepEqual(
       commands.map((command) => command.type),
       types,
@@ -181,7 +184,7 @@
     const task = createPlacedTask(fleet, machineId, SteadyMs(0));
     change(task, machine);
     const jobs = new Map([[task.job.id, task.job]]);
-    const { commands, started } = preparePush(machine, jobs, mayStart);
+    const { commands, startedAttempts: started } = prepareDirectCommands(machine, jobs, mayStart);
     const commandNames = commands.map((command) =>
       command.type === 'kill' ? `kill ${command.gracePeriodSeconds}` : command.type,
     );
@@ -190,6 +193,10 @@
     const isStart = expected.includes('launch');
     assert.deepEqual(started, isStart ? [attempt] : [], name);
     assert.equal(machine.directStarts.isUnacknowledged(attempt), isStart, name);
-    assert.deepEqual(preparePush(machine, jobs, mayStart).commands, [], `${name}: sent once`);
+    assert.deepEqual(
+      prepareDirectCommands(machine, jobs, mayStart).commands,
+      [],
+      `${name}: sent once`,
+    );
   }
 });
--- a/test/unit/gang-lifecycle.test.ts
+++ b/test/unit/gang-lifecycle.test.ts
@@ -7,15 +7,15 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import {
-  nextAction,
-  phaseOf,
+  nextGangAction,
+  gangPhase,
   type GangAction,
   type GangPhase,
   type GangTask,
   type GangState,
 } from '../../src/leader/gang-lifecycle.js';
 import { PlacementIndex } from '../../src/leader/placement-index.js';
-import { GangController } from '../../src/leader/gang-controller.js';
+import { GangManager } from '../../src/leader/gang-manager.js';
 import { Job } from '../../src/ledger/job.js';
 import type { Ledger } from '../../src/ledger/ledger.js';
 import {
@@ -35,12 +35,12 @@
   isReported: true,
   isRunning: true,
   isStopping: false,
-  reclaimIn: undefined,
+  timeToReclaim: undefined,
   isReachable: true,
 };
 const starting: GangTask = { ...running, isRunning: false };
 const placed: GangTask = { ...starting, isReported: false };
-const reclaimedIn = (inMs: number): GangTask => ({ ...running, reclaimIn: ms(inMs) });
+const reclaimedIn = (inMs: number): GangTask => ({ ...running, timeToReclaim: ms(inMs) });
 
 /** Creates a gang of three tasks, each of which takes three seconds to save a checkpoint. */
 const createGang = (tasks: readonly GangTask[], change: Partial<GangState> = {}): GangState => ({
@@ -48,7 +48,7 @@
   waitingCount: 3 - tasks.length,
   doneCount: 0,
   tasks,
-  checkpointTime: seconds(3),
+  checkpointDuration: seconds(3),
   ...change,
 });
 
@@ -59,7 +59,7 @@
     [
       'two tasks do not run yet, because they lack the image',
       createGang([starting, starting, running]),
-      'gathering',
+      'starting',
       'none',
     ],
     ['all tasks run', createGang([running, running, running]), 'running', 'none'],
@@ -67,19 +67,19 @@
       'a task is lost before the gang runs',
       createGang([starting, placed]),
       'stopping',
-      'endAttempt',
+      'stopAttempt',
     ],
     [
       'a task is lost while the gang runs',
       createGang([running, running]),
       'stopping',
-      'endAttempt',
+      'stopAttempt',
     ],
     [
       'a task is lost while another saves its checkpoint',
       createGang([{ ...running, isStopping: true }, running]),
       'stopping',
-      'endAttempt',
+      'stopAttempt',
     ],
     [
       'a task is being stopped',
@@ -97,7 +97,7 @@
       'a machine is reclaimed in 5.5 s: just time for a checkpoint',
       createGang([running, reclaimedIn(5500), running]),
       'running',
-      'saveAndStop',
+      'checkpointAndStop',
     ],
     [
       'a machine is reclaimed in 2.5 s: too late for a checkpoint',
@@ -107,7 +107,7 @@
     ],
     [
       'a machine is reclaimed soon, but the gang has no checkpoints',
-      createGang([running, reclaimedIn(5500), running], { checkpointTime: undefined }),
+      createGang([running, reclaimedIn(5500), running], { checkpointDuration: undefined }),
       'running',
       'none',
     ],
@@ -132,8 +132,8 @@
     ['all tasks are done', createGang([], { doneCount: 3, waitingCount: 0 }), 'done', 'none'],
   ];
   for (const [name, state, phase, action] of cases) {
-    assert.equal(phaseOf(state), phase, name);
-    assert.equal(nextAction(state), action, name);
+    assert.equal(gangPhase(state), phase, name);
+    assert.equal(nextGangAction(state), action, name);
   }
 });
 
@@ -162,11 +162,11 @@
     events: { onCapacityChanged: () => undefined, onGangBroken: () => undefined },
   });
   const unreachable = {
-    canReach: () => false,
-    schedulePush: () => assert.fail('a task was stopped'),
+    canSendTo: () => false,
+    scheduleDirectCommands: () => assert.fail('a task was stopped'),
   };
-  const gangs = new GangController(placements, unreachable, clock);
-  gangs.noteBroken(job);
+  const gangs = new GangManager(placements, unreachable, clock);
+  gangs.onGangBroken(job);
   const wasFinishedAtOnce = job.isFinished;
   await time.run(1);
   assert.equal(wasFinishedAtOnce, false, 'the gang is reviewed in a later turn');
--- a/test/unit/placing-loop.test.ts
+++ b/test/unit/placing-loop.test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import { PlacingLoop } from '../../src/leader/placing-loop.js';
+import { PlacementLoop } from '../../src/leader/placement-loop.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 
 /** Creates a loop whose rounds take `roundDurationMs`, and records when they start. */
@@ -14,7 +14,7 @@
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const startedAt: number[] = [];
-  const loop = new PlacingLoop(clock, pino({ level: 'silent' }), () => {
+  const loop = new PlacementLoop(clock, pino({ level: 'silent' }), () => {
     startedAt.push(time.now);
     time.now += roundDurationMs(startedAt.length);
   });
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -89,7 +89,11 @@
       [50, 0.05, true, false],
     ];
   for (const [machines, cpu, isRedirecting, shouldRedirect] of cases) {
-    const load = { machines, heartbeatInterval: seconds(3), cpu };
+    const load = {
+      machineCount: machines,
+      heartbeatInterval: seconds(3),
+      cpusPerController: cpu,
+    };
     assert.equal(shouldRedirectWorkers(isRedirecting, load), shouldRedirect, `${machines}`);
   }
 });
