--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/demand-forecast.test.ts
@@ -22,17 +22,17 @@
     ['an urgent job submitted long ago', { priority: 'high' }, 200, false],
   ];
   for (const [name, change, readAt, isExpected] of cases) {
-    const work = new DemandForecast(objectives);
-    work.recordSubmission(jobSpec({ taskCount: 4, cpus: 2, ...change }), atSecond(0));
+    const forecast = new DemandForecast(objectives);
+    forecast.recordSubmission(jobSpec({ taskCount: 4, cpus: 2, ...change }), atSecond(0));
     // The reserve is not read while no task waits, so the forecast must drop old images itself: it is read first.
-    const forecast = work.anticipatedSubmissions(1000, atSecond(readAt));
+    const submissions = forecast.anticipatedSubmissions(1000, atSecond(readAt));
     assert.deepEqual(
-      forecast.map((submission) => submission.count),
+      submissions.map((submission) => submission.count),
       isExpected ? [4] : [],
       name,
     );
     assert.equal(
-      work.reservedCpus(1000, atSecond(readAt)).get('img-01'),
+      forecast.reservedCpus(1000, atSecond(readAt)).get('img-01'),
       isExpected ? 16 : undefined,
       name,
     );
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/direct-command-sender.test.ts
@@ -47,7 +47,7 @@
   const { lease } = settings.workers;
   type Case = [
     name: string,
-    isBusy: boolean,
+    isControllerBusy: boolean,
     priority: Priority,
     responseStatus: number,
     session: number,
@@ -55,8 +55,8 @@
   ];
   const cases: Case[] = [
     ['executed: no heartbeat got a response', false, 'normal', 200, 1, false],
-    ['normal priority: not sent while the process is overloaded', true, 'normal', 0, 1, false],
-    ['high priority: not sent while the process is overloaded', true, 'high', 0, 1, false],
+    ['normal priority: not sent while the controller is busy', true, 'normal', 0, 1, false],
+    ['high priority: not sent while the controller is busy', true, 'high', 0, 1, false],
     [
       'refused in a new session: its lease runs from the start of the session',
       false,
@@ -66,7 +66,7 @@
       true,
     ],
   ];
-  for (const [name, isBusy, priority, responseStatus, session, isExtended] of cases) {
+  for (const [name, isControllerBusy, priority, responseStatus, session, isExtended] of cases) {
     const time = new VirtualTime();
     const clock = new ProcessClock(time, 0, 0);
     const fleet = emptyFleet(lease);
@@ -99,7 +99,7 @@
     await time.run(lease);
     const previousExpiry = machine.leaseExpiresAt;
     assert.ok(clock.steady() <= previousExpiry);
-    sender.isControllerBusy = isBusy;
+    sender.isControllerBusy = isControllerBusy;
     sender.scheduleDirectCommands(machineId);
     await time.run(lease + 10);
     assert.equal(machine.status?.session, session, name);
--- a/test/unit/placing-loop.test.ts
+++ b/test/unit/placement-loop.test.ts
@@ -1,5 +1,5 @@
 /**
- * Checks when placing rounds run. A round for each event, or rounds that follow each other without a gap, would
+ * Checks when placement rounds run. A round for each event, or rounds that follow each other without a gap, would
  * occupy the leader so that it renews its lease too late; a round after the end of the term would act without
  * authority.
  */
@@ -21,7 +21,7 @@
   return { time, clock, loop, startedAt };
 }
 
-void test('events within the batch delay lead to one placing round', async () => {
+void test('events within the batch delay lead to one placement round', async () => {
   const { time, loop, startedAt } = createLoop(() => 0);
   loop.schedule();
   await time.run(4);
