--- a/src/api/job-replies.ts
+++ b/src/api/job-responses.ts
@@ -1,28 +1,28 @@
-/** Replies about a job, by what is known of it. */
+/** Responses about a job, depending on what is known of it. */
 import type { StoredJob } from '../ledger/job-records.js';
 import { jobStatusOf, type FinalState, type Job } from '../ledger/job.js';
 import type { JobLookupResult } from '../leader/job-requests.js';
 import { ms, type DurationMs } from '../units/index.js';
 import { JobStatus, encodeJobState } from '../wire/index.js';
-import { NO_SUCH_JOB, TRY_AGAIN, type Reply } from './reply.js';
+import { NO_SUCH_JOB, TRY_AGAIN, type ApiResponse } from './api-response.js';
 
-/** What the store said longer ago than this may not be the latest any more. */
-export const STORE_ANSWER_TTL = ms(250);
+/** A response of the store may be out of date after this time. */
+export const STORE_RESPONSE_TTL = ms(250);
 
-/** The job is in the store, by this submission. */
-export const createdReply = (id: string): Reply => ({
+/** This submission has written the job to the store. */
+export const createdResponse = (id: string): ApiResponse => ({
   status: 201,
   body: encodeJobState({ id, status: JobStatus.pending }),
 });
 
-/** A submission can't be written soon: when to come back, in whole seconds. */
-export const busyReply = (wait: DurationMs): Reply => ({
+/** A submission can't be written soon: tells the client when to retry, in whole seconds. */
+export const busyResponse = (wait: DurationMs): ApiResponse => ({
   status: 429,
   retryAfter: Math.max(1, Math.ceil(wait / 1000)),
 });
 
 /** The job as the store holds it. */
-export function storedJobReply(id: string, stored: StoredJob): Reply {
+export function storedJobResponse(id: string, stored: StoredJob): ApiResponse {
   switch (stored.kind) {
     case 'live':
       return { status: 200, body: liveBody(stored.job) };
@@ -35,14 +35,18 @@
   }
 }
 
-/** The job as the leader knows it; `absent` is the reply if there is none. */
-export function jobAnswerReply(id: string, answer: JobLookupResult, absent: Reply): Reply {
-  switch (answer.kind) {
+/** The job as the leader knows it; `absent` is the response if the job does not exist. */
+export function leaderJobResponse(
+  id: string,
+  result: JobLookupResult,
+  absent: ApiResponse,
+): ApiResponse {
+  switch (result.kind) {
     case 'live':
-      // Not committed yet: the job may still come to nothing.
-      return answer.job.revision > 0 ? { status: 200, body: liveBody(answer.job) } : TRY_AGAIN;
+      // Revision 0 is not committed yet, so the submission may still fail.
+      return result.job.revision > 0 ? { status: 200, body: liveBody(result.job) } : TRY_AGAIN;
     case 'final':
-      return { status: 200, body: finalBody(id, answer.final) };
+      return { status: 200, body: finalBody(id, result.final) };
     case 'absent':
       return absent;
     case 'unknown':
@@ -51,11 +55,11 @@
 }
 
 function liveBody(job: Job): object {
-  // Only what is committed is shown; a cancellation that a follower wrote is.
-  const cancelled =
+  // Users only see committed state, which includes a cancellation that a follower wrote.
+  const isCancellationCommitted =
     job.committedProgress.isCancelled || (job.isCancelled && job.committedVersion >= job.version);
   const status = jobStatusOf(
-    { ...job.committedProgress, isCancelled: cancelled },
+    { ...job.committedProgress, isCancelled: isCancellationCommitted },
     job.spec.taskCount,
   );
   return encodeJobState({
--- /dev/null
+++ b/src/api/user-request-handler.ts
@@ -0,0 +1,106 @@
+/**
+ * Routes users' requests by path and method: submissions, reads and cancellations. This controller handles them
+ * itself while it leads. Otherwise it relays them to the leader or, without a reachable leader, uses the store
+ * as far as that is possible.
+ */
+import type { Logger } from 'pino';
+import type { AdmissionControl } from '../ledger/admission-control.js';
+import type { JobRecords } from '../ledger/job-records.js';
+import type { UserPeerRequest } from '../peer/messages.js';
+import { ms, type Clock } from '../units/index.js';
+import { JobHandler } from './job-handler.js';
+import type { LeaderView } from './leader-view.js';
+import {
+  ISOLATED,
+  METHOD_NOT_ALLOWED,
+  NO_SUCH_PATH,
+  TRY_AGAIN,
+  type ApiResponse,
+} from './api-response.js';
+import { SubmissionHandler } from './submission-handler.js';
+
+/** A user's request that takes longer than this gets its final response, `TRY_AGAIN`. */
+const MAX_REQUEST_TIME = ms(2500);
+
+const JOBS_PATH = '/v1/jobs';
+const JOB_PATH = /^\/v1\/jobs\/([^/]+)$/;
+const CANCEL_PATH = /^\/v1\/jobs\/([^/]+)\/abort$/;
+
+/** The parts of the controller that handling users' requests depends on. */
+export interface UserRequestDependencies {
+  readonly admission: AdmissionControl;
+  readonly leadership: LeaderView;
+  readonly jobRecords: JobRecords;
+  readonly clock: Clock;
+  readonly log: Logger;
+  /** Whether this controller alone is cut off from the store and its peers. */
+  readonly isIsolated: () => boolean;
+}
+
+/** Handles users' requests, both direct ones and those that a peer relays. */
+export class UserRequestHandler {
+  private readonly jobHandler: JobHandler;
+  private readonly submissionHandler: SubmissionHandler;
+
+  constructor(private readonly deps: UserRequestDependencies) {
+    this.jobHandler = new JobHandler(deps.leadership, deps.jobRecords, deps.clock);
+    this.submissionHandler = new SubmissionHandler({ ...deps, jobHandler: this.jobHandler });
+  }
+
+  /** Handles a request that a user sent to this controller over HTTP. */
+  async handle(method: string, path: string, body: Buffer): Promise<ApiResponse> {
+    if (this.deps.isIsolated()) return ISOLATED;
+    if (path === JOBS_PATH) {
+      if (method !== 'POST') return METHOD_NOT_ALLOWED;
+      return this.withDeadline(this.submissionHandler.submit(body, 'relay'));
+    }
+    const jobId = JOB_PATH.exec(path)?.[1];
+    if (jobId !== undefined) {
+      if (method !== 'GET') return METHOD_NOT_ALLOWED;
+      return this.withDeadline(this.jobHandler.read(jobId, 'relay'));
+    }
+    const cancelledJobId = CANCEL_PATH.exec(path)?.[1];
+    if (cancelledJobId !== undefined) {
+      if (method !== 'POST') return METHOD_NOT_ALLOWED;
+      return this.withDeadline(this.jobHandler.cancel(cancelledJobId, 'relay'));
+    }
+    return NO_SUCH_PATH;
+  }
+
+  /**
+   * Handles a request that a peer relayed, but only while this controller leads: relaying it again could
+   * send it round in a loop.
+   */
+  async handleRelayed(request: UserPeerRequest): Promise<ApiResponse> {
+    if (!this.deps.leadership.authorisedTerm()?.isReady) return TRY_AGAIN;
+    switch (request.type) {
+      case 'submitJob':
+        return this.withDeadline(this.submissionHandler.submit(request.body, 'handleLocally'));
+      case 'readJob':
+        return this.withDeadline(this.jobHandler.read(request.job, 'handleLocally'));
+      case 'cancelJob':
+        return this.withDeadline(this.jobHandler.cancel(request.job, 'handleLocally'));
+    }
+  }
+
+  /** Responds with `TRY_AGAIN` if the work takes longer than `MAX_REQUEST_TIME` or fails. */
+  private withDeadline(work: Promise<ApiResponse>): Promise<ApiResponse> {
+    return new Promise((resolve) => {
+      const timer = this.deps.clock.after(MAX_REQUEST_TIME, () => resolve(TRY_AGAIN));
+      work.then(
+        (response) => {
+          timer.cancel();
+          resolve(response);
+        },
+        (error: unknown) => {
+          timer.cancel();
+          this.deps.log.error(
+            { err: error },
+            "handling a user's request failed; the user is told to retry",
+          );
+          resolve(TRY_AGAIN);
+        },
+      );
+    });
+  }
+}
--- /dev/null
+++ b/src/api/worker-heartbeat-handler.ts
@@ -0,0 +1,238 @@
+/**
+ * Handles workers' heartbeats: the leader responds under its authority, the followers relay to the leader.
+ * Only the leader may cause a 200, since a 200 renews the lease of all tasks on a machine.
+ */
+import type { Term } from '../leader/term.js';
+import type { PeerResponse, RelayedHeartbeat, HeartbeatResponse } from '../peer/messages.js';
+import type { HeartbeatRelay } from '../relay/heartbeat-relay.js';
+import {
+  MachineId,
+  later,
+  ms,
+  seconds,
+  durationBetween,
+  sleep,
+  type Clock,
+  type NodeId,
+  type SteadyMs,
+} from '../units/index.js';
+import { ExpiringMap } from '../units/expiring-map.js';
+import {
+  decode,
+  decodeHeartbeat,
+  encodeHeartbeatReply,
+  encodeRedirect,
+  type Heartbeat,
+} from '../wire/index.js';
+import type { LeaderView } from './leader-view.js';
+import { INVALID_HEARTBEAT, CANNOT_ANSWER_HEARTBEAT, type ApiResponse } from './api-response.js';
+
+/**
+ * A failed leader is replaced after about the duration of its lease. If the leader key still names a leader that
+ * has not responded for longer than this, it still leads and only this controller can't reach it.
+ */
+const LEADER_UNREACHABLE_AFTER = seconds(5);
+/**
+ * The number of relayed heartbeats handled in one turn of the event loop. A new leader has hundreds of them
+ * to handle, with code that the JIT has not compiled yet, and must be able to renew its lease in between.
+ */
+const HEARTBEATS_PER_EVENT_LOOP_TURN = 20;
+/**
+ * Once the response to a batch holds this many commands, the remaining heartbeats are refused and wait for another
+ * batch, so that the response fits a frame.
+ */
+const MAX_COMMANDS_PER_BATCH = 2000;
+/** A redirected worker that returns within this time can't reach the controller it was sent to. */
+const FAILED_REDIRECT_WINDOW = seconds(9);
+/** How long such a worker is served here instead of being redirected again. */
+const REDIRECT_SUPPRESSION_TIME = seconds(20);
+/** A redirect is forgotten after this time. */
+const REDIRECT_TTL = seconds(60);
+
+/** The redirect of a worker to another controller. */
+interface Redirect {
+  readonly redirectedAt: SteadyMs;
+  /** Until when the worker is served here; set once it returned within `FAILED_REDIRECT_WINDOW`. */
+  servedLocallyUntil: SteadyMs | undefined;
+}
+
+const REFUSED: HeartbeatResponse = { outcome: 'refused', baseline: 0, commands: [] };
+const BASELINE_UNKNOWN: HeartbeatResponse = {
+  outcome: 'baselineUnknown',
+  baseline: 0,
+  commands: [],
+};
+
+/** The parts of the controller that handling heartbeats depends on. */
+export interface WorkerHeartbeatDependencies {
+  /** The id of this controller. */
+  readonly controllerId: NodeId;
+  readonly leadership: LeaderView;
+  readonly relay: HeartbeatRelay;
+  readonly clock: Clock;
+  /** Whether this controller alone is cut off from the store and its peers. */
+  readonly isIsolated: () => boolean;
+}
+
+/** Handles workers' heartbeats, both direct ones and those that a peer relays. */
+export class WorkerHeartbeatHandler {
+  private readonly redirects = new ExpiringMap<MachineId, Redirect>(REDIRECT_TTL);
+  /** Since when the known leader has been unresponsive. */
+  private leaderUnreachableSince: SteadyMs | undefined;
+  private readonly leadership: LeaderView;
+  private readonly clock: Clock;
+
+  constructor(private readonly deps: WorkerHeartbeatDependencies) {
+    this.leadership = deps.leadership;
+    this.clock = deps.clock;
+  }
+
+  /** Handles a heartbeat that a worker sent to this controller. */
+  async handle(body: Buffer): Promise<ApiResponse> {
+    const heartbeat = parseHeartbeat(body);
+    if (!heartbeat) return INVALID_HEARTBEAT;
+    const term = this.leadership.authorisedTerm();
+    if (term) return this.respondAsLeader(heartbeat, term);
+    // The controller that this one takes for the leader may have ended long ago.
+    if (this.deps.isIsolated()) return CANNOT_ANSWER_HEARTBEAT;
+    const leader = this.unreachableLeader();
+    // The worker may be able to reach the leader even though this controller can't.
+    if (leader !== undefined && !this.hasRedirectFailed(heartbeat.machine))
+      return redirectTo(leader);
+    const response = await this.deps.relay.send(heartbeat, body.length);
+    if (response) return { status: 200, body: encodeHeartbeatReply(response) };
+    // This controller may have become the leader while it waited for a response.
+    const ownTerm = this.leadership.authorisedTerm();
+    return ownTerm ? this.respondAsLeader(heartbeat, ownTerm) : CANNOT_ANSWER_HEARTBEAT;
+  }
+
+  /** The leader, if it is a peer that has been unresponsive for longer than a failover takes. */
+  private unreachableLeader(): NodeId | undefined {
+    const leader = this.leadership.leaderId();
+    if (leader === undefined || leader === this.deps.controllerId || this.leadership.leaderPeer()) {
+      this.leaderUnreachableSince = undefined;
+      return undefined;
+    }
+    const now = this.clock.steady();
+    this.leaderUnreachableSince ??= now;
+    return durationBetween(this.leaderUnreachableSince, now) > LEADER_UNREACHABLE_AFTER
+      ? leader
+      : undefined;
+  }
+
+  private async respondAsLeader(heartbeat: Heartbeat, term: Term): Promise<ApiResponse> {
+    // The worker has seen a newer fencing token, so this term has been superseded.
+    if (heartbeat.fencingToken > term.epoch) return CANNOT_ANSWER_HEARTBEAT;
+    const follower = term.isRedirectingWorkers
+      ? this.redirectTargetFor(heartbeat.machine)
+      : undefined;
+    if (follower !== undefined && !this.hasRedirectFailed(heartbeat.machine))
+      return redirectTo(follower);
+    if (!(await this.waitUntilReady(term))) return CANNOT_ANSWER_HEARTBEAT;
+    const response = term.handleHeartbeat(heartbeat);
+    return this.leadership.authorisedTerm() === term
+      ? { status: 200, body: encodeHeartbeatReply(response) }
+      : CANNOT_ANSWER_HEARTBEAT;
+  }
+
+  /**
+   * Waits until the term has read the records, and returns whether it may respond. A 200 keeps all tasks of a
+   * worker alive, so it requires knowing which of them are cancelled. Otherwise a series of leaders that each
+   * end before they know would keep cancelled tasks running past their deadline.
+   */
+  private async waitUntilReady(term: Term): Promise<boolean> {
+    if (!term.isReady) await term.recoverySettled;
+    return term.isReady && this.leadership.authorisedTerm() === term;
+  }
+
+  /** Handles heartbeats that a peer relayed and returns one response for each, in the same order. */
+  async handleRelayed(
+    sender: NodeId,
+    epoch: number,
+    heartbeats: readonly RelayedHeartbeat[],
+  ): Promise<PeerResponse> {
+    const term = this.leadership.authorisedTerm();
+    if (!term || !(await this.waitUntilReady(term))) return allRefused(heartbeats.length);
+    const responses: HeartbeatResponse[] = [];
+    let commandCount = 0;
+    for (const relayed of heartbeats) {
+      if (responses.length > 0 && responses.length % HEARTBEATS_PER_EVENT_LOOP_TURN === 0) {
+        await sleep(this.clock, ms(0));
+        if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
+      }
+      const isFull = commandCount >= MAX_COMMANDS_PER_BATCH;
+      const response = isFull ? REFUSED : this.respondToRelayed(term, sender, epoch, relayed);
+      commandCount += response.commands.length;
+      responses.push(response);
+    }
+    // These responses may lead to a 200 only if the term still has authority after all heartbeats are handled.
+    if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
+    return { type: 'heartbeatResponses', epoch: term.epoch, responses };
+  }
+
+  private respondToRelayed(
+    term: Term,
+    sender: NodeId,
+    epoch: number,
+    relayed: RelayedHeartbeat,
+  ): HeartbeatResponse {
+    if (relayed.kind === 'full') {
+      if (relayed.heartbeat.fencingToken > term.epoch) return REFUSED;
+      const { response, baseline } = term.handleRelayedHeartbeat(relayed.heartbeat, sender);
+      return { outcome: 'accepted', baseline, commands: response.commands };
+    }
+    if (relayed.fencingToken > term.epoch) return REFUSED;
+    if (epoch !== term.epoch) return BASELINE_UNKNOWN;
+    const response = term.handleUnchangedHeartbeat(relayed, sender);
+    if (!response) return BASELINE_UNKNOWN;
+    return { outcome: 'accepted', baseline: relayed.unchangedSince, commands: response.commands };
+  }
+
+  /** The follower that a worker is redirected to; undefined if no peer is responsive. */
+  private redirectTargetFor(machine: string): NodeId | undefined {
+    const peerIds = this.leadership.responsivePeerIds();
+    let hash = 0;
+    for (let i = 0; i < machine.length; i++) hash = (hash * 31 + machine.charCodeAt(i)) >>> 0;
+    return peerIds[hash % Math.max(1, peerIds.length)];
+  }
+
+  /**
+   * Whether a redirected worker returned so soon that it can't have reached its target; it is then served here
+   * for a while. Otherwise the worker is recorded as redirected now.
+   */
+  private hasRedirectFailed(machine: string): boolean {
+    const id = MachineId(machine);
+    const now = this.clock.steady();
+    const redirect = this.redirects.get(id);
+    if (redirect && isServedLocally(redirect, now)) {
+      redirect.servedLocallyUntil ??= later(now, REDIRECT_SUPPRESSION_TIME);
+      return true;
+    }
+    this.redirects.set(id, { redirectedAt: now, servedLocallyUntil: undefined }, now);
+    return false;
+  }
+}
+
+const isServedLocally = ({ redirectedAt, servedLocallyUntil }: Redirect, now: SteadyMs): boolean =>
+  servedLocallyUntil === undefined
+    ? durationBetween(redirectedAt, now) < FAILED_REDIRECT_WINDOW
+    : now < servedLocallyUntil;
+
+const redirectTo = (controllerId: NodeId): ApiResponse => ({
+  status: 421,
+  body: encodeRedirect(controllerId),
+});
+
+const allRefused = (count: number): PeerResponse => ({
+  type: 'heartbeatResponses',
+  epoch: 0,
+  responses: Array.from({ length: count }, () => REFUSED),
+});
+
+function parseHeartbeat(body: Buffer): Heartbeat | undefined {
+  try {
+    return decodeHeartbeat(decode(body));
+  } catch {
+    return undefined;
+  }
+}
--- a/test/unit/peer.test.ts
+++ b/test/unit/peer.test.ts
@@ -1,5 +1,5 @@
 /**
- * Checks the channel between controllers: its messages, the link and the server. Guards against messages that are
+ * Checks the connections between controllers: the messages, the client and the server. Guards against messages that are
  * decoded to something else, against an unreadable message that floods the log or blocks other peers, and against a
  * slow peer that counts as gone or a dead one that counts as responsive.
  */
@@ -13,9 +13,9 @@
   encodeRequest,
   encodeResponse,
 } from '../../src/peer/codec.js';
-import { PeerLink } from '../../src/peer/link.js';
+import { PeerClient } from '../../src/peer/peer-client.js';
 import type { PeerRequest, PeerResponse } from '../../src/peer/messages.js';
-import { servePeers } from '../../src/peer/server.js';
+import { createPeerServer } from '../../src/peer/peer-server.js';
 import { Endpoint, NodeId, ms, seconds } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import type { Heartbeat, Command } from '../../src/wire/index.js';
@@ -120,7 +120,7 @@
 void test('a peer that sends an unreadable message is disconnected, and repeats are not logged', async () => {
   const logged: string[] = [];
   const log = pino({ level: 'warn' }, { write: (line) => logged.push(line) });
-  const server = servePeers(() => Promise.resolve({ type: 'acknowledged', ok: true }), log);
+  const server = createPeerServer(() => Promise.resolve({ type: 'acknowledged', ok: true }), log);
   const endpoint = await listen(server);
   const port = Number(endpoint.split(':')[1]);
   for (let i = 0; i < 2; i++) {
@@ -130,12 +130,12 @@
     await new Promise((resolve) => invalidPeer.on('close', resolve));
   }
   assert.equal(logged.length, 1);
-  const link = new PeerLink(endpoint, systemClock, log);
+  const client = new PeerClient(endpoint, systemClock, log);
   try {
-    const response = await link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
+    const response = await client.sendRequest({ type: 'readJob', job: 'run-000001' }, seconds(60));
     assert.deepEqual(toPlain(response), { type: 'acknowledged', ok: true });
   } finally {
-    link.close();
+    client.close();
     server.close();
   }
 });
@@ -147,28 +147,28 @@
   const pendingResponses: (() => void)[] = [];
   let onArrival = (): void => undefined;
   const firstArrival = new Promise<void>((resolve) => (onArrival = resolve));
-  const server = servePeers(async () => {
+  const server = createPeerServer(async () => {
     const responseDue = new Promise<void>((resolve) => pendingResponses.push(resolve));
     onArrival();
     await responseDue;
     return { type: 'acknowledged', ok: true };
   }, log);
-  const link = new PeerLink(await listen(server), clock, log);
+  const client = new PeerClient(await listen(server), clock, log);
   try {
-    const first = link.request({ type: 'readJob', job: 'run-000001' }, seconds(60));
+    const first = client.sendRequest({ type: 'readJob', job: 'run-000001' }, seconds(60));
     await firstArrival;
-    assert.ok(link.responsive, 'a request has just been sent');
-    const second = link.request({ type: 'peerHeartbeat', status }, ms(800));
+    assert.ok(client.isResponsive, 'a request has just been sent');
+    const second = client.sendRequest({ type: 'peerHeartbeat', status }, ms(800));
     await time.run(time.now + 900);
     assert.equal(await second, undefined);
-    assert.ok(link.responsive, 'a response is late');
+    assert.ok(client.isResponsive, 'a response is late');
     await time.run(time.now + 2000);
-    assert.ok(!link.responsive, 'no response for long');
+    assert.ok(!client.isResponsive, 'no response for long');
     for (const sendResponse of pendingResponses) sendResponse();
     assert.deepEqual(toPlain(await first), { type: 'acknowledged', ok: true });
-    assert.ok(link.responsive, 'a response has arrived');
+    assert.ok(client.isResponsive, 'a response has arrived');
   } finally {
-    link.close();
+    client.close();
     server.close();
   }
 });
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-requests.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Reply } from '../../src/api/reply.js';
+import type { ApiResponse } from '../../src/api/api-response.js';
 import { MachineCatalog } from '../../src/cloud/machine-catalog.js';
 import { parseSettings } from '../../src/config/settings.js';
 import type { StoredJob } from '../../src/ledger/job-records.js';
@@ -216,8 +216,8 @@
     follower.loseAuthority();
     const body = encode({});
     follower.peers.set(NodeId('node-0'), {
-      responsive: true,
-      request: () =>
+      isResponsive: true,
+      sendRequest: () =>
         Promise.resolve(
           leaderStatus === undefined
             ? undefined
@@ -232,7 +232,7 @@
       return create ?? 'unknown';
     };
     follower.jobRecords.lookUp = () => Promise.resolve(stored ?? { kind: 'unknown' });
-    const replies: Reply[] = [];
+    const replies: ApiResponse[] = [];
     void follower.userRequests
       .handle('POST', '/v1/jobs', encode(encodeJobSpec(jobSpec({}))))
       .then((reply) => replies.push(reply));
