--- a/test/support/leader-request-handlers.ts
+++ b/test/support/leader-request-handlers.ts
@@ -58,7 +58,7 @@
   );
   leadership.term = term as unknown as Term;
   const isIsolated = (): boolean => false;
-  const userRequests = new UserRequestHandler({
+  const userRequestHandler = new UserRequestHandler({
     admission: new AdmissionControl(catalog, settings.teams, new RecordLimits(settings.state)),
     leadership,
     jobRecords,
@@ -66,7 +66,7 @@
     log: pino({ level: 'silent' }),
     isIsolated,
   });
-  const workerHeartbeats = new WorkerHeartbeatHandler({
+  const workerHeartbeatHandler = new WorkerHeartbeatHandler({
     controllerId: settings.node,
     leadership,
     relay: new HeartbeatRelay({
@@ -82,8 +82,8 @@
     epoch = undefined;
   };
   return {
-    userRequests,
-    workerHeartbeats,
+    userRequestHandler,
+    workerHeartbeatHandler,
     term,
     peers,
     jobRecords,
--- a/test/unit/user-requests.test.ts
+++ b/test/unit/user-request-handler.test.ts
@@ -36,13 +36,14 @@
   ];
   for (const [name, method, path, found, expected] of cases) {
     for (const losesAuthority of [false, true]) {
-      const { userRequests, loseAuthority, resolveLookup } = createLeaderRequestHandlers(found);
-      const reply = userRequests.handle(method, path, body);
+      const { userRequestHandler, loseAuthority, resolveLookup } =
+        createLeaderRequestHandlers(found);
+      const response = userRequestHandler.handle(method, path, body);
       await Promise.resolve();
       // The process was suspended here, and another controller has become leader.
       if (losesAuthority) loseAuthority();
       resolveLookup();
-      const { status } = await reply;
+      const { status } = await response;
       assert.equal(status, losesAuthority ? 503 : expected, name);
     }
   }
@@ -155,13 +156,13 @@
       await sleep(follower.clock, ms(readMs));
       return stored;
     };
-    let repliedStatus = 0;
-    void follower.userRequests
+    let responseStatus = 0;
+    void follower.userRequestHandler
       .handle('GET', `/v1/jobs/${JOB_ID}`, Buffer.alloc(0))
-      .then((reply) => (repliedStatus = reply.status));
+      .then((response) => (responseStatus = response.status));
     await new Promise((resolve) => setImmediate(resolve));
     await follower.time.run(1000);
-    assert.equal(repliedStatus, status, name);
+    assert.equal(responseStatus, status, name);
   }
 });
 
@@ -232,15 +233,15 @@
       return create ?? 'unknown';
     };
     follower.jobRecords.lookUp = () => Promise.resolve(stored ?? { kind: 'unknown' });
-    const replies: ApiResponse[] = [];
-    void follower.userRequests
+    const responses: ApiResponse[] = [];
+    void follower.userRequestHandler
       .handle('POST', '/v1/jobs', encode(encodeJobSpec(jobSpec({}))))
-      .then((reply) => replies.push(reply));
+      .then((response) => responses.push(response));
     await new Promise((resolve) => setImmediate(resolve));
     await follower.time.run(1000);
-    const [reply] = replies;
-    assert.equal(reply?.status, status, name);
-    if (retryAfter !== undefined) assert.equal(reply.retryAfter, retryAfter, name);
+    const [response] = responses;
+    assert.equal(response?.status, status, name);
+    if (retryAfter !== undefined) assert.equal(response.retryAfter, retryAfter, name);
     assert.equal(creationCount, create === undefined ? 0 : 1, name);
   }
 });
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeat-handler.test.ts
@@ -29,7 +29,7 @@
 void test('a heartbeat gets no 200 before the leader knows which jobs are cancelled', async () => {
   for (const becomesReady of [true, false]) {
     for (const isRelayed of [true, false]) {
-      const { workerHeartbeats, term } = createLeaderRequestHandlers({ kind: 'absent' });
+      const { workerHeartbeatHandler, term } = createLeaderRequestHandlers({ kind: 'absent' });
       let settleRecovery = (): void => undefined;
       Object.assign(term, {
         isReady: false,
@@ -37,16 +37,16 @@
       });
       const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-1') };
       const accepted = isRelayed
-        ? workerHeartbeats
+        ? workerHeartbeatHandler
             .handleRelayed(NodeId('node-1'), EPOCH, [full])
             .then(
               (response) =>
                 response.type === 'heartbeatResponses' &&
                 response.responses[0]?.outcome === 'accepted',
             )
-        : workerHeartbeats
+        : workerHeartbeatHandler
             .handle(encode(encodeHeartbeat(heartbeatOf('vm-1'))))
-            .then((reply) => reply.status === 200);
+            .then((response) => response.status === 200);
       await Promise.resolve();
       term.isReady = becomesReady;
       settleRecovery();
@@ -62,7 +62,7 @@
     ['authority ended while it was handled', 3, true, 'refused'],
   ];
   for (const [name, token, losesAuthority, outcome] of cases) {
-    const { workerHeartbeats, term, loseAuthority } = createLeaderRequestHandlers({
+    const { workerHeartbeatHandler, term, loseAuthority } = createLeaderRequestHandlers({
       kind: 'absent',
     });
     const handle = term.handleRelayedHeartbeat;
@@ -73,7 +73,7 @@
       },
     });
     const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-1', token) };
-    const response = await workerHeartbeats.handleRelayed(NodeId('node-1'), EPOCH, [full]);
+    const response = await workerHeartbeatHandler.handleRelayed(NodeId('node-1'), EPOCH, [full]);
     assert.ok(response.type === 'heartbeatResponses');
     assert.equal(response.responses[0]?.outcome, outcome, name);
   }
@@ -99,32 +99,37 @@
 });
 
 void test('a leader under high load redirects workers, and serves those that come back at once', async () => {
-  const { workerHeartbeats, term, peers } = createLeaderRequestHandlers({ kind: 'absent' });
+  const { workerHeartbeatHandler, term, peers } = createLeaderRequestHandlers({ kind: 'absent' });
   Object.assign(term, { isRedirectingWorkers: true });
   const status = async (machine: string) =>
-    (await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf(machine))))).status;
+    (await workerHeartbeatHandler.handle(encode(encodeHeartbeat(heartbeatOf(machine))))).status;
   assert.equal(await status('vm-0'), 200, 'no other controller responds');
   peers.set(NodeId('node-1'), {
     isResponsive: true,
     sendRequest: () => Promise.resolve(undefined),
   });
-  assert.deepEqual(await workerHeartbeats.handle(encode(encodeHeartbeat(heartbeatOf('vm-1')))), {
-    status: 421,
-    body: { clerk: 'node-1' },
-  });
+  assert.deepEqual(
+    await workerHeartbeatHandler.handle(encode(encodeHeartbeat(heartbeatOf('vm-1')))),
+    {
+      status: 421,
+      body: { clerk: 'node-1' },
+    },
+  );
   assert.equal(
     await status('vm-1'),
     200,
     'back at once: the worker cannot reach the other controller',
   );
   const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-2') };
-  const relayedResponse = await workerHeartbeats.handleRelayed(NodeId('node-1'), EPOCH, [full]);
+  const relayedResponse = await workerHeartbeatHandler.handleRelayed(NodeId('node-1'), EPOCH, [
+    full,
+  ]);
   assert.ok(relayedResponse.type === 'heartbeatResponses');
   assert.equal(relayedResponse.responses[0]?.outcome, 'accepted', 'relayed by another controller');
 });
 
 void test('the commands in the response to a batch fit in one frame, and further heartbeats are left to another batch', async () => {
-  const { workerHeartbeats, term, time } = createLeaderRequestHandlers({ kind: 'absent' });
+  const { workerHeartbeatHandler, term, time } = createLeaderRequestHandlers({ kind: 'absent' });
   const task = `run-${'9'.repeat(20)}/99999`;
   const commands = Array.from({ length: 300 }, (_, i): Command => {
     return { type: 'kill', task, attempt: 2 ** 40 + i, gracePeriodSeconds: 10 };
@@ -139,7 +144,7 @@
   const batch = Array.from({ length: 60 }, (_, i) => {
     return { kind: 'full' as const, heartbeat: heartbeatOf(`vm-${i}`) };
   });
-  const pending = workerHeartbeats.handleRelayed(NodeId('node-1'), EPOCH, batch);
+  const pending = workerHeartbeatHandler.handleRelayed(NodeId('node-1'), EPOCH, batch);
   await new Promise((resolve) => setImmediate(resolve));
   await time.run(1000);
   const response = await pending;
