--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -5,7 +5,7 @@
 import { systemClock } from '../../src/units/system-clock.js';
 import { ms } from '../../src/units/index.js';
 import { MAX_BODY_BYTES, decode, encode, type MachineType } from '../../src/wire/index.js';
-import { settingsFile } from '../support/settings.js';
+import { settingsFile } from '../support/settings-file.js';
 import type { TimeSource } from './clock.js';
 import { Cloud, type RentedMachine } from './cloud.js';
 import type { Handler } from './network.js';
--- a/test/support/api.ts
+++ b/test/support/leader-request-handlers.ts
@@ -1,4 +1,4 @@
-/** The parts that answer requests, around a term that a test controls. */
+/** The HTTP handlers of a leader whose term is a stub, so that a test decides when and with what the term responds. */
 import { pino } from 'pino';
 import { LeaderView } from '../../src/api/leader-view.js';
 import { UserRequestHandler } from '../../src/api/user-request-handler.js';
@@ -15,34 +15,34 @@
 import { Epoch, JobId, ControllerId } from '../../src/units/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { machineTypes } from '../standin/machine-types.js';
-import { settingsFile } from './settings.js';
+import { settingsFile } from './settings-file.js';
 
-/** The job that tests ask about. */
-export const JOB = JobId('run-000001');
-/** The epoch under which the node leads. */
+/** The id of the job to which test requests refer. */
+export const JOB_ID = JobId('run-000001');
+/** The epoch of the leader's term. */
 export const EPOCH = Epoch(7);
 
 /**
- * What answers HTTP on a node that leads until `loseAuthority` is called; its term answers every request
- * about a job with `found`, when `answer` is called.
+ * Creates the handlers of user requests and heartbeats on a controller that leads until `loseAuthority` is called.
+ * Its term resolves each request for a job with `lookupResult` once `resolveLookup` is called.
  */
-export function leadingNode(found: JobLookupResult) {
+export function createLeaderRequestHandlers(lookupResult: JobLookupResult) {
   const settings = parseSettings(settingsFile(0));
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const jobRecords = {} as JobRecords;
   let epoch: Epoch | undefined = EPOCH;
-  let answer = (): void => undefined;
-  const answerLater = (): Promise<JobLookupResult> =>
-    new Promise((resolve) => (answer = () => resolve(found)));
+  let resolveLookup = (): void => undefined;
+  const lookUpLater = (): Promise<JobLookupResult> =>
+    new Promise((resolve) => (resolveLookup = () => resolve(lookupResult)));
   const term = {
     epoch,
     isClosed: false,
     isReady: true,
     isRedirectingWorkers: false,
-    findJob: answerLater,
-    cancelJob: answerLater,
-    submitJob: answerLater,
+    findJob: lookUpLater,
+    cancelJob: lookUpLater,
+    submitJob: lookUpLater,
     handleHeartbeat: () => ({ fencingToken: EPOCH, commands: [] }),
     handleRelayedHeartbeat: () => ({
       response: { fencingToken: EPOCH, commands: [] },
@@ -58,7 +58,7 @@
   );
   leadership.term = term as unknown as Term;
   const isIsolated = (): boolean => false;
-  const userRequests = new UserRequestHandler({
+  const userRequestHandler = new UserRequestHandler({
     admission: new AdmissionControl(
       catalog,
       settings.teams,
@@ -70,7 +70,7 @@
     log: pino({ level: 'silent' }),
     isIsolated,
   });
-  const workerHeartbeats = new WorkerHeartbeatHandler({
+  const workerHeartbeatHandler = new WorkerHeartbeatHandler({
     controllerId: settings.controllerId,
     leadership,
     relay: new HeartbeatRelay({
@@ -86,14 +86,14 @@
     epoch = undefined;
   };
   return {
-    userRequests,
-    workerHeartbeats,
+    userRequestHandler,
+    workerHeartbeatHandler,
     term,
     peers,
     jobRecords,
     time,
     clock,
     loseAuthority,
-    answer: () => answer(),
+    resolveLookup: () => resolveLookup(),
   };
 }
