--- a/test/sim/gangs.test.ts
+++ b/test/sim/gangs.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../../src/wire/index.js';
-import { badDay, settle, submitGang } from '../standin/day.js';
+import { runFaultScenario, recoverAndVerify, submitRandomGang } from '../standin/fault-scenario.js';
 import type { GangRun } from '../standin/gang-run.js';
-import { World } from '../standin/world.js';
+import { SimulatedCluster } from '../standin/simulated-cluster.js';
 
 const GANG: Partial<JobSpec> = {
   kind: 'ensemble',
@@ -15,142 +15,154 @@
   checkpointSeconds: 2,
 };
 
-function gangOf(world: World, id: string): GangRun {
-  const gang = world.jobs.get(id)?.gang;
+function gangOf(cluster: SimulatedCluster, id: string): GangRun {
+  const gang = cluster.jobs.get(id)?.gang;
   assert.ok(gang);
   return gang;
 }
 
-/** A world in which one gang is submitted. */
-async function worldWithGang(seed: number, change: Partial<JobSpec>, runMs: number) {
-  const world = new World({ seed });
-  await world.run(2500);
-  const id = world.users.submit({ ...GANG, ...change }, runMs);
-  return { world, id, gang: gangOf(world, id) };
+/** A cluster in which one gang is submitted. */
+async function createClusterWithGang(seed: number, change: Partial<JobSpec>, runMs: number) {
+  const cluster = new SimulatedCluster({ seed });
+  await cluster.run(2500);
+  const id = cluster.users.submit({ ...GANG, ...change }, runMs);
+  return { cluster, id, gang: gangOf(cluster, id) };
 }
 
-async function untilRunning(world: World, gang: GangRun): Promise<void> {
-  for (let i = 0; i < 300 && gang.starts === 0; i++) await world.run(200);
-  assert.equal(gang.starts, 1);
+async function untilRunning(cluster: SimulatedCluster, gang: GangRun): Promise<void> {
+  for (let i = 0; i < 300 && gang.startCount === 0; i++) await cluster.run(200);
+  assert.equal(gang.startCount, 1);
 }
 
-const firstMachine = (world: World, id: string): string => world.machinesOf(id)[0] ?? '';
+const firstMachine = (cluster: SimulatedCluster, id: string): string =>
+  cluster.machinesOf(id)[0] ?? '';
 
 void test('gangs of several sizes run whole, once, and are done', async () => {
-  const world = new World({ seed: 11 });
-  await world.run(2500);
+  const cluster = new SimulatedCluster({ seed: 11 });
+  await cluster.run(2500);
   const ids = [
-    world.users.submit({ ...GANG, taskCount: 2 }, 5000),
-    world.users.submit({ ...GANG, taskCount: 5, cpus: 2, allowSpot: false }, 8000),
-    world.users.submit({ ...GANG, singleZone: false, taskCount: 3 }, 8000),
-    world.users.submit({ ...GANG, singleZone: false, spreadZones: true, taskCount: 4 }, 8000),
+    cluster.users.submit({ ...GANG, taskCount: 2 }, 5000),
+    cluster.users.submit({ ...GANG, taskCount: 5, cpus: 2, allowSpot: false }, 8000),
+    cluster.users.submit({ ...GANG, singleZone: false, taskCount: 3 }, 8000),
+    cluster.users.submit({ ...GANG, singleZone: false, spreadZones: true, taskCount: 4 }, 8000),
   ];
-  world.users.submit({ taskCount: 6 }, 6000);
-  await settle(world, 'quiet');
-  for (const id of ids) assert.equal(gangOf(world, id).starts, 1, id);
+  cluster.users.submit({ taskCount: 6 }, 6000);
+  await recoverAndVerify(cluster, 'quiet');
+  for (const id of ids) assert.equal(gangOf(cluster, id).startCount, 1, id);
 });
 
 void test('a gang that loses a machine goes on from its checkpoint, once all of it is gone', async () => {
   for (const seed of [21, 22, 23]) {
-    const { world, id, gang } = await worldWithGang(seed, {}, 20_000);
-    await untilRunning(world, gang);
-    await world.run(12_000);
-    const lost = firstMachine(world, id);
-    if (seed === 22) world.hangWorker(lost, true);
-    else world.cloud.end(lost);
-    await world.run(40_000);
-    assert.equal(gang.savedMs, 10_000, 'the last checkpoint');
-    await settle(world, `seed ${seed}`);
-    assert.equal(gang.starts, 2);
+    const { cluster, id, gang } = await createClusterWithGang(seed, {}, 20_000);
+    await untilRunning(cluster, gang);
+    await cluster.run(12_000);
+    const lost = firstMachine(cluster, id);
+    if (seed === 22) cluster.setMachineHung(lost, true);
+    else cluster.cloud.end(lost);
+    await cluster.run(40_000);
+    assert.equal(gang.savedProgressMs, 10_000, 'the last checkpoint');
+    await recoverAndVerify(cluster, `seed ${seed}`);
+    assert.equal(gang.startCount, 2);
   }
 });
 
 void test('a gang that loses a machine before it runs does not wait for its time to gather', async () => {
-  const { world, id, gang } = await worldWithGang(31, { imageSizeGb: 6 }, 8000);
-  for (let i = 0; i < 100 && world.machinesHolding(id).length < 2; i++) await world.run(200);
-  await world.run(3000);
-  assert.equal(gang.starts, 0);
-  world.cloud.end(world.machinesHolding(id)[0] ?? '');
+  const { cluster, id, gang } = await createClusterWithGang(31, { imageSizeGb: 6 }, 8000);
+  for (let i = 0; i < 100 && cluster.machinesHolding(id).length < 2; i++) await cluster.run(200);
+  await cluster.run(3000);
+  assert.equal(gang.startCount, 0);
+  cluster.cloud.end(cluster.machinesHolding(id)[0] ?? '');
   // The proof of the loss takes about nine seconds, fetching twelve, booting ten; gathering takes 45.
-  await world.run(42_000);
-  assert.equal(gang.starts, 1);
-  await settle(world, 'lost before it ran');
+  await cluster.run(42_000);
+  assert.equal(gang.startCount, 1);
+  await recoverAndVerify(cluster, 'lost before it ran');
 });
 
 void test('a gang whose machine is reclaimed with notice saves as a whole', async () => {
-  const { world, id, gang } = await worldWithGang(41, {}, 40_000);
-  await untilRunning(world, gang);
-  await world.run(2500);
-  world.reclaimMachine(firstMachine(world, id), 16_000);
-  await world.run(40_000);
-  assert.ok(gang.savedMs > 10_000 && gang.savedMs % 5000 !== 0, `saved ${gang.savedMs}`);
-  await settle(world, 'notice');
-  assert.equal(gang.starts, 2);
+  const { cluster, id, gang } = await createClusterWithGang(41, {}, 40_000);
+  await untilRunning(cluster, gang);
+  await cluster.run(2500);
+  cluster.reclaimMachine(firstMachine(cluster, id), 16_000);
+  await cluster.run(40_000);
+  assert.ok(
+    gang.savedProgressMs > 10_000 && gang.savedProgressMs % 5000 !== 0,
+    `saved ${gang.savedProgressMs}`,
+  );
+  await recoverAndVerify(cluster, 'notice');
+  assert.equal(gang.startCount, 2);
 });
 
 void test('a gang that was cancelled is gone, whether it gathers, runs or saves', async () => {
   for (const seed of [51, 52, 53]) {
-    const { world, id, gang } = await worldWithGang(seed, { imageSizeGb: 3 }, 200_000);
-    if (seed !== 51) await untilRunning(world, gang);
+    const { cluster, id, gang } = await createClusterWithGang(seed, { imageSizeGb: 3 }, 200_000);
+    if (seed !== 51) await untilRunning(cluster, gang);
     else
-      for (let i = 0; i < 200 && world.machinesHolding(id).length === 0; i++) await world.run(200);
+      for (let i = 0; i < 200 && cluster.machinesHolding(id).length === 0; i++)
+        await cluster.run(200);
     if (seed === 53) {
-      world.reclaimMachine(firstMachine(world, id), 6000);
-      await world.run(2500);
+      cluster.reclaimMachine(firstMachine(cluster, id), 6000);
+      await cluster.run(2500);
     }
-    world.users.cancel(id);
-    await settle(world, `seed ${seed}`);
-    assert.equal(world.machinesOf(id).length, 0);
-    assert.equal(world.jobs.get(id)?.lastStatus, 'aborted');
+    cluster.users.cancel(id);
+    await recoverAndVerify(cluster, `seed ${seed}`);
+    assert.equal(cluster.machinesOf(id).length, 0);
+    assert.equal(cluster.jobs.get(id)?.lastStatus, 'aborted');
   }
 });
 
 void test('the leader ends at every step of a gang', async () => {
   for (let step = 1; step <= 40; step++) {
-    const world = new World({ seed: 600 + step });
-    await world.run(2000);
+    const cluster = new SimulatedCluster({ seed: 600 + step });
+    await cluster.run(2000);
     let left = step;
-    world.network.onSend = (from) => {
-      const leader = world.leaderNode();
+    cluster.network.onSend = (from) => {
+      const leader = cluster.leader();
       if (leader === undefined || from !== `node-${leader}` || --left !== 0) return;
-      world.killNode(leader);
-      world.time.after(step % 3 === 0 ? 200 : 5000, () => world.startNode(leader));
+      cluster.killController(leader);
+      cluster.time.after(step % 3 === 0 ? 200 : 5000, () => cluster.startController(leader));
     };
-    world.users.submit({ ...GANG, taskCount: 3 }, 6000);
-    world.users.submit(
+    cluster.users.submit({ ...GANG, taskCount: 3 }, 6000);
+    cluster.users.submit(
       { ...GANG, taskCount: 2, allowSpot: false },
       9000,
       step % 2 ? 15_000 : undefined,
     );
-    await settle(world, `killed at step ${step}`);
+    await recoverAndVerify(cluster, `killed at step ${step}`);
   }
 });
 
 void test('the state service lowers its limits while wide jobs and gangs are submitted and the leader ends', async () => {
   for (const seed of [71, 72, 73, 74]) {
     const nextStateLimits = { value_kb: 2, txn_ops: 4, write_rps: 12 };
-    const world = new World({ seed, maxCpus: 0, nextStateLimits });
-    await world.run(2500);
-    world.provideMachines(30);
+    const cluster = new SimulatedCluster({
+      seed,
+      maxCpus: 0,
+      announcedStoreLimits: nextStateLimits,
+    });
+    await cluster.run(2500);
+    cluster.rentMachines(30);
     for (let i = 0; i < 4; i++) {
-      world.users.submit({ taskCount: 70, cpus: 2 }, 20_000, i === 0 ? 32_000 : undefined);
-      submitGang(world);
+      cluster.users.submit({ taskCount: 70, cpus: 2 }, 20_000, i === 0 ? 32_000 : undefined);
+      submitRandomGang(cluster);
     }
-    await world.run(18_000 + seed * 50);
-    world.lowerStateLimits();
-    await world.run(seed % 2 === 0 ? 200 : 3000);
-    const leader = world.leaderNode() ?? 0;
-    world.killNode(leader);
-    world.time.after(3000, () => world.startNode(leader));
-    for (let i = 0; i < 3; i++) world.users.submit({ taskCount: 60, cpus: 2 }, 12_000);
-    submitGang(world);
-    await settle(world, `seed ${seed}`);
-    assert.ok(world.state.tooLarge <= 8, `${world.state.tooLarge} refused as too large`);
+    await cluster.run(18_000 + seed * 50);
+    cluster.applyAnnouncedStoreLimits();
+    await cluster.run(seed % 2 === 0 ? 200 : 3000);
+    const leader = cluster.leader() ?? 0;
+    cluster.killController(leader);
+    cluster.time.after(3000, () => cluster.startController(leader));
+    for (let i = 0; i < 3; i++) cluster.users.submit({ taskCount: 60, cpus: 2 }, 12_000);
+    submitRandomGang(cluster);
+    await recoverAndVerify(cluster, `seed ${seed}`);
+    assert.ok(
+      cluster.store.tooLargeCount <= 8,
+      `${cluster.store.tooLargeCount} refused as too large`,
+    );
   }
 });
 
 void test('days on which everything goes wrong, with gangs', async () => {
   for (let seed = 2001; seed <= 2010; seed++) {
-    await settle(await badDay(seed, { gangs: true }), `seed ${seed}`);
+    await recoverAndVerify(await runFaultScenario(seed, { withGangs: true }), `seed ${seed}`);
   }
 });
--- a/test/standin/build.ts
+++ b/test/standin/build.ts
@@ -23,7 +23,7 @@
 }
 
 /** What surrounds a controller. */
-export interface ControllerHost {
+export interface ControllerEnvironment {
   readonly clock: Clock;
   readonly random: Random;
   readonly http: HttpClient;
@@ -41,7 +41,7 @@
   /** The answer to a load balancer's probe. */
   health(): Reply;
   /** Whether it leads at this moment. */
-  hasAuthority(): boolean;
+  isLeader(): boolean;
   handleUserRequest(method: string, path: string, body: Buffer): Promise<Reply>;
   handleHeartbeat(body: Buffer): Promise<Reply>;
   /** Handles a peer's request. The body of the reply is the frame of the response. */
@@ -51,5 +51,5 @@
 /** A version of the service. */
 export interface Build {
   /** Makes a controller, not started yet, by the settings file of its node. */
-  createController(settingsFile: unknown, host: ControllerHost): RunningController;
+  createController(settingsFile: unknown, host: ControllerEnvironment): RunningController;
 }
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -10,7 +10,7 @@
 interface ScheduledTimer {
   readonly at: number;
   /** The order in which timers were set: it decides between timers of one instant. */
-  readonly order: number;
+  readonly sequence: number;
   /** Undefined once it is cancelled. */
   run: (() => void) | undefined;
 }
@@ -25,19 +25,19 @@
 /** Time that passes only in `run`. Timers of one instant fire in the order in which they were set. */
 export class VirtualTime implements TimeSource {
   now = 0;
-  private nextOrder = 0;
+  private nextSequence = 0;
   /** A binary heap, the next timer first. */
   private readonly heap: ScheduledTimer[] = [];
 
   private static isBefore(a: ScheduledTimer, b: ScheduledTimer): boolean {
-    return a.at < b.at || (a.at === b.at && a.order < b.order);
+    return a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
   }
 
-  after(delay: number, run: () => void): Timer {
+  after(delay: number, runUntil: () => void): Timer {
     const timer: ScheduledTimer = {
       at: this.now + Math.max(0, delay),
-      order: this.nextOrder++,
-      run,
+      sequence: this.nextSequence++,
+      run: runUntil,
     };
     this.push(timer);
     return { cancel: () => (timer.run = undefined) };
@@ -72,17 +72,17 @@
   }
 
   /** Lets time pass up to a moment. After each timer, all promises that settle by it are settled. */
-  async run(until: number): Promise<void> {
+  async run(untilMs: number): Promise<void> {
     for (;;) {
       const next = this.heap[0];
-      if (!next || next.at > until) break;
+      if (!next || next.at > untilMs) break;
       this.pop();
       if (!next.run) continue;
       this.now = next.at;
       next.run();
       await new Promise((resolve) => setImmediate(resolve));
     }
-    this.now = until;
+    this.now = untilMs;
   }
 }
 
@@ -90,14 +90,14 @@
 export class ProcessClock implements Clock {
   isDead = false;
   /** What is due while the process is frozen; undefined while it is not. */
-  private postponed: (() => void)[] | undefined;
+  private postponedEvents: (() => void)[] | undefined;
 
   constructor(
     private readonly time: VirtualTime,
     /** The share by which its steady clock is fast. */
     private readonly drift: number,
     /** By how many milliseconds its time of day is ahead. */
-    private readonly wallOffset: number,
+    private readonly wallOffsetMs: number,
   ) {}
 
   steady(): SteadyMs {
@@ -105,28 +105,28 @@
   }
 
   wall(): WallMs {
-    return WallMs(Date.UTC(2026, 2, 12) + this.time.now + this.wallOffset);
+    return WallMs(Date.UTC(2026, 2, 12) + this.time.now + this.wallOffsetMs);
   }
 
   after(delay: DurationMs, run: () => void): Timer {
-    return this.time.after(delay / (1 + this.drift), () => this.deliver(run));
+    return this.time.after(delay / (1 + this.drift), () => this.deliverEvent(run));
   }
 
   /** Runs an event of the process: not at all once it is dead, and later while it is frozen. */
-  deliver(run: () => void): void {
+  deliverEvent(run: () => void): void {
     if (this.isDead) return;
-    if (this.postponed) this.postponed.push(run);
+    if (this.postponedEvents) this.postponedEvents.push(run);
     else run();
   }
 
   /** While a process is frozen nothing of it runs, though its clocks do, as on a paused machine. */
-  freeze(isFrozen: boolean): void {
+  setFrozen(isFrozen: boolean): void {
     if (isFrozen) {
-      this.postponed ??= [];
+      this.postponedEvents ??= [];
       return;
     }
-    const due = this.postponed ?? [];
-    this.postponed = undefined;
-    for (const run of due) this.time.after(0, () => this.deliver(run));
+    const due = this.postponedEvents ?? [];
+    this.postponedEvents = undefined;
+    for (const run of due) this.time.after(0, () => this.deliverEvent(run));
   }
 }
--- a/test/standin/cloud.ts
+++ b/test/standin/cloud.ts
@@ -2,7 +2,7 @@
 import type { Random } from '../../src/units/index.js';
 import { encodeMachineTypes, type MachineType } from '../../src/wire/index.js';
 import type { TimeSource } from './clock.js';
-import type { Answer } from './network.js';
+import type { HostResponse } from './network.js';
 
 /** A machine from its rental on; one that has ended is kept here too. */
 export interface RentedMachine {
@@ -54,9 +54,9 @@
   private readonly rentals = new Map<string, string[]>();
   private rentedCount = 0;
   /** While it is out, every request is answered with 503. */
-  isOut = false;
+  isUnavailable = false;
   /** How many machines of each type, zone and price model there are. */
-  capacity = 8;
+  capacityPerOffer = 8;
   /** The share of machines that never boot. */
   bootFailureShare = 0.03;
 
@@ -67,8 +67,8 @@
     return this.options.machineTypes.find((type) => type.name === name);
   }
 
-  handle(_method: string, target: string, body: unknown): Answer {
-    if (this.isOut) return { status: 503, body: { error: 'trouble' } };
+  handle(_method: string, target: string, body: unknown): HostResponse {
+    if (this.isUnavailable) return { status: 503, body: { error: 'trouble' } };
     const url = new URL(target, 'http://cloud');
     if (url.pathname === '/flavors') {
       return { status: 200, body: encodeMachineTypes(this.options.machineTypes) };
@@ -81,14 +81,14 @@
     return this.list(url.searchParams.get('from') ?? '');
   }
 
-  private rent(message: RentalMessage): Answer {
+  private rent(message: RentalMessage): HostResponse {
     const known = this.rentals.get(message.hire);
     if (known) return { status: 200, body: { boxes: known } };
-    const count = Math.min(message.how_many, this.capacity - this.countLike(message));
+    const count = Math.min(message.how_many, this.capacityPerOffer - this.countMatching(message));
     if (count <= 0) return { status: 503, body: { error: 'no capacity' } };
     const ids: string[] = [];
     for (let i = 0; i < count; i++) {
-      const machine = this.create(message);
+      const machine = this.createMachine(message);
       ids.push(machine.id);
       this.boot(machine);
     }
@@ -97,7 +97,7 @@
   }
 
   /** How many machines there are of the type, zone and price model that a rental asks for. */
-  private countLike({ build, hall, loaners }: RentalMessage): number {
+  private countMatching({ build, hall, loaners }: RentalMessage): number {
     return [...this.machines.values()].filter(
       (machine) =>
         machine.machineType === build &&
@@ -107,7 +107,7 @@
     ).length;
   }
 
-  private create({ build, hall, loaners }: RentalMessage): RentedMachine {
+  private createMachine({ build, hall, loaners }: RentalMessage): RentedMachine {
     const { time, random, listLagMs, addressOf } = this.options;
     const number = ++this.rentedCount;
     const machine: RentedMachine = {
@@ -145,7 +145,7 @@
     this.options.lifecycle.onEnd(machine);
   }
 
-  private list(from: string): Answer {
+  private list(from: string): HostResponse {
     const { now } = this.options.time;
     const boxes = [...this.machines.values()]
       .filter((machine) => machine.id > from && machine.listedAt <= now)
--- a/test/standin/platform.ts
+++ b/test/standin/cluster-settings.ts
@@ -3,13 +3,13 @@
 import { settingsFile } from '../support/settings.js';
 
 /** The nodes that controllers run on. */
-export const NODES = [0, 1, 2] as const;
+export const CONTROLLERS = [0, 1, 2] as const;
 
 /** The zones of a world that does not name its own. */
 export const ZONES = ['a', 'b', 'c'] as const;
 
 /** Where controllers find the state service. */
-export const STATE_ADDRESS = '10.2.0.1:2379';
+export const STORE_ADDRESS = '10.2.0.1:2379';
 /** Where they find the cloud. */
 export const CLOUD_ADDRESS = '10.2.0.2:8443';
 
@@ -17,30 +17,34 @@
 const DEFAULT_MAX_CPUS = 24;
 
 /** What a world may change of the settings of its nodes. */
-export interface PlatformOptions {
+export interface ClusterSettingsOptions {
   readonly zones?: readonly string[];
   /** The most processors of its one team; 0: no limit. */
   readonly maxCpus?: number;
   /** The share of a processor that a controller has. */
   readonly controllerCpu?: number;
   /** The limits that the settings announce for the state service. */
-  readonly nextStateLimits?: { value_kb: number; txn_ops: number; write_rps: number };
+  readonly announcedStoreLimits?: { value_kb: number; txn_ops: number; write_rps: number };
 }
 
 /** The settings of all nodes. */
-export class Platform {
+export class ClusterSettings {
   readonly zones: readonly string[];
-  private readonly parsed: readonly Settings[];
+  private readonly byController: readonly Settings[];
 
-  constructor(private readonly options: PlatformOptions) {
+  constructor(private readonly options: ClusterSettingsOptions) {
     this.zones = options.zones ?? ZONES;
-    this.parsed = NODES.map((node) => parseSettings(this.fileOf(node)));
+    this.byController = CONTROLLERS.map((node) => parseSettings(this.fileOf(node)));
   }
 
   /** The settings file of a node. */
-  fileOf(node: number): object {
-    const { maxCpus = DEFAULT_MAX_CPUS, controllerCpu, nextStateLimits } = this.options;
-    const file = settingsFile(node, this.zones);
+  fileOf(controller: number): object {
+    const {
+      maxCpus = DEFAULT_MAX_CPUS,
+      controllerCpu,
+      announcedStoreLimits: nextStateLimits,
+    } = this.options;
+    const file = settingsFile(controller, this.zones);
     const teams = file.params.teams.map((team) => ({ ...team, cpus_max: maxCpus }));
     const limits = { ...file.params.limits, cpu: controllerCpu ?? file.params.limits.cpu };
     const state = { ...file.params.state, next: nextStateLimits };
@@ -48,14 +52,14 @@
   }
 
   /** The settings of a node. */
-  settingsOf(node: number): Settings {
-    const settings = this.parsed[node];
-    if (!settings) throw new RangeError(`there is no node ${node}`);
+  of(controller: number): Settings {
+    const settings = this.byController[controller];
+    if (!settings) throw new RangeError(`there is no node ${controller}`);
     return settings;
   }
 
   /** The settings of all nodes, in the order of `NODES`. */
   get all(): readonly Settings[] {
-    return this.parsed;
+    return this.byController;
   }
 }
--- a/test/standin/controllers.ts
+++ b/test/standin/controller-processes.ts
@@ -5,16 +5,16 @@
 import { decode, encode } from '../../src/wire/index.js';
 import type { Build, PeerConnection, RunningController } from './build.js';
 import { ProcessClock, type VirtualTime } from './clock.js';
-import type { Answer, Network } from './network.js';
-import { NODES, type Platform } from './platform.js';
-import { presentBuild } from './present-build.js';
+import type { HostResponse, Network } from './network.js';
+import { CONTROLLERS, type ClusterSettings } from './cluster-settings.js';
+import { currentBuild } from './current-build.js';
 
 /** What controllers need of the world around them. */
-export interface ControllersWorld {
+export interface ControllerProcessesDependencies {
   readonly time: VirtualTime;
   readonly random: Random;
   readonly network: Network;
-  readonly platform: Platform;
+  readonly settings: ClusterSettings;
   readonly log: Logger;
 }
 
@@ -23,18 +23,18 @@
   readonly controller: RunningController;
 }
 
-const MAX_DRIFT = 0.00025;
-const MAX_WALL_OFFSET = 200;
+const MAX_CLOCK_DRIFT = 0.00025;
+const MAX_WALL_CLOCK_OFFSET_MS = 200;
 /** After a request without an answer a peer counts as unresponsive for so long. */
-const UNRESPONSIVE_FOR = 2000;
+const UNRESPONSIVE_MS = 2000;
 
 /** An answer by HTTP of a controller, as its own clients see it. */
-async function answerHttp(
+async function handleHttpRequest(
   controller: RunningController,
   method: string,
   path: string,
   body: unknown,
-): Promise<Answer> {
+): Promise<HostResponse> {
   const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
   if (path === '/up') return controller.health();
   const reply = await (path === '/agent/beat'
@@ -58,52 +58,57 @@
         timeout,
       });
       if (outcome.kind === 'answer') return read(outcome.body as Buffer);
-      unresponsiveUntil = clock.steady() + UNRESPONSIVE_FOR;
+      unresponsiveUntil = clock.steady() + UNRESPONSIVE_MS;
       return undefined;
     },
   };
 }
 
 /** One controller on each node, or none while its process has ended. */
-export class Controllers {
+export class ControllerProcesses {
   private readonly processes = new Map<number, Process>();
   /** The version that each node runs when it is started next. */
   private readonly builds = new Map<number, Build>();
 
   constructor(
-    private readonly world: ControllersWorld,
+    private readonly dependencies: ControllerProcessesDependencies,
     build: Build,
   ) {
-    for (const node of NODES) this.builds.set(node, build);
+    for (const node of CONTROLLERS) this.builds.set(node, build);
   }
 
   /** Starts the controller of a node, unless it runs. */
   start(node: number): void {
     if (this.processes.has(node)) return;
-    const { time, random, network, platform, log } = this.world;
-    const settings = platform.settingsOf(node);
+    const { time, random, network, settings: platform, log } = this.dependencies;
+    const controllerSettings = platform.of(node);
     const clock = new ProcessClock(
       time,
-      (random() - 0.5) * 2 * MAX_DRIFT,
-      (random() - 0.5) * 2 * MAX_WALL_OFFSET,
+      (random() - 0.5) * 2 * MAX_CLOCK_DRIFT,
+      (random() - 0.5) * 2 * MAX_WALL_CLOCK_OFFSET_MS,
     );
-    const http = network.client(settings.node, settings.zone, clock);
-    const build = this.builds.get(node) ?? presentBuild;
+    const http = network.client(controllerSettings.node, controllerSettings.zone, clock);
+    const build = this.builds.get(node) ?? currentBuild;
     const controller = build.createController(platform.fileOf(node), {
       clock,
       random,
       http,
-      log: log.child({ node: settings.node }),
+      log: log.child({ node: controllerSettings.node }),
       peers: new Map<NodeId, PeerConnection>(
-        settings.others.map((other) => [other.node, connectPeer(http, clock, other.endpoint)]),
+        controllerSettings.others.map((other) => [
+          other.node,
+          connectPeer(http, clock, other.endpoint),
+        ]),
       ),
       processId: `run-${node}-${time.now}`,
     });
-    network.attach(settings.apiEndpoint, settings.zone, (method, path, body) =>
-      answerHttp(controller, method, path, body),
+    network.attach(controllerSettings.apiEndpoint, controllerSettings.zone, (method, path, body) =>
+      handleHttpRequest(controller, method, path, body),
     );
-    network.attach(settings.clusterEndpoint, settings.zone, (_method, _path, body) =>
-      controller.handlePeerFrame(body as Buffer),
+    network.attach(
+      controllerSettings.clusterEndpoint,
+      controllerSettings.zone,
+      (_method, _path, body) => controller.handlePeerFrame(body as Buffer),
     );
     this.processes.set(node, { clock, controller });
     controller.start();
@@ -116,28 +121,29 @@
     process.clock.isDead = true;
     process.controller.stop();
     this.processes.delete(node);
-    for (const endpoint of this.endpointsOf(node)) this.world.network.detach(endpoint);
+    for (const endpoint of this.endpointsOf(node)) this.dependencies.network.detach(endpoint);
   }
 
   /** A frozen process does nothing, with all that it has in hand, while its clocks run on. */
-  freeze(node: number, isFrozen: boolean): void {
+  setFrozen(node: number, isFrozen: boolean): void {
     const process = this.processes.get(node);
     if (!process) return;
-    process.clock.freeze(isFrozen);
-    for (const endpoint of this.endpointsOf(node)) this.world.network.hang(endpoint, isFrozen);
+    process.clock.setFrozen(isFrozen);
+    for (const endpoint of this.endpointsOf(node))
+      this.dependencies.network.setHung(endpoint, isFrozen);
   }
 
   /** Ends a process and starts it with this version after a while. */
   upgrade(node: number, downMs: number): void {
     this.kill(node);
-    this.builds.set(node, presentBuild);
-    this.world.time.after(downMs, () => this.start(node));
+    this.builds.set(node, currentBuild);
+    this.dependencies.time.after(downMs, () => this.start(node));
   }
 
   /** The node that leads at this moment. */
   leader(): number | undefined {
     for (const [node, { controller }] of this.processes) {
-      if (controller.hasAuthority()) return node;
+      if (controller.isLeader()) return node;
     }
     return undefined;
   }
@@ -148,7 +154,7 @@
   }
 
   private endpointsOf(node: number): readonly Endpoint[] {
-    const { apiEndpoint, clusterEndpoint } = this.world.platform.settingsOf(node);
+    const { apiEndpoint, clusterEndpoint } = this.dependencies.settings.of(node);
     return [apiEndpoint, clusterEndpoint];
   }
 }
--- a/test/standin/present-build.ts
+++ b/test/standin/current-build.ts
@@ -10,12 +10,12 @@
   encodeResponse,
 } from '../../src/peer/codec.js';
 import type { NodeId } from '../../src/units/index.js';
-import type { Build, ControllerHost, PeerConnection, RunningController } from './build.js';
+import type { Build, ControllerEnvironment, PeerConnection, RunningController } from './build.js';
 
 /** On these connections nothing needs to be paired: each request has an exchange of its own. */
 const REQUEST_ID = 1;
 
-const peerOver = (connection: PeerConnection): Peer => ({
+const createPeer = (connection: PeerConnection): Peer => ({
   get responsive() {
     return connection.isResponsive;
   },
@@ -27,17 +27,17 @@
     ),
 });
 
-function createController(settingsFile: unknown, host: ControllerHost): RunningController {
+function createController(settingsFile: unknown, host: ControllerEnvironment): RunningController {
   const { peers, ...environment } = host;
   const controller = new Controller(parseSettings(settingsFile), defaultOperator, {
     ...environment,
-    peers: new Map<NodeId, Peer>([...peers].map(([node, peer]) => [node, peerOver(peer)])),
+    peers: new Map<NodeId, Peer>([...peers].map(([node, peer]) => [node, createPeer(peer)])),
   });
   return {
     start: () => controller.start(),
     stop: () => controller.stop(),
     health: () => controller.health(),
-    hasAuthority: () => controller.election.authority() !== undefined,
+    isLeader: () => controller.election.authority() !== undefined,
     handleUserRequest: (method, path, body) => controller.userRequests.handle(method, path, body),
     handleHeartbeat: (body) => controller.workerHeartbeats.handle(body),
     handlePeerFrame: async (frame) => {
@@ -49,4 +49,4 @@
 }
 
 /** This version. */
-export const presentBuild: Build = { createController };
+export const currentBuild: Build = { createController };
--- a/test/standin/gang-run.ts
+++ b/test/standin/gang-run.ts
@@ -2,7 +2,7 @@
 import type { TimeSource } from './clock.js';
 
 /** What a gang needs, and how long it takes. */
-export interface GangFacts {
+export interface GangProperties {
   readonly taskCount: number;
   readonly runMs: number;
   /** How much progress lies between two checkpoints; 0: it never saves by itself. */
@@ -12,11 +12,11 @@
 }
 
 /** The times of the protocol for gangs. */
-export interface GangTimes {
+export interface GangTimeouts {
   /** A task waits for so long until all others of its attempt are there. */
-  readonly gatherMs: number;
+  readonly gatherTimeoutMs: number;
   /** The tasks of a gang notice within so long that one of them is gone. */
-  readonly peerMs: number;
+  readonly peerLossTimeoutMs: number;
 }
 
 /** What is to be known of a gang outside. */
@@ -33,10 +33,10 @@
   /** Whether its machine hangs. */
   isHung(): boolean;
   /** All tasks are there: it runs. */
-  run(): void;
+  startRunning(): void;
   /** It was stopped, and the gang writes a checkpoint. */
-  save(): void;
-  exit(cause: string, isSaved?: boolean): void;
+  startCheckpoint(): void;
+  exit(cause: string, hasSavedCheckpoint?: boolean): void;
 }
 
 /** The tasks of one attempt, and what they do together. */
@@ -45,10 +45,10 @@
   readonly stopped = new Set<GangMember>();
   startedAt: number | undefined;
   stoppedAt: number | undefined;
-  isOver = false;
+  hasEnded = false;
 
   get isRunning(): boolean {
-    return this.startedAt !== undefined && !this.isOver;
+    return this.startedAt !== undefined && !this.hasEnded;
   }
 
   get hasHungMember(): boolean {
@@ -60,21 +60,21 @@
 export class GangRun {
   private readonly attempts = new Map<number, GangAttempt>();
   /** Progress in milliseconds that the next attempt goes on from. */
-  savedMs = 0;
-  private isDone = false;
+  savedProgressMs = 0;
+  private isCompleted = false;
   /** How often all tasks began to run. */
-  starts = 0;
+  startCount = 0;
 
   constructor(
     private readonly time: TimeSource,
-    private readonly facts: GangFacts,
-    private readonly times: GangTimes,
+    private readonly properties: GangProperties,
+    private readonly timeouts: GangTimeouts,
     private readonly events: GangEvents,
   ) {}
 
   /** A task has its image and is there. */
   join(member: GangMember): void {
-    if (this.isDone) {
+    if (this.isCompleted) {
       member.exit('done');
       return;
     }
@@ -82,16 +82,16 @@
     this.attempts.set(member.attempt, attempt);
     if (attempt.startedAt !== undefined) {
       // Its attempt has begun, and ended, without it.
-      this.time.after(this.times.peerMs / 2, () => member.exit('peers'));
+      this.time.after(this.timeouts.peerLossTimeoutMs / 2, () => member.exit('peers'));
       return;
     }
     attempt.members.set(member.index, member);
-    this.time.after(this.times.gatherMs, () => {
+    this.time.after(this.timeouts.gatherTimeoutMs, () => {
       if (attempt.startedAt === undefined && attempt.members.get(member.index) === member) {
         member.exit('incomplete');
       }
     });
-    if (attempt.members.size === this.facts.taskCount) this.start(attempt);
+    if (attempt.members.size === this.properties.taskCount) this.start(attempt);
   }
 
   /** A task was stopped or has vanished, or its machine has. */
@@ -110,18 +110,18 @@
       return;
     }
     attempt.stopped.add(member);
-    member.save();
+    member.startCheckpoint();
     if (attempt.stoppedAt === undefined) {
       attempt.stoppedAt = this.time.now;
-      this.time.after(this.times.peerMs, () => {
-        if (!attempt.isOver) this.fail(attempt);
+      this.time.after(this.timeouts.peerLossTimeoutMs, () => {
+        if (!attempt.hasEnded) this.fail(attempt);
       });
     }
-    if (attempt.stopped.size < this.facts.taskCount) return;
-    this.time.after(this.facts.checkpointMs, () => {
-      if (attempt.isOver) return;
-      attempt.isOver = true;
-      this.savedMs = this.progressOf(attempt);
+    if (attempt.stopped.size < this.properties.taskCount) return;
+    this.time.after(this.properties.checkpointMs, () => {
+      if (attempt.hasEnded) return;
+      attempt.hasEnded = true;
+      this.savedProgressMs = this.progressOf(attempt);
       for (const other of attempt.members.values()) other.exit('halted', true);
     });
   }
@@ -133,39 +133,39 @@
       }
     }
     attempt.startedAt = this.time.now;
-    this.starts++;
-    for (const member of attempt.members.values()) member.run();
-    this.watch(attempt);
-    this.time.after(this.facts.runMs - this.savedMs, () => {
-      if (!attempt.isOver && attempt.stoppedAt === undefined) this.complete(attempt);
+    this.startCount++;
+    for (const member of attempt.members.values()) member.startRunning();
+    this.scheduleHangCheck(attempt);
+    this.time.after(this.properties.runMs - this.savedProgressMs, () => {
+      if (!attempt.hasEnded && attempt.stoppedAt === undefined) this.complete(attempt);
     });
   }
 
   /** The others notice when the machine of one hangs. */
-  private watch(attempt: GangAttempt): void {
-    this.time.after(this.times.peerMs / 4, () => {
-      if (attempt.isOver) return;
+  private scheduleHangCheck(attempt: GangAttempt): void {
+    this.time.after(this.timeouts.peerLossTimeoutMs / 4, () => {
+      if (attempt.hasEnded) return;
       if (attempt.hasHungMember) this.fail(attempt);
-      else this.watch(attempt);
+      else this.scheduleHangCheck(attempt);
     });
   }
 
   private complete(attempt: GangAttempt): void {
     if (attempt.hasHungMember) return;
-    attempt.isOver = true;
-    this.isDone = true;
+    attempt.hasEnded = true;
+    this.isCompleted = true;
     this.events.onCompleted();
     for (const member of attempt.members.values()) member.exit('done');
   }
 
   private fail(attempt: GangAttempt): void {
-    attempt.isOver = true;
-    const { checkpointIntervalMs } = this.facts;
+    attempt.hasEnded = true;
+    const { checkpointIntervalMs } = this.properties;
     const progress = this.progressOf(attempt);
     if (checkpointIntervalMs > 0) {
-      this.savedMs = Math.floor(progress / checkpointIntervalMs) * checkpointIntervalMs;
+      this.savedProgressMs = Math.floor(progress / checkpointIntervalMs) * checkpointIntervalMs;
     }
-    this.time.after(this.times.peerMs / 2, () => {
+    this.time.after(this.timeouts.peerLossTimeoutMs / 2, () => {
       for (const member of attempt.members.values()) {
         member.exit(attempt.stopped.has(member) ? 'halted' : 'peers');
       }
@@ -173,6 +173,6 @@
   }
 
   private progressOf({ startedAt, stoppedAt }: GangAttempt): number {
-    return this.savedMs + (stoppedAt ?? this.time.now) - (startedAt ?? this.time.now);
+    return this.savedProgressMs + (stoppedAt ?? this.time.now) - (startedAt ?? this.time.now);
   }
 }
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -13,8 +13,8 @@
 import { systemClock } from '../../src/units/system.js';
 import { encodeJobSpec, type MachineType, type JobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
-import { Loopback } from './loopback.js';
-import type { TaskFacts } from './worker-tasks.js';
+import { LoopbackServices } from './loopback-services.js';
+import type { TaskProperties } from './worker-tasks.js';
 
 const options = new Command()
   .option('--main <file...>', 'builds to run, one after the other', ['target/main.js'])
@@ -25,16 +25,16 @@
   .parse()
   .opts<{ main: string[]; machines: number; warm: number; seconds: number; node: string }>();
 
-const FOLDER = 'target/load';
+const OUTPUT_FOLDER = 'target/load';
 const SEED = 20261202;
 /** How long the controller is down, and how long its machines may take to be answered again. */
-const DOWN_MS = 5000;
+const CONTROLLER_DOWN_MS = 5000;
 const MAX_RECOVERY_MS = 30_000;
 const FIRST_PORT = 21_000;
 const PORTS_PER_BUILD = 8000;
 /** The processors of a machine, on average, and the share of them that jobs are to keep busy. */
 const CPUS_PER_MACHINE = 12;
-const BUSY_SHARE = 0.8;
+const BUSY_CPU_SHARE = 0.8;
 const FETCH_MS_PER_GB = 500;
 const SUBMIT_TIMEOUT = ms(5000);
 const SUBMIT_RETRY_INTERVAL = ms(1000);
@@ -42,7 +42,7 @@
 const POLL_TIMEOUT = ms(2000);
 const RECOVERY_CHECK_INTERVAL = ms(20);
 /** The system counts processor time in hundredths of a second. */
-const MS_PER_TICK = 10;
+const MS_PER_CPU_TICK = 10;
 
 const machineType = (name: string, cpus: number, memoryGb: number, zone: string): MachineType => ({
   name,
@@ -105,53 +105,53 @@
 ];
 
 /** One build among its stand-ins. */
-class LoadRun {
+class BenchmarkRun {
   private readonly random = xoroshiro128plus(SEED);
   private readonly jobs = new Map<string, { readonly spec: JobSpec; readonly runMs: number }>();
-  private readonly completed = new Set<string>();
+  private readonly completedTasks = new Set<string>();
   private readonly client = new NodeHttpClient(64, 64, 64);
   private readonly endpoint: Endpoint;
   private readonly settingsPath: string;
-  private readonly loopback: Loopback;
+  private readonly services: LoopbackServices;
   private child: ChildProcess;
-  private startedCount = 0;
-  private isOver = false;
+  private startedTaskCount = 0;
+  private hasEnded = false;
 
   constructor(
-    private readonly main: string,
+    private readonly buildPath: string,
     turn: number,
   ) {
-    const state = FIRST_PORT + turn * PORTS_PER_BUILD;
-    const ports = { state, cloud: state + 1, api: state + 2, cluster: state + 3 };
+    const store = FIRST_PORT + turn * PORTS_PER_BUILD;
+    const ports = { store, cloud: store + 1, api: store + 2, cluster: store + 3 };
     this.endpoint = Endpoint(`127.0.0.1:${ports.api}`);
-    this.settingsPath = `${FOLDER}/node-${turn}.json`;
-    this.loopback = new Loopback({
-      ports: { ...ports, workers: state + 10 },
+    this.settingsPath = `${OUTPUT_FOLDER}/node-${turn}.json`;
+    this.services = new LoopbackServices({
+      ports: { ...ports, workers: store + 10 },
       machineTypes: [machineType('small', 8, 32, 'a'), machineType('large', 32, 64, 'b')],
       capacity: options.machines,
-      state: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
-      cloudRate: 2,
-      tasks: {
-        facts: (task) => this.factsOf(task),
-        onTaskStarted: () => this.startedCount++,
+      storeLimits: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
+      cloudRequestRate: 2,
+      taskEnvironment: {
+        propertiesOf: (task) => this.propertiesOf(task),
+        onTaskStarted: () => this.startedTaskCount++,
         onTaskLeft: () => undefined,
-        onTaskCompleted: (task) => this.completed.add(task),
-        isCompleted: (task) => this.completed.has(task),
+        onTaskCompleted: (task) => this.completedTasks.add(task),
+        isCompleted: (task) => this.completedTasks.has(task),
       },
     });
-    mkdirSync(FOLDER, { recursive: true });
-    writeFileSync(this.settingsPath, JSON.stringify(this.loopback.settingsFile()));
+    mkdirSync(OUTPUT_FOLDER, { recursive: true });
+    writeFileSync(this.settingsPath, JSON.stringify(this.services.settingsFile()));
     this.child = this.startController();
   }
 
   /** Measures the build. Resolves with the milliseconds of processor time that it took in a second. */
   async measure(): Promise<number> {
-    const feeding = STREAMS.map((stream) => this.feed(stream));
+    const feeding = STREAMS.map((stream) => this.submitStream(stream));
     const spent = await this.measureSteadyLoad();
     await this.measureRestart();
-    this.isOver = true;
+    this.hasEnded = true;
     this.child.kill('SIGKILL');
-    this.loopback.killWorkers();
+    this.services.killWorkers();
     await Promise.all(feeding);
     return spent;
   }
@@ -160,16 +160,16 @@
     const { seconds, warm } = options;
     await sleep(systemClock, ms(warm * 1000));
     const before = {
-      ticks: this.ticks(),
+      cpuTicks: this.ticks(),
       heartbeats: this.heartbeatCount(),
-      started: this.startedCount,
+      started: this.startedTaskCount,
     };
     await sleep(systemClock, ms(seconds * 1000));
-    const spent = ((this.ticks() - before.ticks) * MS_PER_TICK) / seconds;
+    const spent = ((this.ticks() - before.cpuTicks) * MS_PER_CPU_TICK) / seconds;
     const heartbeats = (this.heartbeatCount() - before.heartbeats) / seconds;
-    const starts = (this.startedCount - before.started) / seconds;
+    const starts = (this.startedTaskCount - before.started) / seconds;
     console.log(
-      `${this.main}: ${this.loopback.workers.size} machines, ${heartbeats.toFixed(0)} heartbeats/s, ` +
+      `${this.buildPath}: ${this.services.workers.size} machines, ${heartbeats.toFixed(0)} heartbeats/s, ` +
         `${starts.toFixed(1)} starts/s, ${spent.toFixed(0)} ms of processor time a second`,
     );
     return spent;
@@ -177,9 +177,9 @@
 
   /** All machines come back at once after a change of leader: what it costs until each is answered. */
   private async measureRestart(): Promise<void> {
-    const { workers } = this.loopback;
+    const { workers } = this.services;
     this.child.kill('SIGKILL');
-    await sleep(systemClock, ms(DOWN_MS));
+    await sleep(systemClock, ms(CONTROLLER_DOWN_MS));
     const before = new Map([...workers].map(([id, { worker }]) => [id, worker.renewalCount]));
     const startedAt = systemClock.steady();
     this.child = this.startController();
@@ -190,14 +190,14 @@
     }
     const seconds = (systemClock.steady() - startedAt) / 1000;
     console.log(
-      `${this.main}: after a restart all are answered within ${seconds.toFixed(2)} s, ` +
-        `for ${this.ticks() * MS_PER_TICK} ms of processor time`,
+      `${this.buildPath}: after a restart all are answered within ${seconds.toFixed(2)} s, ` +
+        `for ${this.ticks() * MS_PER_CPU_TICK} ms of processor time`,
     );
   }
 
   private startController(): ChildProcess {
     const flags = options.node.split(' ').filter(Boolean);
-    return spawn(process.execPath, [...flags, this.main, '--config', this.settingsPath], {
+    return spawn(process.execPath, [...flags, this.buildPath, '--config', this.settingsPath], {
       stdio: ['ignore', 'ignore', 'inherit'],
       env: { ...process.env, LOG_LEVEL: 'error' },
     });
@@ -211,13 +211,13 @@
   }
 
   private heartbeatCount(): number {
-    return [...this.loopback.workers.values()].reduce(
-      (sum, { worker }) => sum + worker.sentCount,
+    return [...this.services.workers.values()].reduce(
+      (sum, { worker }) => sum + worker.heartbeatCount,
       0,
     );
   }
 
-  private factsOf(task: string): TaskFacts | undefined {
+  private propertiesOf(task: string): TaskProperties | undefined {
     const job = this.jobs.get(task.split('/')[0] ?? '');
     if (!job) return undefined;
     const { cpus, image, imageSizeGb } = job.spec;
@@ -225,19 +225,19 @@
   }
 
   /** Submits jobs of a stream as fast as its share of the processors runs them. */
-  private async feed(stream: JobStream): Promise<void> {
+  private async submitStream(stream: JobStream): Promise<void> {
     const { taskCount, cpus } = stream.spec;
     const cpuSecondsPerJob = (taskCount * cpus * stream.runMs) / 1000;
-    const busyCpus = options.machines * CPUS_PER_MACHINE * stream.share * BUSY_SHARE;
+    const busyCpus = options.machines * CPUS_PER_MACHINE * stream.share * BUSY_CPU_SHARE;
     const intervalMs = (1000 * cpuSecondsPerJob) / busyCpus;
-    while (!this.isOver) {
-      void this.follow(stream);
+    while (!this.hasEnded) {
+      void this.runJob(stream);
       await sleep(systemClock, ms(intervalMs * (0.5 + uniformFloat64(this.random))));
     }
   }
 
   /** Submits a job and polls it to its end. */
-  private async follow(stream: JobStream): Promise<void> {
+  private async runJob(stream: JobStream): Promise<void> {
     const { endpoint, client } = this;
     const number = this.jobs.size + 1;
     const id = `run-${String(number).padStart(6, '0')}`;
@@ -246,13 +246,13 @@
     const body = encodeJobSpec(job);
     const path = '/v1/jobs';
     this.jobs.set(id, { spec: job, runMs: stream.runMs });
-    while (!this.isOver) {
+    while (!this.hasEnded) {
       const submission = { endpoint, method: 'POST' as const, path, body, timeout: SUBMIT_TIMEOUT };
       const outcome = await client.send(submission);
       if (outcome.kind === 'answer' && outcome.status < 300) break;
       await sleep(systemClock, SUBMIT_RETRY_INTERVAL);
     }
-    while (!this.isOver) {
+    while (!this.hasEnded) {
       await sleep(systemClock, POLL_INTERVAL);
       const poll = {
         endpoint,
@@ -269,7 +269,7 @@
 
 const spent: number[] = [];
 for (const [turn, main] of options.main.entries()) {
-  spent.push(await new LoadRun(main, turn).measure());
+  spent.push(await new BenchmarkRun(main, turn).measure());
 }
 const [first = 0] = spent;
 for (const [turn, time] of spent.entries()) {
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback-services.ts
@@ -8,24 +8,24 @@
 import { settingsFile } from '../support/settings.js';
 import type { TimeSource } from './clock.js';
 import { Cloud, type RentedMachine } from './cloud.js';
-import type { Handler } from './network.js';
-import { StateService, type StateLimits } from './state.js';
-import type { WorkerWorld } from './worker-tasks.js';
+import type { RequestHandler } from './network.js';
+import { Store, type StoreLimits } from './store.js';
+import type { TaskEnvironment } from './worker-tasks.js';
 import { Worker } from './worker.js';
 
 /** What the stand-ins are to be like. */
-export interface LoopbackOptions {
+export interface LoopbackServicesOptions {
   /** `workers`: those of machines count up from this one. */
-  readonly ports: { state: number; cloud: number; api: number; cluster: number; workers: number };
+  readonly ports: { store: number; cloud: number; api: number; cluster: number; workers: number };
   readonly machineTypes: readonly MachineType[];
   /** Machines that may be rented of each type, zone and price model. */
   readonly capacity: number;
-  readonly state: StateLimits;
+  readonly storeLimits: StoreLimits;
   /** The requests to the cloud that the settings allow, per second. */
-  readonly cloudRate: number;
-  readonly tasks: WorkerWorld;
-  readonly onMachineUp?: (machine: RentedMachine) => void;
-  readonly onMachineGone?: (machine: RentedMachine) => void;
+  readonly cloudRequestRate: number;
+  readonly taskEnvironment: TaskEnvironment;
+  readonly onMachineBooted?: (machine: RentedMachine) => void;
+  readonly onMachineEnded?: (machine: RentedMachine) => void;
 }
 
 /** A worker and the server that takes its requests. */
@@ -34,11 +34,11 @@
   readonly server: http.Server;
 }
 
-const HEARTBEAT_MS = 3000;
+const HEARTBEAT_INTERVAL_MS = 3000;
 const LEASE_MS = 24_000;
 const LIST_LAG_MS = 3000;
 /** Longer than any pause between the requests of a controller. */
-const KEEP_ALIVE_MS = 120_000;
+const KEEP_ALIVE_TIMEOUT_MS = 120_000;
 
 const realTime: TimeSource = {
   get now() {
@@ -47,8 +47,8 @@
   after: (delay, run) => systemClock.after(ms(delay), run),
 };
 
-async function answer(
-  handler: Handler,
+async function respond(
+  handler: RequestHandler,
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): Promise<void> {
@@ -63,27 +63,30 @@
   response.end(encode(answered ?? {}));
 }
 
-function serve(port: number, handler: Handler): http.Server {
-  const server = http.createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
-    answer(handler, request, response).catch((error: unknown) => {
-      process.stderr.write(`${String(error)}\n`);
-      response.writeHead(500).end();
-    });
-  });
+function serve(port: number, handler: RequestHandler): http.Server {
+  const server = http.createServer(
+    { keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS },
+    (request, response) => {
+      respond(handler, request, response).catch((error: unknown) => {
+        process.stderr.write(`${String(error)}\n`);
+        response.writeHead(500).end();
+      });
+    },
+  );
   return server.listen(port, '127.0.0.1');
 }
 
 /** State service, cloud and workers. */
-export class Loopback {
-  readonly state: StateService;
+export class LoopbackServices {
+  readonly store: Store;
   readonly cloud: Cloud;
   /** The workers that are up, by the ids of their machines. */
   readonly workers = new Map<string, ServedWorker>();
   private readonly client = new NodeHttpClient(4000, 4, 4);
 
-  constructor(private readonly options: LoopbackOptions) {
+  constructor(private readonly options: LoopbackServicesOptions) {
     const { ports, machineTypes, capacity } = options;
-    this.state = new StateService(realTime, options.state);
+    this.store = new Store(realTime, options.storeLimits);
     this.cloud = new Cloud({
       time: realTime,
       random: Math.random,
@@ -95,21 +98,21 @@
       },
       addressOf: (n) => `127.0.0.1:${ports.workers + n}`,
     });
-    this.cloud.capacity = capacity;
-    serve(ports.state, (method, path, body, from) => this.state.handle(method, path, body, from));
+    this.cloud.capacityPerOffer = capacity;
+    serve(ports.store, (method, path, body, from) => this.store.handle(method, path, body, from));
     serve(ports.cloud, (method, path, body) => this.cloud.handle(method, path, body));
   }
 
   /** The settings file of the controller that these stand-ins are for. */
   settingsFile(): object {
-    const { ports, state, machineTypes, cloudRate } = this.options;
+    const { ports, storeLimits: state, machineTypes, cloudRequestRate: cloudRate } = this.options;
     const file = settingsFile(0, [...new Set(machineTypes.flatMap(({ zones }) => zones))]);
     return {
       ...file,
       api_addr: `127.0.0.1:${ports.api}`,
       cluster_listen: `127.0.0.1:${ports.cluster}`,
       others: [],
-      endpoints: { cloud: `127.0.0.1:${ports.cloud}`, state: `127.0.0.1:${ports.state}` },
+      endpoints: { cloud: `127.0.0.1:${ports.cloud}`, state: `127.0.0.1:${ports.store}` },
       params: {
         ...file.params,
         nodes: 1,
@@ -131,7 +134,7 @@
   }
 
   private boot(machine: RentedMachine): void {
-    const { ports, tasks } = this.options;
+    const { ports, taskEnvironment: tasks } = this.options;
     const worker = new Worker({
       machine,
       cpus: this.cloud.machineType(machine.machineType)?.cpus ?? 0,
@@ -139,13 +142,13 @@
       http: this.client,
       clock: systemClock,
       random: Math.random,
-      times: { heartbeatMs: HEARTBEAT_MS, leaseMs: LEASE_MS },
-      world: tasks,
+      times: { heartbeatMs: HEARTBEAT_INTERVAL_MS, leaseMs: LEASE_MS },
+      taskEnvironment: tasks,
     });
     const port = Number(machine.address.split(':')[1]);
     const server = serve(port, (method, path, body) => worker.handle(method, path, body));
     this.workers.set(machine.id, { worker, server });
-    this.options.onMachineUp?.(machine);
+    this.options.onMachineBooted?.(machine);
   }
 
   private end(machine: RentedMachine): void {
@@ -153,6 +156,6 @@
     served?.worker.kill();
     served?.server.close();
     this.workers.delete(machine.id);
-    this.options.onMachineGone?.(machine);
+    this.options.onMachineEnded?.(machine);
   }
 }
--- a/test/standin/machines.ts
+++ b/test/standin/machine-fleet.ts
@@ -4,17 +4,17 @@
 import { Cloud, type RentedMachine } from './cloud.js';
 import { machineTypes } from './machine-types.js';
 import type { Network } from './network.js';
-import type { Platform } from './platform.js';
-import type { WorkerWorld } from './worker-tasks.js';
+import type { ClusterSettings } from './cluster-settings.js';
+import type { TaskEnvironment } from './worker-tasks.js';
 import { Worker } from './worker.js';
 
 /** What machines need of the world around them. */
-export interface MachinesWorld {
+export interface MachineFleetDependencies {
   readonly time: VirtualTime;
   readonly random: Random;
   readonly network: Network;
-  readonly platform: Platform;
-  readonly tasks: WorkerWorld;
+  readonly settings: ClusterSettings;
+  readonly taskEnvironment: TaskEnvironment;
 }
 
 /** A worker and the machine that it runs on. */
@@ -23,37 +23,37 @@
   readonly machine: RentedMachine;
 }
 
-const LIST_LAG = 3000;
-const MAX_DRIFT = 0.00025;
-const MAX_PER_RENTAL = 50;
+const LIST_LAG_MS = 3000;
+const MAX_CLOCK_DRIFT = 0.00025;
+const MAX_MACHINES_PER_RENTAL = 50;
 
 /** The address of the nth machine: as many as two bytes count. */
 const addressOf = (n: number): string => `10.1.${n >> 8}.${n & 255}:9000`;
 
 /** All machines that are up, with the cloud that they are rented from. */
-export class Machines {
+export class MachineFleet {
   readonly cloud: Cloud;
   /** By the ids of their machines. */
   readonly workers = new Map<string, WorkerOnMachine>();
 
-  constructor(private readonly world: MachinesWorld) {
+  constructor(private readonly dependencies: MachineFleetDependencies) {
     this.cloud = new Cloud({
-      time: world.time,
-      random: world.random,
+      time: dependencies.time,
+      random: dependencies.random,
       machineTypes,
-      listLagMs: LIST_LAG,
+      listLagMs: LIST_LAG_MS,
       lifecycle: {
-        onBoot: (machine) => this.boot(machine),
-        onEnd: (machine) => this.end(machine),
+        onBoot: (machine) => this.startWorker(machine),
+        onEnd: (machine) => this.endWorker(machine),
       },
       addressOf,
     });
   }
 
-  private boot(machine: RentedMachine): void {
-    const { time, random, network, platform, tasks } = this.world;
-    const clock = new ProcessClock(time, (random() - 0.5) * 2 * MAX_DRIFT, 0);
-    const { heartbeatInterval, lease } = platform.settingsOf(0).workers;
+  private startWorker(machine: RentedMachine): void {
+    const { time, random, network, settings: platform, taskEnvironment: tasks } = this.dependencies;
+    const clock = new ProcessClock(time, (random() - 0.5) * 2 * MAX_CLOCK_DRIFT, 0);
+    const { heartbeatInterval, lease } = platform.of(0).workers;
     const worker = new Worker({
       machine,
       cpus: this.cloud.machineType(machine.machineType)?.cpus ?? 0,
@@ -65,7 +65,7 @@
       clock,
       random,
       times: { heartbeatMs: heartbeatInterval, leaseMs: lease },
-      world: tasks,
+      taskEnvironment: tasks,
     });
     this.workers.set(machine.id, { worker, machine });
     network.attach(machine.address, machine.zone, (method, path, body) =>
@@ -73,52 +73,52 @@
     );
   }
 
-  private end(machine: RentedMachine): void {
+  private endWorker(machine: RentedMachine): void {
     this.workers.get(machine.id)?.worker.kill();
     this.workers.delete(machine.id);
-    this.world.network.detach(machine.address);
+    this.dependencies.network.detach(machine.address);
   }
 
   /** Rents machines before any controller asks for one. */
-  provide(count: number): void {
-    const { zones } = this.world.platform;
-    this.cloud.capacity = count;
-    for (let left = count; left > 0; left -= MAX_PER_RENTAL) {
-      const zone = zones[(left / MAX_PER_RENTAL) % zones.length] ?? '';
+  rent(count: number): void {
+    const { zones } = this.dependencies.settings;
+    this.cloud.capacityPerOffer = count;
+    for (let left = count; left > 0; left -= MAX_MACHINES_PER_RENTAL) {
+      const zone = zones[(left / MAX_MACHINES_PER_RENTAL) % zones.length] ?? '';
       this.cloud.handle('POST', '/machines', {
         hire: `given-${left}`,
         build: machineTypes[0]?.name,
         hall: zone,
         loaners: true,
-        how_many: Math.min(MAX_PER_RENTAL, left),
+        how_many: Math.min(MAX_MACHINES_PER_RENTAL, left),
       });
     }
   }
 
   /** A hanging machine neither does nor answers anything. */
-  hang(id: string, isHung: boolean): void {
+  setHung(id: string, isHung: boolean): void {
     const running = this.workers.get(id);
     if (!running) return;
     running.worker.isHung = isHung;
-    this.world.network.hang(running.machine.address, isHung);
+    this.dependencies.network.setHung(running.machine.address, isHung);
   }
 
   /** Its worker is gone and back at once, with nothing of what it knew. */
-  restart(id: string): void {
+  restartWorker(id: string): void {
     this.workers.get(id)?.worker.restart();
   }
 
   /** Its heartbeats arrive, but answers and commands don't reach it. */
-  dropIncoming(id: string, isDropped: boolean): void {
+  setIncomingDropped(id: string, isDropped: boolean): void {
     const running = this.workers.get(id);
     if (!running) return;
-    this.world.network.dropIncoming(id, isDropped);
-    this.world.network.dropIncoming(running.machine.address, isDropped);
+    this.dependencies.network.setIncomingDropped(id, isDropped);
+    this.dependencies.network.setIncomingDropped(running.machine.address, isDropped);
   }
 
   /** Its heartbeats reach no controller, while commands still reach it. */
-  blockHeartbeats(id: string, isBlocked: boolean): void {
-    const { network, platform } = this.world;
+  setHeartbeatsBlocked(id: string, isBlocked: boolean): void {
+    const { network, settings: platform } = this.dependencies;
     const controllers = new Set<string>(platform.all.map(({ apiEndpoint }) => apiEndpoint));
     if (isBlocked) network.isolate(id, (address) => controllers.has(address), false);
     else network.reconnect(id);
@@ -128,7 +128,7 @@
   reclaim(id: string, noticeMs: number): void {
     const running = this.workers.get(id);
     if (!running) return;
-    const { time } = this.world;
+    const { time } = this.dependencies;
     running.worker.reclaimedAt = time.now + noticeMs;
     time.after(noticeMs, () => this.cloud.end(id));
   }
--- a/test/standin/network.ts
+++ b/test/standin/network.ts
@@ -8,31 +8,31 @@
 import type { ProcessClock, VirtualTime } from './clock.js';
 
 /** The zone of all that belongs to none: users, the balancer, the cloud, the state service. */
-export const REGION = '.region';
+export const NO_ZONE = '.region';
 
 /** What a host answers to a request. */
-export interface Answer {
+export interface HostResponse {
   readonly status: number;
   readonly body?: unknown;
 }
 
 /** What a host does with a request; `from` names the sender. */
-export type Handler = (
+export type RequestHandler = (
   method: string,
   path: string,
   body: unknown,
   from: string,
-) => Answer | Promise<Answer>;
+) => HostResponse | Promise<HostResponse>;
 
 interface Host {
   readonly zone: string;
-  readonly handler: Handler;
+  readonly handler: RequestHandler;
   /** A host that hangs neither answers nor refuses: what is sent to it waits until it goes on. */
   isHung: boolean;
 }
 
 /** One request under way. */
-interface Call {
+interface InFlightRequest {
   readonly from: string;
   readonly fromZone: string;
   readonly to: string;
@@ -44,9 +44,9 @@
 }
 
 /** Where the further copy of a request goes, and after how many milliseconds. */
-export interface Duplicate {
+export interface DuplicateDelivery {
   readonly to: string;
-  readonly after: number;
+  readonly afterMs: number;
 }
 
 interface Isolation {
@@ -59,14 +59,14 @@
 const OPEN_CONNECTION_SHARE = 0.6;
 
 /** What arrives of a body: frames of bytes as they are, and all else by way of CBOR. */
-function transmitted(body: unknown): unknown {
+function serializedCopy(body: unknown): unknown {
   if (body === undefined) return undefined;
   return Buffer.isBuffer(body) ? Buffer.from(body) : decode(encode(body));
 }
 
 const undelivered = (reason: string): Outcome => ({ kind: 'undelivered', reason });
 
-const setMember = (set: Set<string>, member: string, isIn: boolean): void => {
+const setMembership = (set: Set<string>, member: string, isIn: boolean): void => {
   if (isIn) set.add(member);
   else set.delete(member);
 };
@@ -75,23 +75,23 @@
 export class Network {
   private readonly hosts = new Map<string, Host>();
   /** Pairs of zones, `from|to`. */
-  private readonly cuts = new Set<string>();
-  private held: { readonly call: Call; readonly deliver: () => void }[] = [];
+  private readonly partitions = new Set<string>();
+  private heldRequests: { readonly call: InFlightRequest; readonly deliver: () => void }[] = [];
   private heldPath: string | undefined;
-  private readonly droppingIncoming = new Set<string>();
+  private readonly hostsDroppingIncoming = new Set<string>();
   private readonly isolations = new Map<string, Isolation>();
-  private readonly refusing = new Set<string>();
+  private readonly refusingAddresses = new Set<string>();
 
   /** The share of requests, and of answers, that are lost. */
   lossShare = 0;
   /** Which requests arrive a second time; undefined: this one does not. */
-  duplicate: ((path: string, to: string) => Duplicate | undefined) | undefined;
+  duplicateDelivery: ((path: string, to: string) => DuplicateDelivery | undefined) | undefined;
   /** By how many milliseconds requests to an address, and their answers, take longer. */
-  extraDelay: ((to: string) => number) | undefined;
+  extraDelayMs: ((to: string) => number) | undefined;
   /** Requests that get no answer and arrive so many milliseconds late, after newer ones; undefined: not this one. */
-  lateDelivery: ((path: string) => number | undefined) | undefined;
+  lateDeliveryMs: ((path: string) => number | undefined) | undefined;
   /** Requests that are carried out, but whose answer is lost. */
-  losesAnswer: ((path: string) => boolean) | undefined;
+  losesResponse: ((path: string) => boolean) | undefined;
   /** Called before each request leaves; a test may end the sender here. */
   onSend: ((from: string, to: string, path: string) => void) | undefined;
 
@@ -100,7 +100,7 @@
     private readonly random: Random,
   ) {}
 
-  attach(address: string, zone: string, handler: Handler): void {
+  attach(address: string, zone: string, handler: RequestHandler): void {
     this.hosts.set(address, { zone, handler, isHung: false });
   }
 
@@ -108,21 +108,22 @@
     this.hosts.delete(address);
   }
 
-  hang(address: string, isHung: boolean): void {
+  setHung(address: string, isHung: boolean): void {
     const host = this.hosts.get(address);
     if (host) host.isHung = isHung;
-    if (!isHung) this.release();
+    if (!isHung) this.releaseHeldRequests();
   }
 
   /** Cuts two zones off from each other, in both directions. */
-  cut(zone: string, other: string, isCut: boolean): void {
-    for (const key of [`${zone}|${other}`, `${other}|${zone}`]) setMember(this.cuts, key, isCut);
-    if (!isCut) this.release();
+  setPartitioned(zone: string, other: string, isCut: boolean): void {
+    for (const key of [`${zone}|${other}`, `${other}|${zone}`])
+      setMembership(this.partitions, key, isCut);
+    if (!isCut) this.releaseHeldRequests();
   }
 
   /** Drops all that is sent to a host, answers too, while what it sends arrives. */
-  dropIncoming(host: string, isDropped: boolean): void {
-    setMember(this.droppingIncoming, host, isDropped);
+  setIncomingDropped(host: string, isDropped: boolean): void {
+    setMembership(this.hostsDroppingIncoming, host, isDropped);
   }
 
   /** Cuts a host off from some addresses. */
@@ -133,18 +134,18 @@
   /** Ends the isolation of a host. */
   reconnect(host: string): void {
     this.isolations.delete(host);
-    this.release();
+    this.releaseHeldRequests();
   }
 
   /** Refuses connections to an address, as a packet filter does. */
-  refuseConnections(address: string, isRefused: boolean): void {
-    setMember(this.refusing, address, isRefused);
+  setConnectionsRefused(address: string, isRefused: boolean): void {
+    setMembership(this.refusingAddresses, address, isRefused);
   }
 
   /** Holds back requests to a path until it is called with another path or undefined. */
-  hold(path: string | undefined): void {
+  holdRequests(path: string | undefined): void {
     this.heldPath = path;
-    if (path === undefined) this.release();
+    if (path === undefined) this.releaseHeldRequests();
   }
 
   /** A client for one process. No outcome comes back to a process that is dead. */
@@ -154,7 +155,7 @@
         new Promise((resolve) => {
           this.onSend?.(from, request.endpoint, request.path);
           if (clock.isDead) return;
-          this.send(from, zone, request, (outcome) => clock.deliver(() => resolve(outcome)));
+          this.send(from, zone, request, (outcome) => clock.deliverEvent(() => resolve(outcome)));
         }),
     };
   }
@@ -181,62 +182,66 @@
     );
     if (this.isBlocked(from, zone, to) && !isConnectionOpen) return;
     wasSent = true;
-    const body = transmitted(request.body);
+    const body = serializedCopy(request.body);
     this.dispatch({ from, fromZone: zone, to, request, body, settle });
   }
 
-  private dispatch(call: Call): void {
+  private dispatch(call: InFlightRequest): void {
     const { to, request } = call;
-    if (this.random() < this.lossShare || this.droppingIncoming.has(to)) return;
-    const lateness = this.lateDelivery?.(request.path);
+    if (this.random() < this.lossShare || this.hostsDroppingIncoming.has(to)) return;
+    const lateness = this.lateDeliveryMs?.(request.path);
     if (lateness !== undefined) {
       this.time.after(lateness, () => void this.handle(call, to));
       return;
     }
-    const deliver = (): void => this.arrive(call);
-    const delay = this.extraDelay?.(to) ?? 0;
+    const deliver = (): void => this.deliverRequest(call);
+    const delay = this.extraDelayMs?.(to) ?? 0;
     if (delay > 0) this.time.after(delay, () => this.forward(call, deliver));
-    else if (request.path === this.heldPath) this.held.push({ call, deliver });
+    else if (request.path === this.heldPath) this.heldRequests.push({ call, deliver });
     else this.forward(call, deliver);
   }
 
-  private forward(call: Call, deliver: () => void): void {
-    if (this.isBlocked(call.from, call.fromZone, call.to)) this.held.push({ call, deliver });
+  private forward(call: InFlightRequest, deliver: () => void): void {
+    if (this.isBlocked(call.from, call.fromZone, call.to))
+      this.heldRequests.push({ call, deliver });
     else this.time.after(1 + this.random() * 4, deliver);
   }
 
   /** Sends on what was held back; what is still blocked is held again. */
-  private release(): void {
-    const { held } = this;
-    this.held = [];
+  private releaseHeldRequests(): void {
+    const { heldRequests: held } = this;
+    this.heldRequests = [];
     for (const { call, deliver } of held) this.forward(call, deliver);
   }
 
   /** The answer of the host at an address to a call; undefined if none is there. */
-  private handle({ from, request, body }: Call, address: string): Promise<Answer> | undefined {
+  private handle(
+    { from, request, body }: InFlightRequest,
+    address: string,
+  ): Promise<HostResponse> | undefined {
     const handler = this.hosts.get(address)?.handler;
     return handler && Promise.resolve(handler(request.method, request.path, body, from));
   }
 
-  private arrive(call: Call): void {
+  private deliverRequest(call: InFlightRequest): void {
     const { from, to, request } = call;
-    const duplicate = this.duplicate?.(request.path, to);
-    if (duplicate) this.time.after(duplicate.after, () => void this.handle(call, duplicate.to));
+    const duplicate = this.duplicateDelivery?.(request.path, to);
+    if (duplicate) this.time.after(duplicate.afterMs, () => void this.handle(call, duplicate.to));
     const answered = this.handle(call, to);
     if (!answered) {
       call.settle(undelivered('refused'));
       return;
     }
     void answered.then((answer) => {
-      if (this.random() < this.lossShare || this.droppingIncoming.has(from)) return;
-      if (this.losesAnswer?.(request.path)) return;
-      this.sendBack(call, answer);
+      if (this.random() < this.lossShare || this.hostsDroppingIncoming.has(from)) return;
+      if (this.losesResponse?.(request.path)) return;
+      this.sendResponse(call, answer);
     });
   }
 
-  private sendBack(call: Call, { status, body }: Answer): void {
-    const arrived = transmitted(body);
-    const delay = 1 + this.random() * 4 + (this.extraDelay?.(call.to) ?? 0);
+  private sendResponse(call: InFlightRequest, { status, body }: HostResponse): void {
+    const arrived = serializedCopy(body);
+    const delay = 1 + this.random() * 4 + (this.extraDelayMs?.(call.to) ?? 0);
     this.time.after(delay, () => {
       // A cut blocks answers as well: the sender has given up long before it is over.
       if (this.isBlocked(call.from, call.fromZone, call.to)) return;
@@ -247,11 +252,13 @@
   private isBlocked(from: string, fromZone: string, to: string): boolean {
     if (this.isolations.get(from)?.isCutFrom(to)) return true;
     const host = this.hosts.get(to);
-    return host !== undefined && (host.isHung || this.cuts.has(`${fromZone}|${host.zone}`));
+    return host !== undefined && (host.isHung || this.partitions.has(`${fromZone}|${host.zone}`));
   }
 
   private isRefused(from: string, to: string): boolean {
     const isolation = this.isolations.get(from);
-    return this.refusing.has(to) || (isolation?.isRefused === true && isolation.isCutFrom(to));
+    return (
+      this.refusingAddresses.has(to) || (isolation?.isRefused === true && isolation.isCutFrom(to))
+    );
   }
 }
--- a/test/standin/older-build.ts
+++ b/test/standin/older-build.ts
@@ -8,7 +8,7 @@
 import type { Reply } from '../../src/api/reply.js';
 import type { HttpClient, Outcome, Request } from '../../src/net/http.js';
 import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
-import type { Build, ControllerHost, PeerConnection, RunningController } from './build.js';
+import type { Build, ControllerEnvironment, PeerConnection, RunningController } from './build.js';
 
 /** Values that only the older version reads. */
 type OlderSettings = unknown;
@@ -86,7 +86,7 @@
 function createController(
   { node, settings, operator, messages }: OlderModules,
   settingsFile: unknown,
-  host: ControllerHost,
+  host: ControllerEnvironment,
 ): RunningController {
   const controller = new node.Controller(
     settings.parseSettings(settingsFile),
@@ -104,7 +104,7 @@
     start: () => controller.start(),
     stop: () => controller.stop(),
     health: () => controller.health(),
-    hasAuthority: () => controller.election.authority() !== undefined,
+    isLeader: () => controller.election.authority() !== undefined,
     handleUserRequest: (method, path, body) => controller.users.handle(method, path, body),
     handleHeartbeat: (body) => controller.workers.handle(body),
     handlePeerFrame: async (frame) => {
--- a/test/standin/serve.ts
+++ b/test/standin/serve.ts
@@ -1,12 +1,12 @@
 /** The quick start: the stand-ins on loopback, and a settings file for one controller. */
 import { mkdirSync, writeFileSync } from 'node:fs';
-import { Loopback } from './loopback.js';
+import { LoopbackServices } from './loopback-services.js';
 
-const FOLDER = 'target/quickstart';
-const completed = new Set<string>();
+const OUTPUT_FOLDER = 'target/quickstart';
+const completedTasks = new Set<string>();
 
-const loopback = new Loopback({
-  ports: { state: 12379, cloud: 18443, api: 18080, cluster: 18081, workers: 19000 },
+const services = new LoopbackServices({
+  ports: { store: 12379, cloud: 18443, api: 18080, cluster: 18081, workers: 19000 },
   machineTypes: [
     {
       name: 'small',
@@ -22,20 +22,20 @@
     },
   ],
   capacity: 8,
-  state: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
-  cloudRate: 2,
-  tasks: {
+  storeLimits: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
+  cloudRequestRate: 2,
+  taskEnvironment: {
     // The stand-in workers run every task for three seconds, whatever it asks for.
-    facts: () => ({ cpus: 0, runMs: 3000, fetchMs: 1000, image: 'any' }),
+    propertiesOf: () => ({ cpus: 0, runMs: 3000, fetchMs: 1000, image: 'any' }),
     onTaskStarted: (machine, task) => console.log(`${machine}: ${task} runs`),
     onTaskLeft: (machine, task) => console.log(`${machine}: ${task} has ended`),
-    onTaskCompleted: (task) => completed.add(task),
-    isCompleted: (task) => completed.has(task),
+    onTaskCompleted: (task) => completedTasks.add(task),
+    isCompleted: (task) => completedTasks.has(task),
   },
-  onMachineUp: ({ id }) => console.log(`${id} is up`),
-  onMachineGone: ({ id }) => console.log(`${id} is gone`),
+  onMachineBooted: ({ id }) => console.log(`${id} is up`),
+  onMachineEnded: ({ id }) => console.log(`${id} is gone`),
 });
 
-mkdirSync(FOLDER, { recursive: true });
-writeFileSync(`${FOLDER}/node-0.json`, JSON.stringify(loopback.settingsFile(), null, 2));
-console.log(`stand-ins are up; settings for a controller are in ${FOLDER}/node-0.json`);
+mkdirSync(OUTPUT_FOLDER, { recursive: true });
+writeFileSync(`${OUTPUT_FOLDER}/node-0.json`, JSON.stringify(services.settingsFile(), null, 2));
+console.log(`stand-ins are up; settings for a controller are in ${OUTPUT_FOLDER}/node-0.json`);
--- a/test/standin/world.ts
+++ b/test/standin/simulated-cluster.ts
@@ -6,23 +6,29 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { ms, type Random } from '../../src/units/index.js';
-import { Balancer } from './balancer.js';
+import { LoadBalancer } from './load-balancer.js';
 import type { Build } from './build.js';
 import { ProcessClock, VirtualTime } from './clock.js';
 import type { Cloud } from './cloud.js';
-import { Controllers } from './controllers.js';
-import { Faults } from './faults.js';
-import { Judge } from './judge.js';
-import { Machines, type WorkerOnMachine } from './machines.js';
-import { Network, REGION } from './network.js';
-import { CLOUD_ADDRESS, NODES, Platform, STATE_ADDRESS, type PlatformOptions } from './platform.js';
-import { presentBuild } from './present-build.js';
-import { StateService } from './state.js';
-import { Tasks } from './tasks.js';
-import { Users, isOver, type UserJob } from './users.js';
+import { ControllerProcesses } from './controller-processes.js';
+import { NetworkFaults } from './network-faults.js';
+import { InvariantChecker } from './invariant-checker.js';
+import { MachineFleet, type WorkerOnMachine } from './machine-fleet.js';
+import { Network, NO_ZONE } from './network.js';
+import {
+  CLOUD_ADDRESS,
+  CONTROLLERS,
+  ClusterSettings,
+  STORE_ADDRESS,
+  type ClusterSettingsOptions,
+} from './cluster-settings.js';
+import { currentBuild } from './current-build.js';
+import { Store } from './store.js';
+import { TaskRegistry } from './task-registry.js';
+import { Users, isFinished, type UserJob } from './users.js';
 
 /** What a world is made of. */
-export interface WorldOptions extends PlatformOptions {
+export interface SimulatedClusterOptions extends ClusterSettingsOptions {
   readonly seed: number;
   /** The share of requests, and of answers, that are lost. */
   readonly lossShare?: number;
@@ -31,18 +37,18 @@
 }
 
 const PROBE_TIMEOUT = ms(1000);
-const LOG_LEVEL_ERROR = 50;
+const PINO_LEVEL_ERROR = 50;
 /** Users cancel several jobs within so many milliseconds. */
-const CANCEL_SPREAD = 200;
-const MAX_HUNG_BY_CANCELLATION = 8;
+const CANCELLATION_WINDOW_MS = 200;
+const MAX_MACHINES_HUNG_BY_CANCELLATION = 8;
 
 /** A log whose errors are passed on; all of it goes to stderr if SIM_LOG names a level. */
-function createLog(time: VirtualTime, onError: (line: string) => void): Logger {
+function createErrorCollectingLog(time: VirtualTime, onError: (line: string) => void): Logger {
   return pino(
     { level: process.env.SIM_LOG ?? 'error' },
     {
       write: (line) => {
-        if ((JSON.parse(line) as { level: number }).level >= LOG_LEVEL_ERROR) onError(line);
+        if ((JSON.parse(line) as { level: number }).level >= PINO_LEVEL_ERROR) onError(line);
         if (process.env.SIM_LOG) process.stderr.write(`${Math.round(time.now)} ${line}`);
       },
     },
@@ -50,81 +56,89 @@
 }
 
 /** The world. */
-export class World {
+export class SimulatedCluster {
   readonly time = new VirtualTime();
   readonly random: Random;
   readonly network: Network;
-  readonly state: StateService;
+  readonly store: Store;
   readonly users: Users;
   readonly jobs: ReadonlyMap<string, UserJob>;
   /** Of the jobs that end, such a share is cancelled at that very moment. */
-  cancelAtEndShare = 0;
-  private readonly platform: Platform;
-  private readonly controllers: Controllers;
-  private readonly machines: Machines;
-  private readonly tasks: Tasks;
-  private readonly faults: Faults;
-  private readonly judge: Judge;
-
-  constructor(options: WorldOptions) {
+  cancelOnCompletionShare = 0;
+  private readonly settings: ClusterSettings;
+  private readonly controllers: ControllerProcesses;
+  private readonly machines: MachineFleet;
+  private readonly tasks: TaskRegistry;
+  private readonly networkFaults: NetworkFaults;
+  private readonly invariants: InvariantChecker;
+
+  constructor(options: SimulatedClusterOptions) {
     const { time } = this;
     const generator = xoroshiro128plus(options.seed);
     const random = (): number => uniformFloat64(generator);
     const jobs = new Map<string, UserJob>();
-    const platform = new Platform(options);
-    const settings = platform.settingsOf(0);
+    const platform = new ClusterSettings(options);
+    const settings = platform.of(0);
     const network = new Network(time, random);
     network.lossShare = options.lossShare ?? 0;
     this.random = random;
     this.jobs = jobs;
-    this.platform = platform;
+    this.settings = platform;
     this.network = network;
-    this.state = new StateService(time, settings.state);
-    this.tasks = new Tasks(jobs, {
-      onStarted: (machine, task, others) => this.judge.checkStart(machine, task, others),
-      onJobCompleted: (job) => this.cancelByChance(job),
+    this.store = new Store(time, settings.state);
+    this.tasks = new TaskRegistry(jobs, {
+      onTaskStarted: (machine, task, others) => this.invariants.checkStart(machine, task, others),
+      onJobCompleted: (job) => this.cancelWithProbability(job),
     });
-    this.machines = new Machines({ time, random, network, platform, tasks: this.tasks });
-    this.faults = new Faults({ random, network, platform });
-    this.attachServices();
+    this.machines = new MachineFleet({
+      time,
+      random,
+      network,
+      settings: platform,
+      taskEnvironment: this.tasks,
+    });
+    this.networkFaults = new NetworkFaults({ random, network, settings: platform });
+    this.attachExternalServices();
     // What goes wrong inside must not stay unseen behind rules that hold.
-    const log = createLog(time, (line) => this.judge.violations.push(`log: ${line}`));
-    this.controllers = new Controllers(
-      { time, random, network, platform, log },
-      options.build ?? presentBuild,
+    const log = createErrorCollectingLog(time, (line) =>
+      this.invariants.violations.push(`log: ${line}`),
+    );
+    this.controllers = new ControllerProcesses(
+      { time, random, network, settings: platform, log },
+      options.build ?? currentBuild,
     );
-    for (const node of NODES) this.controllers.start(node);
+    for (const node of CONTROLLERS) this.controllers.start(node);
     this.users = new Users({
       time,
       random,
       network,
-      balancer: this.createBalancer(),
+      loadBalancer: this.createLoadBalancer(),
       zones: platform.zones,
       jobs,
       processOf: (node) => this.controllers.processOf(node),
       onTaskCompleted: (task) => this.tasks.onTaskCompleted(task),
-      onViolation: (rule, detail) => this.judge.report(rule, detail),
+      onViolation: (rule, detail) => this.invariants.reportViolation(rule, detail),
     });
     const { tasks, users, cloud, workers } = this;
-    this.judge = new Judge({ time, settings, jobs, tasks, users, cloud, workers });
-    this.judge.start();
+    this.invariants = new InvariantChecker({ time, settings, jobs, tasks, users, cloud, workers });
+    this.invariants.start();
   }
 
-  private attachServices(): void {
-    const { state, cloud } = this;
-    this.network.attach(STATE_ADDRESS, REGION, (method, path, body, from) =>
+  private attachExternalServices(): void {
+    const { store: state, cloud } = this;
+    this.network.attach(STORE_ADDRESS, NO_ZONE, (method, path, body, from) =>
       state.handle(method, path, body, from),
     );
-    this.network.attach(CLOUD_ADDRESS, REGION, (method, path, body) =>
+    this.network.attach(CLOUD_ADDRESS, NO_ZONE, (method, path, body) =>
       cloud.handle(method, path, body),
     );
   }
 
-  private createBalancer(): Balancer {
+  private createLoadBalancer(): LoadBalancer {
     const clock = new ProcessClock(this.time, 0, 0);
-    return new Balancer(this.time, this.random, NODES.length, async (node) => {
-      const { apiEndpoint: endpoint } = this.platform.settingsOf(node);
-      const client = this.network.client('balancer', REGION, clock);
+    return new LoadBalancer(this.time, this.random, CONTROLLERS.length, async (node) => {
+      const { apiEndpoint: endpoint } = this.settings.of(node);
+      const client = this.network.client('balancer', NO_ZONE, clock);
       const outcome = await client.send({
         endpoint,
         method: 'GET',
@@ -136,20 +150,20 @@
   }
 
   /** Lets so many milliseconds pass. */
-  async run(forMs: number): Promise<void> {
-    await this.time.run(this.time.now + forMs);
+  async run(durationMs: number): Promise<void> {
+    await this.time.run(this.time.now + durationMs);
   }
 
   // --- what has happened ----------------------------------------------------------------------------
 
   /** The rules that were violated so far. */
   get violations(): readonly string[] {
-    return this.judge.violations;
+    return this.invariants.violations;
   }
 
   /** How many tasks were started so far. */
-  get starts(): number {
-    return this.tasks.starts;
+  get startCount(): number {
+    return this.tasks.startCount;
   }
 
   get cloud(): Cloud {
@@ -174,66 +188,66 @@
   }
 
   /** All faults are over. */
-  declareCalm(): void {
-    this.judge.declareCalm();
+  markFaultsEnded(): void {
+    this.invariants.markFaultsEnded();
   }
 
-  get isCalm(): boolean {
-    return this.judge.isCalm;
+  get haveFaultsEnded(): boolean {
+    return this.invariants.haveFaultsEnded;
   }
 
   // --- controllers ----------------------------------------------------------------------------------
 
   /** Starts the controller of a node, unless it runs. */
-  startNode(node: number): void {
-    this.controllers.start(node);
+  startController(controller: number): void {
+    this.controllers.start(controller);
   }
 
   /** Ends a controller's process without a signal. */
-  killNode(node: number): void {
-    this.controllers.kill(node);
+  killController(controller: number): void {
+    this.controllers.kill(controller);
   }
 
   /** Freezes a controller's process, or lets it go on. */
-  freezeNode(node: number, isFrozen: boolean): void {
-    this.controllers.freeze(node, isFrozen);
+  setControllerFrozen(controller: number, isFrozen: boolean): void {
+    this.controllers.setFrozen(controller, isFrozen);
   }
 
   /** Ends a controller's process and starts it with this version after a while. */
-  upgradeNode(node: number, downMs: number): void {
-    this.controllers.upgrade(node, downMs);
+  upgradeController(controller: number, downMs: number): void {
+    this.controllers.upgrade(controller, downMs);
   }
 
   /** The node that leads at this moment. */
-  leaderNode(): number | undefined {
+  leader(): number | undefined {
     return this.controllers.leader();
   }
 
   // --- machines -------------------------------------------------------------------------------------
 
   /** Rents machines before any controller asks for one. */
-  provideMachines(count: number): void {
-    this.machines.provide(count);
+  rentMachines(count: number): void {
+    this.machines.rent(count);
   }
 
   /** Lets a machine hang, or go on. */
-  hangWorker(id: string, isHung: boolean): void {
-    this.machines.hang(id, isHung);
+  setMachineHung(id: string, isHung: boolean): void {
+    this.machines.setHung(id, isHung);
   }
 
   /** A worker is gone and back at once, with nothing of what it knew. */
   restartWorker(id: string): void {
-    this.machines.restart(id);
+    this.machines.restartWorker(id);
   }
 
   /** A worker's heartbeats arrive, but answers and commands don't reach it. */
-  dropIncoming(id: string, isDropped: boolean): void {
-    this.machines.dropIncoming(id, isDropped);
+  setIncomingDropped(id: string, isDropped: boolean): void {
+    this.machines.setIncomingDropped(id, isDropped);
   }
 
   /** A worker's heartbeats reach no controller, while commands still reach it. */
-  blockHeartbeats(id: string, isBlocked: boolean): void {
-    this.machines.blockHeartbeats(id, isBlocked);
+  setHeartbeatsBlocked(id: string, isBlocked: boolean): void {
+    this.machines.setHeartbeatsBlocked(id, isBlocked);
   }
 
   /** The cloud gives notice that it takes a machine back, and does so. */
@@ -244,65 +258,65 @@
   // --- faults ---------------------------------------------------------------------------------------
 
   /** A controller loses the state service and the other controllers, but not workers and users. */
-  isolateNode(node: number, isRefused: boolean): void {
-    this.faults.isolate(node, isRefused);
+  isolateController(controller: number, isRefused: boolean): void {
+    this.networkFaults.isolate(controller, isRefused);
   }
 
   /** Ends the isolation of any controller. */
-  reconnectNodes(): void {
-    this.faults.reconnect();
+  reconnectControllers(): void {
+    this.networkFaults.reconnect();
   }
 
   /** Connections between controllers are refused. */
-  refusePeers(isRefused: boolean): void {
-    this.faults.refusePeers(isRefused);
+  setPeerConnectionsRefused(isRefused: boolean): void {
+    this.networkFaults.setPeerConnectionsRefused(isRefused);
   }
 
   /** Requests to the state service, and their answers, take up to so many milliseconds longer. */
-  slowStore(maxMs: number): void {
-    this.faults.slowStore(maxMs);
+  setStoreDelay(maxDelayMs: number): void {
+    this.networkFaults.setStoreDelay(maxDelayMs);
   }
 
   /** Such a share of the transactions gets no answer and is carried out after newer ones. */
-  delayWrites(share: number): void {
-    this.faults.delayWrites(share);
+  setDelayedWriteShare(share: number): void {
+    this.networkFaults.setDelayedWriteShare(share);
   }
 
   /** Of such a share of the messages to controllers and workers a copy arrives late, at any controller. */
-  duplicateMessages(share: number): void {
-    this.faults.duplicateMessages(share);
+  setDuplicateShare(share: number): void {
+    this.networkFaults.setDuplicateShare(share);
   }
 
   /** The state service takes from now on only what the settings announced. */
-  lowerStateLimits(): void {
-    const { next } = this.platform.settingsOf(0).state;
-    if (next) this.state.lower(next);
+  applyAnnouncedStoreLimits(): void {
+    const { next } = this.settings.of(0).state;
+    if (next) this.store.setLimits(next);
   }
 
   // --- cancellations --------------------------------------------------------------------------------
 
   /** Users cancel so many running jobs at about the same time; their machines hang for so long meanwhile. */
-  cancelRunning(count: number, hangMs: number): void {
+  cancelRunningJobs(count: number, hangMs: number): void {
     const running = [...this.jobs].filter(
-      ([id, job]) => !isOver(job) && !job.isCancelRequested && this.machinesOf(id).length > 0,
+      ([id, job]) => !isFinished(job) && !job.isCancelRequested && this.machinesOf(id).length > 0,
     );
     const hung = new Set<string>();
     for (const [id] of running.slice(0, count)) {
       if (hangMs > 0) {
         for (const machine of this.machinesOf(id)) {
-          if (hung.size < MAX_HUNG_BY_CANCELLATION) hung.add(machine);
+          if (hung.size < MAX_MACHINES_HUNG_BY_CANCELLATION) hung.add(machine);
         }
       }
-      this.time.after(this.random() * CANCEL_SPREAD, () => this.users.cancel(id));
+      this.time.after(this.random() * CANCELLATION_WINDOW_MS, () => this.users.cancel(id));
     }
     for (const machine of hung) {
-      this.hangWorker(machine, true);
-      this.time.after(hangMs, () => this.hangWorker(machine, false));
+      this.setMachineHung(machine, true);
+      this.time.after(hangMs, () => this.setMachineHung(machine, false));
     }
   }
 
-  private cancelByChance(job: UserJob): void {
-    if (this.cancelAtEndShare > 0 && this.random() < this.cancelAtEndShare) {
+  private cancelWithProbability(job: UserJob): void {
+    if (this.cancelOnCompletionShare > 0 && this.random() < this.cancelOnCompletionShare) {
       this.users.cancel(job.spec.id);
     }
   }
--- a/test/standin/state.ts
+++ b/test/standin/store.ts
@@ -1,6 +1,6 @@
 /** The state service, from the protocol: revisions, transactions, leases, watches, limits, outages. */
 import type { TimeSource } from './clock.js';
-import type { Answer } from './network.js';
+import type { HostResponse } from './network.js';
 
 interface StoredValue {
   readonly data: unknown;
@@ -19,12 +19,12 @@
 interface Watcher {
   readonly prefix: string;
   readonly from: number;
-  readonly resolve: (answer: Answer) => void;
+  readonly resolve: (answer: HostResponse) => void;
 }
 
 interface Lease {
-  readonly ttl: number;
-  endsAt: number;
+  readonly ttlMs: number;
+  expiresAt: number;
 }
 
 /** A transaction as it is sent. */
@@ -41,24 +41,24 @@
 }
 
 /** What the service takes. Rates are per second. */
-export interface StateLimits {
+export interface StoreLimits {
   readonly requestRate: number;
   readonly writeRate: number;
   readonly valueBytes: number;
   readonly transactionOps: number;
 }
 
-const SWEEP_INTERVAL = 50;
+const LEASE_SWEEP_INTERVAL_MS = 50;
 /** A lease ends by so much later than it was due. */
-const LEASE_SLACK = 50;
-const MAX_PAGE = 1000;
+const LEASE_EXPIRY_DELAY_MS = 50;
+const MAX_PAGE_ENTRIES = 1000;
 /** Conditions that a transaction may have, as a multiple of its operations. */
-const CONDITIONS_PER_OP = 4;
+const MAX_CONDITIONS_PER_OP = 4;
 
 /** A bucket of tokens that holds at most one second's. */
-class RateLimit {
+class RateLimiter {
   private tokens: number;
-  private filledAt = 0;
+  private refilledAt = 0;
 
   constructor(
     private readonly time: TimeSource,
@@ -70,83 +70,89 @@
   /** Takes tokens, all or none; false if there are not enough. */
   take(count: number, rate: number): boolean {
     const { now } = this.time;
-    this.tokens = Math.min(rate, this.tokens + ((now - this.filledAt) / 1000) * rate);
-    this.filledAt = now;
+    this.tokens = Math.min(rate, this.tokens + ((now - this.refilledAt) / 1000) * rate);
+    this.refilledAt = now;
     if (this.tokens < count) return false;
     this.tokens -= count;
     return true;
   }
 }
 
-const TOO_MANY: Answer = { status: 429, body: {} };
+const RATE_LIMITED: HostResponse = { status: 429, body: {} };
 
 /** The state service. */
-export class StateService {
+export class Store {
   private readonly values = new Map<string, StoredValue>();
   private revision = 0;
-  private nextLease = 1;
+  private nextLeaseId = 1;
   private readonly leases = new Map<number, Lease>();
   /** The last changes, for watches. */
   private changes: Change[] = [];
   /** Watches from an earlier revision are answered with 410: some changes since are forgotten. */
-  private oldestWatchable = 0;
+  private oldestWatchableRevision = 0;
   private watchers: Watcher[] = [];
-  private isOut = false;
-  private readonly refusedNodes = new Set<string>();
-  private readonly requestRate: RateLimit;
-  private readonly writeRate: RateLimit;
+  private isUnavailable = false;
+  private readonly refusedControllers = new Set<string>();
+  private readonly requestLimiter: RateLimiter;
+  private readonly writeLimiter: RateLimiter;
 
   /** The sizes of all values that were sent to it, in bytes. */
   readonly valueSizes: number[] = [];
   /** How many changes it keeps for watches. */
-  maxChanges = 10_000;
+  maxRetainedChanges = 10_000;
   /** How many watches it was asked for so far. */
   watchCount = 0;
   /** How many transactions it refused as too large so far. */
-  tooLarge = 0;
+  tooLargeCount = 0;
   /** Lists of keys that begin like this are refused, while all else is served. */
-  refusedPrefix: string | undefined;
+  refusedListPrefix: string | undefined;
 
   constructor(
     private readonly time: TimeSource,
-    private limits: StateLimits,
+    private limits: StoreLimits,
   ) {
-    this.requestRate = new RateLimit(time, limits.requestRate);
-    this.writeRate = new RateLimit(time, limits.writeRate);
-    this.sweepLeases();
+    this.requestLimiter = new RateLimiter(time, limits.requestRate);
+    this.writeLimiter = new RateLimiter(time, limits.writeRate);
+    this.expireLeases();
   }
 
   /** Changes its limits without notice. */
-  lower(limits: StateLimits): void {
+  setLimits(limits: StoreLimits): void {
     this.limits = limits;
   }
 
   /** While it is out nothing is carried out and no lease ends. Afterwards each lease has its full time again. */
-  outage(isOut: boolean): void {
-    this.isOut = isOut;
+  setOutage(isOut: boolean): void {
+    this.isUnavailable = isOut;
     if (isOut) return;
-    for (const lease of this.leases.values()) lease.endsAt = this.time.now + lease.ttl;
+    for (const lease of this.leases.values()) lease.expiresAt = this.time.now + lease.ttlMs;
   }
 
   /** Answers 503 to one node alone, whose leases run out meanwhile. */
-  outageFor(node: string, isOut: boolean): void {
-    if (isOut) this.refusedNodes.add(node);
-    else this.refusedNodes.delete(node);
+  setOutageFor(controllerId: string, isOut: boolean): void {
+    if (isOut) this.refusedControllers.add(controllerId);
+    else this.refusedControllers.delete(controllerId);
   }
 
-  handle(method: string, target: string, body: unknown, from: string): Answer | Promise<Answer> {
-    if (this.isOut || this.refusedNodes.has(from)) return { status: 503, body: { error: 'out' } };
-    if (!this.requestRate.take(1, this.limits.requestRate)) return TOO_MANY;
+  handle(
+    method: string,
+    target: string,
+    body: unknown,
+    from: string,
+  ): HostResponse | Promise<HostResponse> {
+    if (this.isUnavailable || this.refusedControllers.has(from))
+      return { status: 503, body: { error: 'out' } };
+    if (!this.requestLimiter.take(1, this.limits.requestRate)) return RATE_LIMITED;
     const { pathname, searchParams } = new URL(target, 'http://state');
     if (pathname === '/multi') return this.transact(body as Transaction);
     if (pathname === '/follow') return this.watch(searchParams);
     if (pathname === '/store') return this.list(searchParams);
     if (pathname.startsWith('/store/')) return this.read(pathname.slice('/store/'.length));
     if (pathname === '/leases') return this.grantLease((body as { ttl_ms: number }).ttl_ms);
-    return this.changeLease(method, Number(pathname.split('/')[2]));
+    return this.renewOrEndLease(method, Number(pathname.split('/')[2]));
   }
 
-  private read(key: string): Answer {
+  private read(key: string): HostResponse {
     const value = this.values.get(key);
     if (!value) return { status: 404, body: { ledger_rev: this.revision } };
     const { data, revision, lease } = value;
@@ -155,28 +161,28 @@
 
   // --- leases -------------------------------------------------------------------------------------
 
-  private grantLease(ttl: number): Answer {
-    const id = this.nextLease++;
-    this.leases.set(id, { ttl, endsAt: this.time.now + ttl });
+  private grantLease(ttl: number): HostResponse {
+    const id = this.nextLeaseId++;
+    this.leases.set(id, { ttlMs: ttl, expiresAt: this.time.now + ttl });
     return { status: 200, body: { tenure: id } };
   }
 
   /** Renews a lease, or ends it. */
-  private changeLease(method: string, id: number): Answer {
+  private renewOrEndLease(method: string, id: number): HostResponse {
     const lease = this.leases.get(id);
     if (!lease) return { status: 404, body: {} };
     if (method === 'DELETE') this.endLease(id);
-    else lease.endsAt = this.time.now + lease.ttl;
+    else lease.expiresAt = this.time.now + lease.ttlMs;
     return { status: 200, body: { tenure: id } };
   }
 
-  private sweepLeases(): void {
-    if (!this.isOut) {
+  private expireLeases(): void {
+    if (!this.isUnavailable) {
       for (const [id, lease] of this.leases) {
-        if (lease.endsAt + LEASE_SLACK < this.time.now) this.endLease(id);
+        if (lease.expiresAt + LEASE_EXPIRY_DELAY_MS < this.time.now) this.endLease(id);
       }
     }
-    this.time.after(SWEEP_INTERVAL, () => this.sweepLeases());
+    this.time.after(LEASE_SWEEP_INTERVAL_MS, () => this.expireLeases());
   }
 
   /** Ends a lease, and with it the keys that hang on it. */
@@ -194,9 +200,9 @@
 
   // --- transactions -------------------------------------------------------------------------------
 
-  private transact({ if: conditions = [], writes = [] }: Transaction): Answer {
-    if (!this.writeRate.take(writes.length, this.limits.writeRate)) return TOO_MANY;
-    const refusal = this.refusalOf(conditions.length, writes);
+  private transact({ if: conditions = [], writes = [] }: Transaction): HostResponse {
+    if (!this.writeLimiter.take(writes.length, this.limits.writeRate)) return RATE_LIMITED;
+    const refusal = this.refusalReason(conditions.length, writes);
     if (refusal !== undefined) return { status: 400, body: { error: refusal } };
     const failed = conditions.filter(
       ({ key, stamp }) => (this.values.get(key)?.revision ?? 0) !== stamp,
@@ -210,22 +216,22 @@
   }
 
   /** Why a transaction is refused whatever the store holds; undefined if it is not. */
-  private refusalOf(conditionCount: number, writes: readonly Write[]): string | undefined {
+  private refusalReason(conditionCount: number, writes: readonly Write[]): string | undefined {
     const { transactionOps, valueBytes } = this.limits;
     const sizes = writes.map(({ data }) => Buffer.byteLength(JSON.stringify(data ?? null)));
     this.valueSizes.push(...sizes);
     if (
       writes.length > transactionOps ||
-      conditionCount > CONDITIONS_PER_OP * transactionOps ||
+      conditionCount > MAX_CONDITIONS_PER_OP * transactionOps ||
       sizes.some((size) => size > valueBytes)
     ) {
-      this.tooLarge++;
+      this.tooLargeCount++;
       return 'too large';
     }
-    const endedLease = writes.some(
+    const hasUnknownLease = writes.some(
       ({ tenure }) => typeof tenure === 'number' && !this.leases.has(tenure),
     );
-    return endedLease ? 'no such lease' : undefined;
+    return hasUnknownLease ? 'no such lease' : undefined;
   }
 
   private apply(writes: readonly Write[]): void {
@@ -239,25 +245,25 @@
         this.changes.push({ delete: deleted, stamp });
       }
     }
-    this.forgetOldChanges();
+    this.discardOldChanges();
     this.notifyWatchers();
   }
 
-  private forgetOldChanges(): void {
-    if (this.changes.length <= this.maxChanges) return;
-    this.changes = this.changes.slice(-this.maxChanges);
-    this.oldestWatchable = (this.changes[0]?.stamp ?? 1) - 1;
+  private discardOldChanges(): void {
+    if (this.changes.length <= this.maxRetainedChanges) return;
+    this.changes = this.changes.slice(-this.maxRetainedChanges);
+    this.oldestWatchableRevision = (this.changes[0]?.stamp ?? 1) - 1;
   }
 
   // --- lists and watches --------------------------------------------------------------------------
 
-  private list(query: URLSearchParams): Answer {
+  private list(query: URLSearchParams): HostResponse {
     const prefix = query.get('starts') ?? '';
-    if (this.refusedPrefix !== undefined && prefix.startsWith(this.refusedPrefix)) {
+    if (this.refusedListPrefix !== undefined && prefix.startsWith(this.refusedListPrefix)) {
       return { status: 503, body: {} };
     }
     const from = query.get('from') ?? '';
-    const limit = Math.min(MAX_PAGE, Number(query.get('limit') ?? MAX_PAGE));
+    const limit = Math.min(MAX_PAGE_ENTRIES, Number(query.get('limit') ?? MAX_PAGE_ENTRIES));
     const keys = [...this.values.keys()]
       .filter((key) => key.startsWith(prefix) && key > from)
       .sort();
@@ -271,25 +277,25 @@
     };
   }
 
-  private watch(query: URLSearchParams): Answer | Promise<Answer> {
+  private watch(query: URLSearchParams): HostResponse | Promise<HostResponse> {
     const prefix = query.get('starts') ?? '';
     const from = Number(query.get('from') ?? 0);
     this.watchCount++;
-    if (from < this.oldestWatchable) return { status: 410, body: {} };
+    if (from < this.oldestWatchableRevision) return { status: 410, body: {} };
     const changes = this.changesSince(prefix, from);
-    if (changes.length > 0) return this.watchAnswer(changes);
+    if (changes.length > 0) return this.watchResponse(changes);
     return new Promise((resolve) => {
       const watcher: Watcher = { prefix, from, resolve };
       this.watchers.push(watcher);
       this.time.after(Number(query.get('wait_ms') ?? 0), () => {
         if (!this.watchers.includes(watcher)) return;
-        this.remove(watcher);
-        resolve(this.watchAnswer([]));
+        this.removeWatcher(watcher);
+        resolve(this.watchResponse([]));
       });
     });
   }
 
-  private watchAnswer(changes: readonly Change[]): Answer {
+  private watchResponse(changes: readonly Change[]): HostResponse {
     return { status: 200, body: { ledger_rev: this.revision, log: changes } };
   }
 
@@ -297,12 +303,12 @@
     for (const watcher of [...this.watchers]) {
       const changes = this.changesSince(watcher.prefix, watcher.from);
       if (changes.length === 0) continue;
-      this.remove(watcher);
-      watcher.resolve(this.watchAnswer(changes));
+      this.removeWatcher(watcher);
+      watcher.resolve(this.watchResponse(changes));
     }
   }
 
-  private remove(watcher: Watcher): void {
+  private removeWatcher(watcher: Watcher): void {
     this.watchers = this.watchers.filter((other) => other !== watcher);
   }
 
--- a/test/standin/tasks.ts
+++ b/test/standin/task-registry.ts
@@ -1,9 +1,9 @@
 /** What workers see of the jobs that users submitted, and where each task is at every moment. */
 import type { UserJob } from './users.js';
-import type { TaskFacts, WorkerWorld } from './worker-tasks.js';
+import type { TaskProperties, TaskEnvironment } from './worker-tasks.js';
 
 /** One task of a job. */
-export interface Task {
+export interface RegisteredTask {
   readonly job: UserJob;
   readonly index: number;
 }
@@ -11,7 +11,7 @@
 /** Called as tasks start and end. */
 export interface TaskObserver {
   /** `others`: the machines that the task was on already. */
-  onStarted(machine: string, task: string, others: readonly string[]): void;
+  onTaskStarted(machine: string, task: string, otherMachines: readonly string[]): void;
   /** All tasks of a job are completed; called once more for each task that completes again. */
   onJobCompleted(job: UserJob): void;
 }
@@ -19,11 +19,11 @@
 const FETCH_MS_PER_GB = 2000;
 
 /** The tasks of all jobs. */
-export class Tasks implements WorkerWorld {
+export class TaskRegistry implements TaskEnvironment {
   /** How many tasks were started so far. */
-  starts = 0;
+  startCount = 0;
   /** The machines that each task is on; a task that is on none has no entry. */
-  private readonly machines = new Map<string, Set<string>>();
+  private readonly machinesByTask = new Map<string, Set<string>>();
 
   constructor(
     private readonly jobs: ReadonlyMap<string, UserJob>,
@@ -31,7 +31,7 @@
   ) {}
 
   /** The task of a name; undefined if its job was never submitted. */
-  find(task: string): Task | undefined {
+  find(task: string): RegisteredTask | undefined {
     const [id = '', index = ''] = task.split('/');
     const job = this.jobs.get(id);
     return job ? { job, index: Number(index) } : undefined;
@@ -43,20 +43,20 @@
   }
 
   /** All tasks that are on machines, and the machines, in the order in which they started. */
-  placed(): Iterable<[string, ReadonlySet<string>]> {
-    return this.machines;
+  placements(): Iterable<[string, ReadonlySet<string>]> {
+    return this.machinesByTask;
   }
 
   /** The machines that a job's tasks are on, one for each task. */
   machinesOf(job: string): string[] {
     const found: string[] = [];
-    for (const [task, machines] of this.machines) {
+    for (const [task, machines] of this.machinesByTask) {
       if (task.startsWith(`${job}/`)) found.push(...machines);
     }
     return found;
   }
 
-  facts(task: string): TaskFacts | undefined {
+  propertiesOf(task: string): TaskProperties | undefined {
     const job = this.find(task)?.job;
     if (!job) return undefined;
     const { cpus, image, imageSizeGb, checkpointIntervalSeconds, checkpointSeconds } = job.spec;
@@ -71,30 +71,30 @@
   }
 
   onTaskStarted(machine: string, task: string): void {
-    this.starts++;
-    const machines = this.machines.get(task) ?? new Set<string>();
+    this.startCount++;
+    const machines = this.machinesByTask.get(task) ?? new Set<string>();
     const others = [...machines];
     machines.add(machine);
-    this.machines.set(task, machines);
-    this.observer.onStarted(machine, task, others);
+    this.machinesByTask.set(task, machines);
+    this.observer.onTaskStarted(machine, task, others);
   }
 
   onTaskLeft(machine: string, task: string): void {
-    const machines = this.machines.get(task);
+    const machines = this.machinesByTask.get(task);
     machines?.delete(machine);
-    if (machines?.size === 0) this.machines.delete(task);
+    if (machines?.size === 0) this.machinesByTask.delete(task);
   }
 
   onTaskCompleted(task: string): void {
     const found = this.find(task);
     if (!found) return;
     const { job, index } = found;
-    job.completed.add(index);
-    if (job.completed.size === job.spec.taskCount) this.observer.onJobCompleted(job);
+    job.completedTasks.add(index);
+    if (job.completedTasks.size === job.spec.taskCount) this.observer.onJobCompleted(job);
   }
 
   isCompleted(task: string): boolean {
     const found = this.find(task);
-    return found?.job.completed.has(found.index) ?? false;
+    return found?.job.completedTasks.has(found.index) ?? false;
   }
 }
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -12,10 +12,10 @@
 } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 import { settingsFile } from '../support/settings.js';
-import type { Balancer } from './balancer.js';
+import type { LoadBalancer } from './load-balancer.js';
 import { ProcessClock, type VirtualTime } from './clock.js';
 import { GangRun } from './gang-run.js';
-import { REGION, type Network } from './network.js';
+import { NO_ZONE, type Network } from './network.js';
 
 /** A job as its user knows it, and as the workers carry it out. */
 export interface UserJob {
@@ -28,11 +28,11 @@
   /** When its user was answered that it is cancelled. */
   cancelledAt: number | undefined;
   /** The indexes of the tasks that the workers have completed. */
-  readonly completed: Set<number>;
+  readonly completedTasks: Set<number>;
   /** What its tasks do together, if it is a gang. */
   readonly gang: GangRun | undefined;
   /** When a question about it was last answered. */
-  answeredAt: number;
+  lastResponseAt: number;
   /** Since when it has waited though some machine can take it. */
   placeableSince: number | undefined;
   /** The controller process that its user's connection is open to. */
@@ -40,16 +40,16 @@
 }
 
 interface Connection {
-  readonly node: number;
+  readonly controller: number;
   readonly process: object;
 }
 
 /** What users need of the world around them. */
-export interface UsersWorld {
+export interface UsersDependencies {
   readonly time: VirtualTime;
   readonly random: Random;
   readonly network: Network;
-  readonly balancer: Balancer;
+  readonly loadBalancer: LoadBalancer;
   readonly zones: readonly string[];
   /** All jobs by their ids; users add those that they submit. */
   readonly jobs: Map<string, UserJob>;
@@ -59,15 +59,15 @@
   onViolation(rule: string, detail: string): void;
 }
 
-type HttpAnswer = Outcome & { readonly kind: 'answer' };
+type HttpResponse = Outcome & { readonly kind: 'answer' };
 
-const POST_TIMEOUT = 5000;
-const POLL_TIMEOUT = 2000;
-const RETRY_INTERVAL = 1000;
-const MAX_CONNECT_TRIES = 3;
+const POST_TIMEOUT_MS = 5000;
+const POLL_TIMEOUT_MS = 2000;
+const RETRY_INTERVAL_MS = 1000;
+const MAX_CONNECT_ATTEMPTS = 3;
 
 /** Whether the last answer to a job's user was a final one. */
-export const isOver = ({ lastStatus }: UserJob): boolean =>
+export const isFinished = ({ lastStatus }: UserJob): boolean =>
   lastStatus === 'done' || lastStatus === 'aborted';
 
 /** All users. */
@@ -77,14 +77,14 @@
   private jobCount = 0;
   private readonly clock: ProcessClock;
 
-  constructor(private readonly world: UsersWorld) {
-    this.clock = new ProcessClock(world.time, 0, 0);
+  constructor(private readonly dependencies: UsersDependencies) {
+    this.clock = new ProcessClock(dependencies.time, 0, 0);
   }
 
   /** Submits a job, and polls it to its end and beyond. Cancels it after `cancelAfter`, if that is given. */
-  submit(change: Partial<JobSpec>, runMs: number, cancelAfter?: number): string {
+  submit(overrides: Partial<JobSpec>, runMs: number, cancelAfterMs?: number): string {
     const id = `run-${String(++this.jobCount).padStart(6, '0')}`;
-    const submitted = spec({ ...change, id });
+    const submitted = spec({ ...overrides, id });
     const job: UserJob = {
       spec: submitted,
       gang: submitted.kind === JobKind.gang ? this.createGang(submitted, runMs) : undefined,
@@ -93,35 +93,36 @@
       lastStatus: 'pending',
       isCancelRequested: false,
       cancelledAt: undefined,
-      completed: new Set(),
-      answeredAt: this.world.time.now,
+      completedTasks: new Set(),
+      lastResponseAt: this.dependencies.time.now,
       placeableSince: undefined,
       connection: undefined,
     };
-    this.world.jobs.set(id, job);
+    this.dependencies.jobs.set(id, job);
     this.submitUntilAccepted(job);
-    if (cancelAfter !== undefined) this.world.time.after(cancelAfter, () => this.cancel(id));
+    if (cancelAfterMs !== undefined)
+      this.dependencies.time.after(cancelAfterMs, () => this.cancel(id));
     return id;
   }
 
   /** The user of a job cancels it. */
   cancel(id: string): void {
-    const job = this.world.jobs.get(id);
+    const job = this.dependencies.jobs.get(id);
     if (!job || job.isCancelRequested) return;
     job.isCancelRequested = true;
     this.cancelUntilConfirmed(job);
   }
 
   /** Jobs that have not come to their end, each with its last status. */
-  unfinished(): string[] {
-    return [...this.world.jobs]
-      .filter(([, job]) => !isOver(job))
+  unfinishedJobs(): string[] {
+    return [...this.dependencies.jobs]
+      .filter(([, job]) => !isFinished(job))
       .map(([id, job]) => `${id} ${job.lastStatus}`);
   }
 
   /** Whether most polls were answered within the last so many milliseconds. Older ones are forgotten. */
   areMostPollsAnswered(withinMs: number): boolean {
-    const { now } = this.world.time;
+    const { now } = this.dependencies.time;
     this.polls = this.polls.filter(({ at }) => now - at < withinMs);
     return this.polls.filter(({ isAnswered }) => isAnswered).length * 2 > this.polls.length;
   }
@@ -130,23 +131,25 @@
    * What users do that makes no sense: repeat the submission of a running job, cancel one that is done, and
    * submit jobs that can't run (422) or that lack a field (400).
    */
-  sendOddRequests(): void {
-    for (const [id, job] of this.world.jobs) {
-      if (job.isAccepted && this.world.random() < 0.2) this.repeatSomething(id, job);
+  sendUnexpectedRequests(): void {
+    for (const [id, job] of this.dependencies.jobs) {
+      if (job.isAccepted && this.dependencies.random() < 0.2) this.repeatRequest(id, job);
     }
     const tooLarge = encodeJobSpec(spec({ cpus: 1000 }));
     const incomplete: Partial<SubmissionMessage> = encodeJobSpec(spec({}));
     delete incomplete.entries;
     const suffix = String(this.jobCount).padStart(5, '0');
-    this.submitInvalid({ ...tooLarge, name_id: `run-9${suffix}` }, 422);
-    this.submitInvalid({ ...incomplete, name_id: `run-8${suffix}` }, 400);
+    this.expectRejection({ ...tooLarge, name_id: `run-9${suffix}` }, 422);
+    this.expectRejection({ ...incomplete, name_id: `run-8${suffix}` }, 400);
   }
 
   /** Asks for a job that nobody submitted. */
-  askForUnknownJob(): void {
-    void this.ask('GET', '/v1/jobs/run-999999', undefined, POLL_TIMEOUT).then((answer) => {
-      if (answer?.status === 200) this.world.onViolation('invented', 'run-999999');
-    });
+  pollUnknownJob(): void {
+    void this.sendRequest('GET', '/v1/jobs/run-999999', undefined, POLL_TIMEOUT_MS).then(
+      (answer) => {
+        if (answer?.status === 200) this.dependencies.onViolation('invented', 'run-999999');
+      },
+    );
   }
 
   // --- connections --------------------------------------------------------------------------------
@@ -155,18 +158,20 @@
    * Asks over the job's connection as long as that is open, else over a new one. Resolves with undefined
    * if there was no answer.
    */
-  private async ask(
+  private async sendRequest(
     method: 'GET' | 'POST',
     path: string,
     body: unknown,
     timeout: number,
     job?: UserJob,
-  ): Promise<HttpAnswer | undefined> {
+  ): Promise<HttpResponse | undefined> {
     const connection = this.openConnection(job?.connection) ?? this.connect();
     if (job) job.connection = connection;
     if (!connection) return undefined;
-    const endpoint = Endpoint(settingsFile(connection.node, this.world.zones).api_addr);
-    const client = this.world.network.client('user', REGION, this.clock);
+    const endpoint = Endpoint(
+      settingsFile(connection.controller, this.dependencies.zones).api_addr,
+    );
+    const client = this.dependencies.network.client('user', NO_ZONE, this.clock);
     const outcome = await client.send({ endpoint, method, path, body, timeout: ms(timeout) });
     if (outcome.kind === 'answer') return outcome;
     if (job) job.connection = undefined;
@@ -176,18 +181,20 @@
   /** A connection, unless its process has ended or the balancer has reset it. */
   private openConnection(connection: Connection | undefined): Connection | undefined {
     if (!connection) return undefined;
-    const { node, process } = connection;
-    const isOpen = this.world.processOf(node) === process && !this.world.balancer.hasReset(node);
+    const { controller: node, process } = connection;
+    const isOpen =
+      this.dependencies.processOf(node) === process &&
+      !this.dependencies.loadBalancer.hasResetConnections(node);
     return isOpen ? connection : undefined;
   }
 
   private connect(): Connection | undefined {
     const refused = new Set<number>();
-    for (let tries = 0; tries < MAX_CONNECT_TRIES; tries++) {
-      const node = this.world.balancer.choose(refused);
+    for (let attempt = 0; attempt < MAX_CONNECT_ATTEMPTS; attempt++) {
+      const node = this.dependencies.loadBalancer.chooseBackend(refused);
       if (node === undefined) return undefined;
-      const process = this.world.processOf(node);
-      if (process) return { node, process };
+      const process = this.dependencies.processOf(node);
+      if (process) return { controller: node, process };
       refused.add(node);
     }
     return undefined;
@@ -198,81 +205,87 @@
   private createGang(job: JobSpec, runMs: number): GangRun {
     const { gang_wait_s: gatherSeconds, gang_peer_s: peerSeconds } = settingsFile(0).params.workers;
     return new GangRun(
-      this.world.time,
+      this.dependencies.time,
       {
         taskCount: job.taskCount,
         runMs,
         checkpointIntervalMs: job.checkpointIntervalSeconds * 1000,
         checkpointMs: job.checkpointSeconds * 1000,
       },
-      { gatherMs: gatherSeconds * 1000, peerMs: peerSeconds * 1000 },
+      { gatherTimeoutMs: gatherSeconds * 1000, peerLossTimeoutMs: peerSeconds * 1000 },
       {
         onCompleted: () => {
-          for (let i = 0; i < job.taskCount; i++) this.world.onTaskCompleted(`${job.id}/${i}`);
+          for (let i = 0; i < job.taskCount; i++)
+            this.dependencies.onTaskCompleted(`${job.id}/${i}`);
         },
-        onViolation: (detail) => this.world.onViolation('gang', `${job.id}: ${detail}`),
+        onViolation: (detail) => this.dependencies.onViolation('gang', `${job.id}: ${detail}`),
       },
     );
   }
 
   private submitUntilAccepted(job: UserJob): void {
-    const { time } = this.world;
+    const { time } = this.dependencies;
     const body = encodeJobSpec(job.spec);
-    void this.ask('POST', '/v1/jobs', body, POST_TIMEOUT, job).then((answer) => {
+    void this.sendRequest('POST', '/v1/jobs', body, POST_TIMEOUT_MS, job).then((answer) => {
       if (answer?.status === 201 || answer?.status === 200) {
         job.isAccepted = true;
-        job.answeredAt = time.now;
-        this.noteStatus(job, answer.body);
+        job.lastResponseAt = time.now;
+        this.recordStatus(job, answer.body);
         time.after(2000, () => this.poll(job));
         return;
       }
       if (answer?.status === 400 || answer?.status === 422) {
-        this.world.onViolation('forgotten', `${job.spec.id} got ${answer.status}`);
+        this.dependencies.onViolation('forgotten', `${job.spec.id} got ${answer.status}`);
       }
-      time.after(RETRY_INTERVAL, () => this.submitUntilAccepted(job));
+      time.after(RETRY_INTERVAL_MS, () => this.submitUntilAccepted(job));
     });
   }
 
   private cancelUntilConfirmed(job: UserJob): void {
     const path = `/v1/jobs/${job.spec.id}/abort`;
-    void this.ask('POST', path, undefined, POST_TIMEOUT, job).then((answer) => {
-      if (answer?.status === 200) this.noteStatus(job, answer.body);
-      else this.world.time.after(RETRY_INTERVAL, () => this.cancelUntilConfirmed(job));
+    void this.sendRequest('POST', path, undefined, POST_TIMEOUT_MS, job).then((answer) => {
+      if (answer?.status === 200) this.recordStatus(job, answer.body);
+      else this.dependencies.time.after(RETRY_INTERVAL_MS, () => this.cancelUntilConfirmed(job));
     });
   }
 
   private poll(job: UserJob): void {
-    const { time } = this.world;
+    const { time } = this.dependencies;
     const { id } = job.spec;
-    void this.ask('GET', `/v1/jobs/${id}`, undefined, POLL_TIMEOUT, job).then((answer) => {
-      const isAnswered = answer?.status === 200 || answer?.status === 404;
-      if (isAnswered) job.answeredAt = time.now;
-      this.polls.push({ at: time.now, isAnswered });
-      if (answer?.status === 404) this.world.onViolation('forgotten', id);
-      if (answer?.status === 200) this.noteStatus(job, answer.body);
-      // Also after its end: the answer must stay.
-      time.after(isOver(job) ? 6000 : 3000, () => this.poll(job));
-    });
+    void this.sendRequest('GET', `/v1/jobs/${id}`, undefined, POLL_TIMEOUT_MS, job).then(
+      (answer) => {
+        const isAnswered = answer?.status === 200 || answer?.status === 404;
+        if (isAnswered) job.lastResponseAt = time.now;
+        this.polls.push({ at: time.now, isAnswered });
+        if (answer?.status === 404) this.dependencies.onViolation('forgotten', id);
+        if (answer?.status === 200) this.recordStatus(job, answer.body);
+        // Also after its end: the answer must stay.
+        time.after(isFinished(job) ? 6000 : 3000, () => this.poll(job));
+      },
+    );
   }
 
   /** Compares the status in an answer with what is known of the job, and remembers it. */
-  private noteStatus(job: UserJob, body: unknown): void {
+  private recordStatus(job: UserJob, body: unknown): void {
     const { status } = body as { status: string };
     const { id, taskCount } = job.spec;
-    if (isOver(job)) {
+    if (isFinished(job)) {
       if (status !== job.lastStatus) {
-        this.world.onViolation('went_back', `${id} was ${job.lastStatus}, is ${status}`);
+        this.dependencies.onViolation('went_back', `${id} was ${job.lastStatus}, is ${status}`);
       }
       return;
     }
-    if (status === 'done' && job.completed.size < taskCount) {
-      this.world.onViolation('not_done', `${id}: ${job.completed.size} of ${taskCount}`);
+    if (status === 'done' && job.completedTasks.size < taskCount) {
+      this.dependencies.onViolation(
+        'not_done',
+        `${id}: ${job.completedTasks.size} of ${taskCount}`,
+      );
     }
     if (status === 'aborted') {
       if (!job.isCancelRequested) {
-        this.world.onViolation('went_back', `${id} was not cancelled by its user`);
+        this.dependencies.onViolation('went_back', `${id} was not cancelled by its user`);
       }
-      job.cancelledAt = this.world.time.now;
+      job.cancelledAt = this.dependencies.time.now;
     }
     job.lastStatus = status;
   }
@@ -280,24 +293,24 @@
   // --- odd requests -------------------------------------------------------------------------------
 
   /** Submits a job again, or cancels it though it is done. */
-  private repeatSomething(id: string, job: UserJob): void {
-    const cancels = job.lastStatus === 'done' && this.world.random() < 0.5;
+  private repeatRequest(id: string, job: UserJob): void {
+    const cancels = job.lastStatus === 'done' && this.dependencies.random() < 0.5;
     const path = cancels ? `/v1/jobs/${id}/abort` : '/v1/jobs';
     const body = cancels ? undefined : encodeJobSpec(job.spec);
-    void this.ask('POST', path, body, POST_TIMEOUT).then((answer) => {
-      if (answer?.status === 200) this.noteStatus(job, answer.body);
+    void this.sendRequest('POST', path, body, POST_TIMEOUT_MS).then((answer) => {
+      if (answer?.status === 200) this.recordStatus(job, answer.body);
       if (answer?.status === 400 || answer?.status === 422 || answer?.status === 404) {
-        this.world.onViolation('forgotten', `${id} got ${answer.status} for ${path}`);
+        this.dependencies.onViolation('forgotten', `${id} got ${answer.status} for ${path}`);
       }
     });
   }
 
-  private submitInvalid(body: Partial<SubmissionMessage>, expected: number): void {
-    void this.ask('POST', '/v1/jobs', body, POST_TIMEOUT).then((answer) => {
+  private expectRejection(body: Partial<SubmissionMessage>, expected: number): void {
+    void this.sendRequest('POST', '/v1/jobs', body, POST_TIMEOUT_MS).then((answer) => {
       if (answer === undefined || answer.status === 503 || answer.status === 429) return;
       if (answer.status === expected) return;
       const detail = `${body.name_id ?? ''} got ${answer.status} instead of ${expected}`;
-      this.world.onViolation('accepted', detail);
+      this.dependencies.onViolation('accepted', detail);
     });
   }
 }
--- a/test/standin/worker-tasks.ts
+++ b/test/standin/worker-tasks.ts
@@ -10,7 +10,7 @@
 }
 
 /** One attempt of a task on this worker. */
-interface HeldTask {
+interface TaskAttempt {
   readonly task: string;
   readonly attempt: number;
   readonly cpus: number;
@@ -18,13 +18,13 @@
   state: 'fetching' | 'gathering' | 'running' | 'flushing' | 'exited';
   /** Why it exited, as the protocol names it. */
   cause: string | undefined;
-  isSaved: boolean;
+  hasSavedCheckpoint: boolean;
   /** Its part in a gang, from when it has its image. */
-  member: GangMember | undefined;
+  gangMember: GangMember | undefined;
 }
 
 /** What a worker fetches of a task. */
-export interface TaskFacts {
+export interface TaskProperties {
   readonly cpus: number;
   readonly runMs: number;
   /** How long its image takes to fetch. */
@@ -36,9 +36,9 @@
 }
 
 /** What a worker shares with the world around it. Tasks are named `<job>/<index>`. */
-export interface WorkerWorld {
+export interface TaskEnvironment {
   /** Undefined if the task was never submitted. */
-  facts(task: string): TaskFacts | undefined;
+  propertiesOf(task: string): TaskProperties | undefined;
   /** The task has its image and is on the machine from now on. */
   onTaskStarted(machine: string, task: string): void;
   /** It no longer is. */
@@ -48,11 +48,11 @@
 }
 
 /** What the tasks need of their worker. */
-export interface TasksWorker {
+export interface TaskHost {
   /** The id of its machine. */
   readonly machine: string;
   readonly cpus: number;
-  readonly world: WorkerWorld;
+  readonly environment: TaskEnvironment;
   /** Whether its machine hangs. */
   isHung(): boolean;
   /** Runs something later, unless the worker is dead by then, and no earlier than it goes on if it hangs. */
@@ -61,122 +61,124 @@
   onChanged(): void;
 }
 
-const occupiesMachine = ({ state }: HeldTask): boolean =>
+const occupiesMachine = ({ state }: TaskAttempt): boolean =>
   state !== 'fetching' && state !== 'exited';
 
 const keyOf = (task: string, attempt: number): string => `${task}#${attempt}`;
 
 /** All tasks of a worker. */
 export class WorkerTasks {
-  private readonly held = new Map<string, HeldTask>();
+  private readonly attempts = new Map<string, TaskAttempt>();
   private readonly images = new Set<string>();
 
-  constructor(private readonly worker: TasksWorker) {}
+  constructor(private readonly host: TaskHost) {}
 
   /** The tasks that are on it, or for which it fetches the image. */
-  names(): string[] {
-    return [...this.held.values()]
+  taskNames(): string[] {
+    return [...this.attempts.values()]
       .filter(({ state }) => state !== 'exited')
       .map(({ task }) => task);
   }
 
   /** The processors that its tasks leave. */
   freeCpus(): number {
-    return this.worker.cpus - this.usedCpus(0);
+    return this.host.cpus - this.usedCpus(0);
   }
 
   /** The processors that its tasks take beside `others`. */
-  private usedCpus(others: number): number {
-    let used = others;
-    for (const { state, cpus } of this.held.values()) if (state !== 'exited') used += cpus;
+  private usedCpus(otherCpus: number): number {
+    let used = otherCpus;
+    for (const { state, cpus } of this.attempts.values()) if (state !== 'exited') used += cpus;
     return used;
   }
 
   /** The status of each task, as heartbeats hold it. */
   statuses(): object[] {
-    return [...this.held.values()].map(({ task, attempt, state, cause, isSaved }) => ({
-      entry: task,
-      try: attempt,
-      status: state,
-      ...(cause === undefined ? {} : { cause }),
-      ...(isSaved ? { kept: true } : {}),
-    }));
+    return [...this.attempts.values()].map(
+      ({ task, attempt, state, cause, hasSavedCheckpoint: isSaved }) => ({
+        entry: task,
+        try: attempt,
+        status: state,
+        ...(cause === undefined ? {} : { cause }),
+        ...(isSaved ? { kept: true } : {}),
+      }),
+    );
   }
 
   /** Drops all tasks, as a worker does that ends or has lost its lease. */
-  dropAll(): void {
-    for (const held of this.held.values()) this.release(held);
-    this.held.clear();
+  dropAllTasks(): void {
+    for (const held of this.attempts.values()) this.release(held);
+    this.attempts.clear();
   }
 
   /** A task is no longer on the machine, and no longer part of its gang. */
-  private release(held: HeldTask): void {
-    const { machine, world } = this.worker;
+  private release(held: TaskAttempt): void {
+    const { machine, environment: world } = this.host;
     if (occupiesMachine(held)) world.onTaskLeft(machine, held.task);
-    if (held.member) world.facts(held.task)?.gang?.leave(held.member);
+    if (held.gangMember) world.propertiesOf(held.task)?.gang?.leave(held.gangMember);
   }
 
   /** Drops the images too, as a worker does that begins from nothing. */
-  reset(): void {
-    this.dropAll();
+  dropTasksAndImages(): void {
+    this.dropAllTasks();
     this.images.clear();
   }
 
   /** Carries out a command. A repeated one changes nothing. */
   execute(command: CommandMessage): void {
     const key = keyOf(command.entry, command.try);
-    const held = this.held.get(key);
+    const held = this.attempts.get(key);
     if (command.verb === 'launch') {
-      if (!held) this.launch(command.entry, command.try);
+      if (!held) this.startAttempt(command.entry, command.try);
     } else if (command.verb === 'kill') {
       if (held && held.state !== 'exited') this.stop(held, (command.wind_down_s ?? 0) * 1000);
-    } else if (held?.state === 'exited') this.held.delete(key);
+    } else if (held?.state === 'exited') this.attempts.delete(key);
   }
 
-  private launch(task: string, attempt: number): void {
-    const facts = this.worker.world.facts(task);
-    const refusal = facts && this.refusalOf(task, facts);
-    const held: HeldTask = {
+  private startAttempt(task: string, attempt: number): void {
+    const facts = this.host.environment.propertiesOf(task);
+    const refusal = facts && this.refusalReason(task, facts);
+    const held: TaskAttempt = {
       task,
       attempt,
       state: 'fetching',
       cause: undefined,
-      isSaved: false,
-      member: undefined,
+      hasSavedCheckpoint: false,
+      gangMember: undefined,
       cpus: facts?.cpus ?? 0,
     };
-    this.worker.onChanged();
-    this.held.set(keyOf(task, attempt), held);
+    this.host.onChanged();
+    this.attempts.set(keyOf(task, attempt), held);
     if (!facts) this.exit(held, 'no_such');
     else if (refusal !== undefined) this.exit(held, refusal);
-    else this.fetch(held, facts);
+    else this.fetchImage(held, facts);
   }
 
   /** Why a start is refused, as the protocol names it; undefined if it is not. */
-  private refusalOf(task: string, { cpus }: TaskFacts): string | undefined {
-    if (this.names().includes(task)) return 'in_use';
-    return this.usedCpus(cpus) > this.worker.cpus ? 'full' : undefined;
+  private refusalReason(task: string, { cpus }: TaskProperties): string | undefined {
+    if (this.taskNames().includes(task)) return 'in_use';
+    return this.usedCpus(cpus) > this.host.cpus ? 'full' : undefined;
   }
 
-  private fetch(held: HeldTask, facts: TaskFacts): void {
+  private fetchImage(held: TaskAttempt, facts: TaskProperties): void {
     const fetchMs = this.images.has(facts.image) ? 0 : facts.fetchMs;
-    this.worker.after(fetchMs, () => {
-      if (this.isCurrent(held)) this.start(held, facts);
+    this.host.after(fetchMs, () => {
+      if (this.isCurrent(held)) this.run(held, facts);
     });
   }
 
-  private start(held: HeldTask, facts: TaskFacts): void {
-    const { machine, world } = this.worker;
+  private run(held: TaskAttempt, facts: TaskProperties): void {
+    const { machine, environment: world } = this.host;
     const { task } = held;
     this.images.add(facts.image);
     world.onTaskStarted(machine, task);
     if (facts.gang) {
-      this.join(held, facts.gang);
+      this.joinGang(held, facts.gang);
       return;
     }
     held.state = 'running';
-    this.worker.onChanged();
-    this.worker.after(world.isCompleted(task) ? 0 : facts.runMs, () => {
+    this.host.onChanged();
+    this.host.after(world.isCompleted(task) ? 0 : facts.runMs, () => {
       if (!this.isCurrent(held)) return;
       world.onTaskCompleted(task);
       this.exit(held, 'done');
@@ -184,47 +186,47 @@
   }
 
   /** Whether a task is still held and has not exited. */
-  private isCurrent(held: HeldTask): boolean {
-    return this.held.get(keyOf(held.task, held.attempt)) === held && held.state !== 'exited';
+  private isCurrent(held: TaskAttempt): boolean {
+    return this.attempts.get(keyOf(held.task, held.attempt)) === held && held.state !== 'exited';
   }
 
   /** The task of a gang has its image: from now on it does what its gang does. */
-  private join(held: HeldTask, gang: GangRun): void {
+  private joinGang(held: TaskAttempt, gang: GangRun): void {
     const changeLater = (change: () => void): void => {
-      this.worker.after(0, () => {
+      this.host.after(0, () => {
         if (this.isCurrent(held)) change();
       });
     };
-    const setState = (state: HeldTask['state']): void => {
+    const setState = (state: TaskAttempt['state']): void => {
       held.state = state;
-      this.worker.onChanged();
+      this.host.onChanged();
     };
-    held.member = {
+    held.gangMember = {
       index: Number(held.task.split('/')[1]),
       attempt: held.attempt,
-      isHung: () => this.worker.isHung(),
-      run: () => changeLater(() => setState('running')),
-      save: () => setState('flushing'),
+      isHung: () => this.host.isHung(),
+      startRunning: () => changeLater(() => setState('running')),
+      startCheckpoint: () => setState('flushing'),
       exit: (cause, isSaved) => changeLater(() => this.exit(held, cause, isSaved)),
     };
     setState('gathering');
-    gang.join(held.member);
+    gang.join(held.gangMember);
   }
 
   /** Stops a task. The task of a gang saves first if there is enough time. */
-  private stop(held: HeldTask, graceMs: number): void {
-    const facts = this.worker.world.facts(held.task);
+  private stop(held: TaskAttempt, graceMs: number): void {
+    const facts = this.host.environment.propertiesOf(held.task);
     const canSave = facts?.checkpointMs !== undefined && graceMs >= facts.checkpointMs;
     if (held.state === 'flushing' && graceMs > 0) return;
-    if (held.state === 'running' && held.member && canSave) facts.gang?.stop(held.member);
+    if (held.state === 'running' && held.gangMember && canSave) facts.gang?.stop(held.gangMember);
     else this.exit(held, 'halted');
   }
 
-  private exit(held: HeldTask, cause: string, isSaved = false): void {
+  private exit(held: TaskAttempt, cause: string, isSaved = false): void {
     this.release(held);
     held.state = 'exited';
     held.cause = cause;
-    if (isSaved) held.isSaved = true;
-    this.worker.onChanged();
+    if (isSaved) held.hasSavedCheckpoint = true;
+    this.host.onChanged();
   }
 }
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -2,8 +2,8 @@
 import type { HttpClient, Outcome } from '../../src/net/http.js';
 import { Endpoint, ms, type Clock, type Random } from '../../src/units/index.js';
 import type { RentedMachine } from './cloud.js';
-import type { Answer } from './network.js';
-import { WorkerTasks, type CommandMessage, type WorkerWorld } from './worker-tasks.js';
+import type { HostResponse } from './network.js';
+import { WorkerTasks, type CommandMessage, type TaskEnvironment } from './worker-tasks.js';
 
 /** A controller as workers know it. */
 export interface ControllerAddress {
@@ -20,16 +20,16 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly times: { readonly heartbeatMs: number; readonly leaseMs: number };
-  readonly world: WorkerWorld;
+  readonly taskEnvironment: TaskEnvironment;
 }
 
-const HEARTBEAT_TIMEOUT = ms(4000);
-const LOOP_INTERVAL = 80;
-const LEASE_CHECK_INTERVAL = ms(100);
+const HEARTBEAT_TIMEOUT_MS = ms(4000);
+const LOOP_INTERVAL_MS = 80;
+const LEASE_CHECK_INTERVAL_MS = ms(100);
 /** What is due while the machine hangs is looked at again after so long. */
-const HUNG_RETRY = 50;
+const HUNG_RETRY_INTERVAL_MS = 50;
 /** Heartbeats that report a change, or follow a failed one, keep this distance. */
-const MIN_HEARTBEAT_INTERVAL = 500;
+const MIN_HEARTBEAT_INTERVAL_MS = 500;
 
 /** The worker on one machine. */
 export class Worker {
@@ -38,42 +38,42 @@
   private fencingToken = 0;
   private readonly tasks: WorkerTasks;
   /** Index of the controller that it reports to, counted on past the end. */
-  private controller: number;
-  private leaseFrom: number;
-  private lastHeartbeat = -Infinity;
-  private isReporting = false;
+  private controllerIndex: number;
+  private leaseRenewedAt: number;
+  private lastHeartbeatAt = -Infinity;
+  private isHeartbeatPending = false;
   /** Whether something has changed that a heartbeat has yet to tell. */
-  private wantsHeartbeat = false;
-  private lastTokenChange = -Infinity;
+  private hasUnreportedChange = false;
+  private tokenReportedAt = -Infinity;
   private isDead = false;
   isHung = false;
   /** Heartbeats sent so far. */
-  sentCount = 0;
+  heartbeatCount = 0;
   /** Answers so far that renewed its lease. */
   renewalCount = 0;
   /** When its machine will be reclaimed, once the cloud has said so. */
   reclaimedAt: number | undefined;
 
   constructor(private readonly options: WorkerOptions) {
-    this.controller = Math.floor(options.random() * options.controllers.length);
-    this.leaseFrom = options.clock.steady();
+    this.controllerIndex = Math.floor(options.random() * options.controllers.length);
+    this.leaseRenewedAt = options.clock.steady();
     this.tasks = new WorkerTasks({
       machine: options.machine.id,
       cpus: options.cpus,
-      world: options.world,
+      environment: options.taskEnvironment,
       isHung: () => this.isHung,
       after: (delay, run) => this.after(delay, run),
       onChanged: () => {
-        this.wantsHeartbeat = true;
+        this.hasUnreportedChange = true;
       },
     });
-    this.loop();
-    this.watchLease();
+    this.scheduleHeartbeats();
+    this.scheduleLeaseCheck();
   }
 
   /** The names of the tasks that are on it, or for which it fetches the image. */
   taskNames(): string[] {
-    return this.tasks.names();
+    return this.tasks.taskNames();
   }
 
   /** The processors that its tasks leave. */
@@ -84,22 +84,22 @@
   /** Ends it for good, with its machine. */
   kill(): void {
     this.isDead = true;
-    this.tasks.dropAll();
+    this.tasks.dropAllTasks();
   }
 
   /** It is gone and back at once, with nothing of what it knew. */
   restart(): void {
-    this.tasks.reset();
+    this.tasks.dropTasksAndImages();
     this.session = 1;
     this.sequence = 0;
     this.fencingToken = 0;
-    this.leaseFrom = this.options.clock.steady();
-    this.wantsHeartbeat = true;
+    this.leaseRenewedAt = this.options.clock.steady();
+    this.hasUnreportedChange = true;
   }
 
   /** Answers a request to the worker itself. */
-  handle(_method: string, path: string, body: unknown): Answer {
-    if (path === '/status') return { status: 200, body: this.heartbeat() };
+  handle(_method: string, path: string, body: unknown): HostResponse {
+    if (path === '/status') return { status: 200, body: this.createHeartbeat() };
     const { baton, shift, orders } = body as {
       baton?: number;
       shift?: number;
@@ -107,18 +107,18 @@
     };
     if (baton === undefined || shift === undefined) return { status: 400, body: {} };
     if (baton < this.fencingToken || shift !== this.session) {
-      return { status: 409, body: this.heartbeat() };
+      return { status: 409, body: this.createHeartbeat() };
     }
-    this.noteToken(baton);
+    this.recordToken(baton);
     for (const command of orders) this.tasks.execute(command);
-    return { status: 200, body: this.heartbeat() };
+    return { status: 200, body: this.createHeartbeat() };
   }
 
   private after(delay: number, run: () => void): void {
     this.options.clock.after(ms(delay), () => {
       if (this.isDead) return;
       // A hanging machine does nothing; what was due happens when it goes on.
-      if (this.isHung) this.after(HUNG_RETRY, run);
+      if (this.isHung) this.after(HUNG_RETRY_INTERVAL_MS, run);
       else run();
     });
   }
@@ -126,33 +126,33 @@
   // --- heartbeats ---------------------------------------------------------------------------------
 
   /** Runs while the machine hangs too: one that hangs may go on within its lease, and no later. */
-  private watchLease(): void {
+  private scheduleLeaseCheck(): void {
     const { clock, times } = this.options;
-    clock.after(LEASE_CHECK_INTERVAL, () => {
+    clock.after(LEASE_CHECK_INTERVAL_MS, () => {
       if (this.isDead) return;
-      if (clock.steady() - this.leaseFrom > times.leaseMs) {
-        this.tasks.dropAll();
+      if (clock.steady() - this.leaseRenewedAt > times.leaseMs) {
+        this.tasks.dropAllTasks();
         this.session++;
-        this.leaseFrom = clock.steady();
-        this.wantsHeartbeat = true;
+        this.leaseRenewedAt = clock.steady();
+        this.hasUnreportedChange = true;
       }
-      this.watchLease();
+      this.scheduleLeaseCheck();
     });
   }
 
-  private loop(): void {
+  private scheduleHeartbeats(): void {
     const { clock, random, times } = this.options;
-    this.after(LOOP_INTERVAL, () => {
-      const sinceLast = clock.steady() - this.lastHeartbeat;
+    this.after(LOOP_INTERVAL_MS, () => {
+      const sinceLast = clock.steady() - this.lastHeartbeatAt;
       const isDue = sinceLast >= times.heartbeatMs * (0.75 + 0.5 * random());
-      const isWanted = this.wantsHeartbeat && sinceLast >= MIN_HEARTBEAT_INTERVAL;
-      if (!this.isReporting && (isDue || isWanted)) void this.report();
-      this.loop();
+      const isChangeDue = this.hasUnreportedChange && sinceLast >= MIN_HEARTBEAT_INTERVAL_MS;
+      if (!this.isHeartbeatPending && (isDue || isChangeDue)) void this.sendHeartbeat();
+      this.scheduleHeartbeats();
     });
   }
 
   /** The next heartbeat, as it is sent. */
-  private heartbeat(): Record<string, unknown> {
+  private createHeartbeat(): Record<string, unknown> {
     const { machine, clock } = this.options;
     this.sequence++;
     return {
@@ -172,36 +172,36 @@
     };
   }
 
-  private async report(): Promise<void> {
+  private async sendHeartbeat(): Promise<void> {
     const { clock, controllers, http } = this.options;
-    this.isReporting = true;
-    this.sentCount++;
-    this.wantsHeartbeat = false;
+    this.isHeartbeatPending = true;
+    this.heartbeatCount++;
+    this.hasUnreportedChange = false;
     const sentAt = clock.steady();
-    this.lastHeartbeat = sentAt;
+    this.lastHeartbeatAt = sentAt;
     const { session } = this;
     const outcome = await http.send({
-      endpoint: Endpoint(controllers[this.controller % controllers.length]?.address ?? ''),
+      endpoint: Endpoint(controllers[this.controllerIndex % controllers.length]?.address ?? ''),
       method: 'POST',
       path: '/agent/beat',
-      body: this.heartbeat(),
-      timeout: HEARTBEAT_TIMEOUT,
+      body: this.createHeartbeat(),
+      timeout: HEARTBEAT_TIMEOUT_MS,
     });
-    this.isReporting = false;
+    this.isHeartbeatPending = false;
     if (this.isDead) return;
     // A machine that hangs takes no answer: it would be too old when it goes on.
-    if (this.isHung) this.wantsHeartbeat = true;
+    if (this.isHung) this.hasUnreportedChange = true;
     else if (outcome.kind === 'answer' && outcome.status === 200) {
-      this.takeReply(outcome.body, session, sentAt);
+      this.acceptResponse(outcome.body, session, sentAt);
     } else this.changeController(outcome);
   }
 
   /** Takes the answer to a heartbeat. It renews the lease from when the heartbeat was sent. */
-  private takeReply(body: unknown, session: number, sentAt: number): void {
+  private acceptResponse(body: unknown, session: number, sentAt: number): void {
     const { baton, orders = [] } = body as { baton?: number; orders?: CommandMessage[] };
     if (session !== this.session || baton === undefined || baton < this.fencingToken) return;
-    this.noteToken(baton);
-    this.leaseFrom = sentAt;
+    this.recordToken(baton);
+    this.leaseRenewedAt = sentAt;
     this.renewalCount++;
     for (const command of orders) this.tasks.execute(command);
   }
@@ -209,27 +209,27 @@
   /** Turns to the controller that a 421 names, or else to the next one after a pause. */
   private changeController(outcome: Outcome): void {
     const { clock, controllers, times } = this.options;
-    this.wantsHeartbeat = true;
+    this.hasUnreportedChange = true;
     if (outcome.kind === 'answer' && outcome.status === 421) {
       const { clerk } = outcome.body as { clerk?: string };
       const named = controllers.findIndex(({ name }) => name === clerk);
-      if (named >= 0 && named !== this.controller % controllers.length) {
-        this.controller = named;
+      if (named >= 0 && named !== this.controllerIndex % controllers.length) {
+        this.controllerIndex = named;
         return;
       }
     }
-    this.controller++;
-    this.lastHeartbeat = clock.steady() + MIN_HEARTBEAT_INTERVAL - times.heartbeatMs;
+    this.controllerIndex++;
+    this.lastHeartbeatAt = clock.steady() + MIN_HEARTBEAT_INTERVAL_MS - times.heartbeatMs;
   }
 
   /** Remembers a higher fencing token. It is reported soon, unless the last one was just before. */
-  private noteToken(token: number): void {
+  private recordToken(token: number): void {
     if (token <= this.fencingToken) return;
     this.fencingToken = token;
     const now = this.options.clock.steady();
-    if (now - this.lastTokenChange > this.options.times.leaseMs / 2) {
-      this.lastTokenChange = now;
-      this.wantsHeartbeat = true;
+    if (now - this.tokenReportedAt > this.options.times.leaseMs / 2) {
+      this.tokenReportedAt = now;
+      this.hasUnreportedChange = true;
     }
   }
 }
--- a/test/unit/placing-loop.test.ts
+++ b/test/unit/placing-loop.test.ts
@@ -55,10 +55,10 @@
   const { time, clock, loop, startedAt } = loopOf(() => 0);
   loop.schedule();
   // The timer fires while the process stands still, so it can no longer be cancelled.
-  clock.freeze(true);
+  clock.setFrozen(true);
   await time.run(50);
   loop.close();
-  clock.freeze(false);
+  clock.setFrozen(false);
   loop.schedule();
   await time.run(100);
   assert.deepEqual(startedAt, []);
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -22,7 +22,7 @@
 import { JobKind, type JobSpec } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { Network } from '../standin/network.js';
-import { StateService } from '../standin/state.js';
+import { Store } from '../standin/store.js';
 import { applyMoves, type PlacingRules } from '../support/job-moves.js';
 import { spec } from '../support/jobs.js';
 import { settingsFile } from '../support/settings.js';
@@ -165,7 +165,7 @@
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const network = new Network(time, () => 0.5);
-  const state = new StateService(time, present);
+  const state = new Store(time, present);
   const endpoint = '10.2.0.1:2379';
   network.attach(endpoint, 'r', (method, path, body, from) =>
     state.handle(method, path, body, from),
@@ -226,16 +226,16 @@
       }));
       job.placeTasks(tasks, now);
     }
-    state.lower(lower);
+    state.setLimits(lower);
     await time.run(lowerAfter + 8000);
     assert.ok(limits.isLowered, `after ${lowerAfter} ms`);
     for (const job of jobs)
       assert.equal(job.committedVersion, job.version, `${job.id} ${lowerAfter} ms`);
-    assert.ok(state.tooLarge <= 3, `${state.tooLarge} refused as too large`);
+    assert.ok(state.tooLargeCount <= 3, `${state.tooLargeCount} refused as too large`);
     for (const job of jobs) for (const index of [...job.placements.keys()]) job.completeTask(index);
     await time.run(lowerAfter + 16_000);
     assert.equal(committed.filter((entry) => entry.endsWith('over')).length, 4);
-    assert.ok(state.tooLarge <= 3);
+    assert.ok(state.tooLargeCount <= 3);
   }
 });
 
@@ -247,7 +247,7 @@
   await time.run(2000);
   committed.length = 0;
   limits.onSizeRefusal();
-  state.lower(lower);
+  state.setLimits(lower);
   // As the limit before allowed it: on many machines, no two neighbours on the same.
   const tasks = [...large.waitingTasks.indexes()].map((index) => ({
     index,
@@ -258,7 +258,7 @@
   await time.run(7000);
   for (const job of small) assert.ok(committed.includes(job.id), `${job.id} waits`);
   assert.ok(!committed.includes(large.id));
-  assert.ok(state.tooLarge <= 5, `${state.tooLarge} refused in five seconds`);
+  assert.ok(state.tooLargeCount <= 5, `${state.tooLargeCount} refused in five seconds`);
   for (const index of [...large.placements.keys()]) if (index >= 100) large.completeTask(index);
   await time.run(14_000);
   assert.ok(committed.includes(large.id));
