--- a/test/standin/build.ts
+++ b/test/standin/build.ts
@@ -1,19 +1,20 @@
 /**
- * What a world needs of a version of the service, so that several versions can run side by side. Controllers
- * exchange frames: bytes that only they read, so that a version's messages stay its own affair.
+ * The interface between the simulated cluster and one version (build) of the service, so that several versions
+ * can run side by side. Controllers exchange opaque frames, so the simulation doesn't depend on the message
+ * format of any version.
  */
 import type { Logger } from 'pino';
 import type { Reply } from '../../src/api/reply.js';
 import type { HttpClient } from '../../src/net/http.js';
 import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
 
-/** The connection of one controller to another. */
+/** The connection of one controller to a peer. */
 export interface PeerConnection {
-  /** Whether the other side answered lately. */
+  /** Whether the peer has responded recently. */
   readonly isResponsive: boolean;
   /**
-   * Sends a request as a frame. Resolves with what `read` makes of the response's frame, or undefined if none
-   * came in time.
+   * Sends a request as a frame. Resolves with the response's frame as decoded by `read`, or with undefined if
+   * no response arrives before the timeout.
    */
   exchange<Response>(
     frame: Buffer,
@@ -22,34 +23,34 @@
   ): Promise<Response | undefined>;
 }
 
-/** What surrounds a controller. */
+/** What a controller gets from the simulated cluster. */
 export interface ControllerEnvironment {
   readonly clock: Clock;
   readonly random: Random;
   readonly http: HttpClient;
   readonly log: Logger;
   readonly peers: ReadonlyMap<NodeId, PeerConnection>;
-  /** Names this process among those that have run on its node. */
+  /** Unique among all processes that have run as this controller. */
   readonly processId: string;
 }
 
-/** One controller, of whatever version. */
+/** A controller of any version. */
 export interface RunningController {
   start(): void;
-  /** Ends its timers and loops, as the end of its process would. */
+  /** Stops its timers and loops, as the end of its process would. */
   stop(): void;
-  /** The answer to a load balancer's probe. */
+  /** The response to a load balancer's probe. */
   health(): Reply;
-  /** Whether it leads at this moment. */
+  /** Whether it is the leader now. */
   isLeader(): boolean;
   handleUserRequest(method: string, path: string, body: Buffer): Promise<Reply>;
   handleHeartbeat(body: Buffer): Promise<Reply>;
-  /** Handles a peer's request. The body of the reply is the frame of the response. */
+  /** Handles a peer's request. The body of the result is the frame of the response. */
   handlePeerFrame(frame: Buffer): Promise<Reply>;
 }
 
-/** A version of the service. */
+/** One version of the service. */
 export interface Build {
-  /** Makes a controller, not started yet, by the settings file of its node. */
+  /** Creates a controller from its settings file without starting it. */
   createController(settingsFile: unknown, host: ControllerEnvironment): RunningController;
 }
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -1,4 +1,4 @@
-/** Virtual time, and the clocks that the processes of a simulation have in it. */
+/** Virtual time, and the drifting clocks of the simulated processes that run in it. */
 import {
   SteadyMs,
   WallMs,
@@ -9,20 +9,20 @@
 
 interface ScheduledTimer {
   readonly at: number;
-  /** The order in which timers were set: it decides between timers of one instant. */
+  /** Counts up with each timer that is set; orders the timers that are due at the same instant. */
   readonly sequence: number;
   /** Undefined once it is cancelled. */
   run: (() => void) | undefined;
 }
 
-/** What a stand-in needs of time; real time has it as well. */
+/** The time that the simulated services use: virtual time, or real time when they run on loopback. */
 export interface TimeSource {
-  /** Milliseconds since some moment. */
+  /** Milliseconds since an arbitrary moment. */
   readonly now: number;
   after(delay: number, run: () => void): Timer;
 }
 
-/** Time that passes only in `run`. Timers of one instant fire in the order in which they were set. */
+/** Time that passes only in `runUntil`. Timers of one instant fire in the order in which they were set. */
 export class VirtualTime implements TimeSource {
   now = 0;
   private nextSequence = 0;
@@ -71,7 +71,7 @@
     heap[position] = last;
   }
 
-  /** Lets time pass up to a moment. After each timer, all promises that settle by it are settled. */
+  /** Advances time to a moment. After each timer, lets all promises settle that settle because of it. */
   async run(untilMs: number): Promise<void> {
     for (;;) {
       const next = this.heap[0];
@@ -86,17 +86,17 @@
   }
 }
 
-/** The clocks of one process. They drift, and nothing fires any more once the process is dead. */
+/** The steady and wall clocks of one process. They drift, and no timer fires once the process is dead. */
 export class ProcessClock implements Clock {
   isDead = false;
-  /** What is due while the process is frozen; undefined while it is not. */
+  /** The events that came due while the process is frozen; undefined while it isn't. */
   private postponedEvents: (() => void)[] | undefined;
 
   constructor(
     private readonly time: VirtualTime,
-    /** The share by which its steady clock is fast. */
+    /** The share by which its steady clock runs fast; negative if it runs slow. */
     private readonly drift: number,
-    /** By how many milliseconds its time of day is ahead. */
+    /** How far its wall clock is ahead of the virtual time. */
     private readonly wallOffsetMs: number,
   ) {}
 
@@ -112,14 +112,14 @@
     return this.time.after(delay / (1 + this.drift), () => this.deliverEvent(run));
   }
 
-  /** Runs an event of the process: not at all once it is dead, and later while it is frozen. */
+  /** Runs an event of the process. Drops it if the process is dead, and postpones it while it is frozen. */
   deliverEvent(run: () => void): void {
     if (this.isDead) return;
     if (this.postponedEvents) this.postponedEvents.push(run);
     else run();
   }
 
-  /** While a process is frozen nothing of it runs, though its clocks do, as on a paused machine. */
+  /** A frozen process runs nothing while its clocks go on, as on a paused machine. */
   setFrozen(isFrozen: boolean): void {
     if (isFrozen) {
       this.postponedEvents ??= [];
--- a/test/standin/cloud.ts
+++ b/test/standin/cloud.ts
@@ -1,10 +1,13 @@
-/** The cloud, from the protocol: rentals by name, boots, a list that lags, deletions, outages. */
+/**
+ * A simulated cloud API, as the protocol describes it: idempotent rentals, boots, a machine list that lags,
+ * deletions and outages.
+ */
 import type { Random } from '../../src/units/index.js';
 import { encodeMachineTypes, type MachineType } from '../../src/wire/index.js';
 import type { TimeSource } from './clock.js';
 import type { HostResponse } from './network.js';
 
-/** A machine from its rental on; one that has ended is kept here too. */
+/** A machine since its rental. Machines that have ended are kept too. */
 export interface RentedMachine {
   readonly id: string;
   readonly address: string;
@@ -12,13 +15,13 @@
   readonly zone: string;
   readonly spot: boolean;
   readonly rentedAt: number;
-  /** When the list begins to show it. */
+  /** When the machine list begins to show it. */
   readonly listedAt: number;
   endedAt: number | undefined;
   isRunning: boolean;
 }
 
-/** A rental as it is sent. */
+/** The body of a rental request. */
 interface RentalMessage {
   readonly hire: string;
   readonly build: string;
@@ -27,42 +30,42 @@
   readonly how_many: number;
 }
 
-/** What becomes of rented machines. */
+/** Callbacks for the boot and the end of rented machines. */
 export interface MachineLifecycle {
   onBoot(machine: RentedMachine): void;
   onEnd(machine: RentedMachine): void;
 }
 
-/** What a cloud is made of. */
+/** The parameters and dependencies of a cloud. */
 export interface CloudOptions {
   readonly time: TimeSource;
   readonly random: Random;
   readonly machineTypes: readonly MachineType[];
-  /** By how many milliseconds the list lags, roughly. */
+  /** The nominal lag of the machine list; a new machine appears after 0.5 to 2 times as long. */
   readonly listLagMs: number;
   readonly lifecycle: MachineLifecycle;
-  /** The address of the machine that was rented as the nth. */
+  /** The address of the nth rented machine. */
   readonly addressOf: (n: number) => string;
 }
 
 const DEFAULT_BOOT_SECONDS = 10;
 
-/** The cloud's service. */
+/** The simulated cloud API. */
 export class Cloud {
   readonly machines = new Map<string, RentedMachine>();
-  /** The machines of each rental, by its name: a repeated request gets them again. */
+  /** The machine ids of each rental by its idempotency key: a repeated request returns them again. */
   private readonly rentals = new Map<string, string[]>();
   private rentedCount = 0;
-  /** While it is out, every request is answered with 503. */
+  /** Whether every request gets a 503 response. */
   isUnavailable = false;
-  /** How many machines of each type, zone and price model there are. */
+  /** The most machines that can exist at a time for each combination of type, zone and price model. */
   capacityPerOffer = 8;
   /** The share of machines that never boot. */
   bootFailureShare = 0.03;
 
   constructor(private readonly options: CloudOptions) {}
 
-  /** The machine type of a name. */
+  /** Finds a machine type by its name. */
   machineType(name: string): MachineType | undefined {
     return this.options.machineTypes.find((type) => type.name === name);
   }
@@ -96,7 +99,7 @@
     return { status: 200, body: { boxes: ids } };
   }
 
-  /** How many machines there are of the type, zone and price model that a rental asks for. */
+  /** Counts the machines of the type, zone and price model that a rental asks for. */
   private countMatching({ build, hall, loaners }: RentalMessage): number {
     return [...this.machines.values()].filter(
       (machine) =>
@@ -137,7 +140,7 @@
     });
   }
 
-  /** Ends a machine that was deleted, reclaimed or has failed, with all that runs on it. */
+  /** Ends a machine that was deleted, was reclaimed or has failed, together with all that runs on it. */
   end(id: string): void {
     const machine = this.machines.get(id);
     if (!machine || machine.endedAt !== undefined) return;
--- a/test/standin/controller-processes.ts
+++ b/test/standin/controller-processes.ts
@@ -1,4 +1,4 @@
-/** The controllers of a world: their processes start, end, stand still and are upgraded. */
+/** The controller processes of a simulated cluster: starts them, kills them, freezes them and upgrades them. */
 import type { Logger } from 'pino';
 import type { HttpClient } from '../../src/net/http.js';
 import type { Endpoint, NodeId, Random } from '../../src/units/index.js';
@@ -9,7 +9,7 @@
 import { CONTROLLERS, type ClusterSettings } from './cluster-settings.js';
 import { currentBuild } from './current-build.js';
 
-/** What controllers need of the world around them. */
+/** The parts of the simulated cluster that controllers use. */
 export interface ControllerProcessesDependencies {
   readonly time: VirtualTime;
   readonly random: Random;
@@ -18,17 +18,17 @@
   readonly log: Logger;
 }
 
-interface Process {
+interface ControllerProcess {
   readonly clock: ProcessClock;
   readonly controller: RunningController;
 }
 
 const MAX_CLOCK_DRIFT = 0.00025;
 const MAX_WALL_CLOCK_OFFSET_MS = 200;
-/** After a request without an answer a peer counts as unresponsive for so long. */
+/** How long a peer counts as unresponsive after a request without a response. */
 const UNRESPONSIVE_MS = 2000;
 
-/** An answer by HTTP of a controller, as its own clients see it. */
+/** Passes an HTTP request to the matching handler of a controller, and decodes the response for the network. */
 async function handleHttpRequest(
   controller: RunningController,
   method: string,
@@ -64,32 +64,32 @@
   };
 }
 
-/** One controller on each node, or none while its process has ended. */
+/** The processes of all controllers. A controller has none while it is down. */
 export class ControllerProcesses {
-  private readonly processes = new Map<number, Process>();
-  /** The version that each node runs when it is started next. */
+  private readonly processes = new Map<number, ControllerProcess>();
+  /** The version that each controller runs from its next start on. */
   private readonly builds = new Map<number, Build>();
 
   constructor(
     private readonly dependencies: ControllerProcessesDependencies,
     build: Build,
   ) {
-    for (const node of CONTROLLERS) this.builds.set(node, build);
+    for (const controller of CONTROLLERS) this.builds.set(controller, build);
   }
 
-  /** Starts the controller of a node, unless it runs. */
-  start(node: number): void {
-    if (this.processes.has(node)) return;
-    const { time, random, network, settings: platform, log } = this.dependencies;
-    const controllerSettings = platform.of(node);
+  /** Starts a controller unless it is already running. */
+  start(controllerIndex: number): void {
+    if (this.processes.has(controllerIndex)) return;
+    const { time, random, network, settings, log } = this.dependencies;
+    const controllerSettings = settings.of(controllerIndex);
     const clock = new ProcessClock(
       time,
       (random() - 0.5) * 2 * MAX_CLOCK_DRIFT,
       (random() - 0.5) * 2 * MAX_WALL_CLOCK_OFFSET_MS,
     );
     const http = network.client(controllerSettings.node, controllerSettings.zone, clock);
-    const build = this.builds.get(node) ?? currentBuild;
-    const controller = build.createController(platform.fileOf(node), {
+    const build = this.builds.get(controllerIndex) ?? currentBuild;
+    const controller = build.createController(settings.fileOf(controllerIndex), {
       clock,
       random,
       http,
@@ -100,7 +100,7 @@
           connectPeer(http, clock, other.endpoint),
         ]),
       ),
-      processId: `run-${node}-${time.now}`,
+      processId: `run-${controllerIndex}-${time.now}`,
     });
     network.attach(controllerSettings.apiEndpoint, controllerSettings.zone, (method, path, body) =>
       handleHttpRequest(controller, method, path, body),
@@ -110,51 +110,51 @@
       controllerSettings.zone,
       (_method, _path, body) => controller.handlePeerFrame(body as Buffer),
     );
-    this.processes.set(node, { clock, controller });
+    this.processes.set(controllerIndex, { clock, controller });
     controller.start();
   }
 
-  /** Ends a process without a signal: nothing of it runs on, and what it sent may still arrive. */
-  kill(node: number): void {
-    const process = this.processes.get(node);
+  /** Kills a process without a signal: it runs nothing more, but requests that it sent may still arrive. */
+  kill(controller: number): void {
+    const process = this.processes.get(controller);
     if (!process) return;
     process.clock.isDead = true;
     process.controller.stop();
-    this.processes.delete(node);
-    for (const endpoint of this.endpointsOf(node)) this.dependencies.network.detach(endpoint);
+    this.processes.delete(controller);
+    for (const endpoint of this.endpointsOf(controller)) this.dependencies.network.detach(endpoint);
   }
 
-  /** A frozen process does nothing, with all that it has in hand, while its clocks run on. */
-  setFrozen(node: number, isFrozen: boolean): void {
-    const process = this.processes.get(node);
+  /** Freezes a process or resumes it. A frozen process does nothing, while its clocks go on. */
+  setFrozen(controller: number, isFrozen: boolean): void {
+    const process = this.processes.get(controller);
     if (!process) return;
     process.clock.setFrozen(isFrozen);
-    for (const endpoint of this.endpointsOf(node))
+    for (const endpoint of this.endpointsOf(controller))
       this.dependencies.network.setHung(endpoint, isFrozen);
   }
 
-  /** Ends a process and starts it with this version after a while. */
-  upgrade(node: number, downMs: number): void {
-    this.kill(node);
-    this.builds.set(node, currentBuild);
-    this.dependencies.time.after(downMs, () => this.start(node));
+  /** Kills a process and starts it with the current version after `downMs`. */
+  upgrade(controller: number, downMs: number): void {
+    this.kill(controller);
+    this.builds.set(controller, currentBuild);
+    this.dependencies.time.after(downMs, () => this.start(controller));
   }
 
-  /** The node that leads at this moment. */
+  /** The index of the controller that leads now. */
   leader(): number | undefined {
-    for (const [node, { controller }] of this.processes) {
-      if (controller.isLeader()) return node;
+    for (const [index, { controller }] of this.processes) {
+      if (controller.isLeader()) return index;
     }
     return undefined;
   }
 
-  /** The process that runs on a node: another object after each start. */
-  processOf(node: number): object | undefined {
-    return this.processes.get(node);
+  /** The running process of a controller: a different object after each start. */
+  processOf(controller: number): object | undefined {
+    return this.processes.get(controller);
   }
 
-  private endpointsOf(node: number): readonly Endpoint[] {
-    const { apiEndpoint, clusterEndpoint } = this.dependencies.settings.of(node);
+  private endpointsOf(controller: number): readonly Endpoint[] {
+    const { apiEndpoint, clusterEndpoint } = this.dependencies.settings.of(controller);
     return [apiEndpoint, clusterEndpoint];
   }
 }
--- a/test/standin/fault-scenario.ts
+++ b/test/standin/fault-scenario.ts
@@ -1,25 +1,28 @@
-/** Whole days of a cluster: jobs of all kinds while everything goes wrong, and the calm after it. */
+/**
+ * A randomised scenario: jobs of all kinds on a simulated cluster under random faults, and the recovery after
+ * the last fault.
+ */
 import assert from 'node:assert/strict';
 import type { Build } from './build.js';
 import { BASE_DUPLICATE_SHARE, injectRandomFault, pickRandom } from './random-faults.js';
 import { CONTROLLERS, ZONES } from './cluster-settings.js';
 import { SimulatedCluster } from './simulated-cluster.js';
 
-/** A share of a processor on which a handful of machines is too many. */
+/** A share of a processor so small that the heartbeats of a few machines overload the controller. */
 export const OVERLOADED_CONTROLLER_CPU = 0.0005;
 
-/** How long a cluster has to heal and to end all work once all faults are over. */
+/** How long the cluster may take to recover and to finish all jobs once all faults have ended. */
 const RECOVERY_MS = 240_000;
 
-/** Ends all faults, lets everything settle, then asserts that no rule was violated and all work was done. */
+/** Ends all faults, lets the cluster recover, and asserts that no invariant was violated and all jobs finished. */
 export async function recoverAndVerify(cluster: SimulatedCluster, name: string): Promise<void> {
   cluster.network.lossShare = 0;
   cluster.store.setOutage(false);
   cluster.cloud.isUnavailable = false;
-  for (const node of CONTROLLERS) {
-    cluster.store.setOutageFor(`node-${node}`, false);
-    cluster.setControllerFrozen(node, false);
-    cluster.startController(node);
+  for (const controller of CONTROLLERS) {
+    cluster.store.setOutageFor(`node-${controller}`, false);
+    cluster.setControllerFrozen(controller, false);
+    cluster.startController(controller);
   }
   for (const [zone, other] of [
     ['a', 'b'],
@@ -46,10 +49,10 @@
   assert.deepEqual(cluster.users.unfinishedJobs(), [], name);
 }
 
-/** Submits some gang, which is cancelled now and then. */
+/** Submits a random gang, and cancels it later with a probability of 0.2. */
 export function submitRandomGang(cluster: SimulatedCluster): void {
   const { random } = cluster;
-  const savesCheckpoints = random() < 0.6;
+  const hasCheckpoints = random() < 0.6;
   cluster.users.submit(
     {
       kind: 'ensemble',
@@ -58,8 +61,8 @@
       priority: random() < 0.5 ? 'high' : 'normal',
       singleZone: random() < 0.6,
       allowSpot: random() < 0.5,
-      checkpointIntervalSeconds: savesCheckpoints ? 4 : 0,
-      checkpointSeconds: savesCheckpoints ? 1 + Math.floor(random() * 3) : 0,
+      checkpointIntervalSeconds: hasCheckpoints ? 4 : 0,
+      checkpointSeconds: hasCheckpoints ? 1 + Math.floor(random() * 3) : 0,
       image: random() < 0.5 ? 'x' : 'gang',
     },
     4000 + random() * 25_000,
@@ -67,7 +70,7 @@
   );
 }
 
-/** Submits some job array, which is cancelled now and then. */
+/** Submits a random job array, and cancels it later with a probability of 0.25. */
 function submitRandomArray(cluster: SimulatedCluster): void {
   const { random } = cluster;
   cluster.users.submit(
@@ -86,43 +89,45 @@
   );
 }
 
-/** How a day is played. */
+/** Options of a randomised scenario. */
 export interface FaultScenarioOptions {
-  /** Gangs are submitted beside the arrays. */
+  /** Whether gangs are submitted beside the arrays. */
   readonly withGangs?: boolean;
-  /** All controllers begin with this version; they are upgraded in the course of the day. */
+  /** The version that all controllers start with; they are upgraded during the scenario. */
   readonly build?: Build;
 }
 
 const STEP_COUNT = 40;
-/** In each step so many arrays are submitted, each with this probability. */
+/** In each step this many arrays may be submitted, each with `ARRAY_PROBABILITY`. */
 const ARRAYS_PER_STEP = 2;
 const ARRAY_PROBABILITY = 0.4;
-/** As many as the team's quota lets end within the time that a day takes to settle. */
+/** Limited so that the team's quota lets all gangs finish within `RECOVERY_MS`. */
 const GANG_PROBABILITY = 0.25;
-/** By this step the upgrade is over: only then is anything submitted that the older version can't run. */
+/** The upgrades are done by this step. Jobs that the older version can't run are submitted only from then on. */
 const UPGRADE_DONE_STEP = 25;
 
-/** When each controller is upgraded: one after the other, in any order, or several at once. */
+/** Schedules the upgrade of each controller: in random order, one after the other or several at once. */
 function scheduleUpgrades(cluster: SimulatedCluster): void {
   const { random } = cluster;
-  const nodes = [...CONTROLLERS].sort(() => random() - 0.5);
+  const controllers = [...CONTROLLERS].sort(() => random() - 0.5);
   let at = 20_000 + random() * 20_000;
-  for (const node of nodes) {
-    cluster.time.after(at, () => cluster.upgradeController(node, random() < 0.3 ? 200 : 5000));
+  for (const controller of controllers) {
+    cluster.time.after(at, () =>
+      cluster.upgradeController(controller, random() < 0.3 ? 200 : 5000),
+    );
     at += random() < 0.3 ? 0 : 2000 + random() * 15_000;
   }
 }
 
-/** A day on which everything goes wrong, alone and together, by the luck of its seed. */
+/** Runs jobs under random faults, also several at a time, all of them determined by the seed. */
 export async function runFaultScenario(
   seed: number,
-  { withGangs: gangs, build }: FaultScenarioOptions = {},
+  { withGangs, build }: FaultScenarioOptions = {},
 ): Promise<SimulatedCluster> {
   const cluster = new SimulatedCluster({
     seed,
     lossShare: 0.01,
-    // On every third, a leader so small that the others take its workers' heartbeats.
+    // With every third seed the leader is so small that the other controllers take its workers' heartbeats.
     ...(seed % 3 === 0 ? { controllerCpu: OVERLOADED_CONTROLLER_CPU } : {}),
     ...(build ? { build } : {}),
   });
@@ -135,7 +140,7 @@
       if (random() < ARRAY_PROBABILITY) submitRandomArray(cluster);
     }
     const isUpgraded = build === undefined || step >= UPGRADE_DONE_STEP;
-    if (gangs && isUpgraded && random() < GANG_PROBABILITY) submitRandomGang(cluster);
+    if (withGangs && isUpgraded && random() < GANG_PROBABILITY) submitRandomGang(cluster);
     injectRandomFault(cluster);
     cluster.users.pollUnknownJob();
     await cluster.run(2500 + random() * 3000);
--- a/test/standin/gang-run.ts
+++ b/test/standin/gang-run.ts
@@ -1,45 +1,48 @@
-/** The workers' side of one gang, from the protocol: its tasks find each other by the number of their attempt. */
+/**
+ * The simulated tasks of one gang, as the protocol describes them: tasks of the same attempt number form a group
+ * that starts, saves checkpoints and fails together.
+ */
 import type { TimeSource } from './clock.js';
 
-/** What a gang needs, and how long it takes. */
+/** The size of a gang, its running time and its checkpoints. */
 export interface GangProperties {
   readonly taskCount: number;
   readonly runMs: number;
-  /** How much progress lies between two checkpoints; 0: it never saves by itself. */
+  /** The progress between two periodic checkpoints; 0 if it saves none. */
   readonly checkpointIntervalMs: number;
-  /** How long it takes to save when it is stopped. */
+  /** How long saving a checkpoint takes when the gang is stopped. */
   readonly checkpointMs: number;
 }
 
-/** The times of the protocol for gangs. */
+/** The timeouts that the protocol sets for gangs. */
 export interface GangTimeouts {
-  /** A task waits for so long until all others of its attempt are there. */
+  /** How long a task waits for all other tasks of its attempt. */
   readonly gatherTimeoutMs: number;
-  /** The tasks of a gang notice within so long that one of them is gone. */
+  /** The time within which the tasks of a gang detect that one of them is lost. */
   readonly peerLossTimeoutMs: number;
 }
 
-/** What is to be known of a gang outside. */
+/** Callbacks for what happens to a gang. */
 export interface GangEvents {
   onCompleted(): void;
-  /** Something happened that must not. */
+  /** An invariant of gangs was violated. */
   onViolation(detail: string): void;
 }
 
-/** A task of a gang on a worker, from when it has its image. */
+/** A task of a gang on a worker that has fetched the task's image. */
 export interface GangMember {
   readonly index: number;
   readonly attempt: number;
   /** Whether its machine hangs. */
   isHung(): boolean;
-  /** All tasks are there: it runs. */
+  /** Called when all tasks of the attempt have joined. */
   startRunning(): void;
-  /** It was stopped, and the gang writes a checkpoint. */
+  /** Called when the task was stopped with enough time to save a checkpoint. */
   startCheckpoint(): void;
   exit(cause: string, hasSavedCheckpoint?: boolean): void;
 }
 
-/** The tasks of one attempt, and what they do together. */
+/** The tasks of one attempt and their common state. */
 class GangAttempt {
   readonly members = new Map<number, GangMember>();
   readonly stopped = new Set<GangMember>();
@@ -56,13 +59,13 @@
   }
 }
 
-/** One gang from its first task to its end. */
+/** One gang through all its attempts. */
 export class GangRun {
   private readonly attempts = new Map<number, GangAttempt>();
-  /** Progress in milliseconds that the next attempt goes on from. */
+  /** The progress that the next attempt resumes from. */
   savedProgressMs = 0;
   private isCompleted = false;
-  /** How often all tasks began to run. */
+  /** How many attempts have started to run. */
   startCount = 0;
 
   constructor(
@@ -72,7 +75,7 @@
     private readonly events: GangEvents,
   ) {}
 
-  /** A task has its image and is there. */
+  /** Adds a task that has its image to its attempt, and starts the attempt with the last one. */
   join(member: GangMember): void {
     if (this.isCompleted) {
       member.exit('done');
@@ -81,7 +84,7 @@
     const attempt = this.attempts.get(member.attempt) ?? new GangAttempt();
     this.attempts.set(member.attempt, attempt);
     if (attempt.startedAt !== undefined) {
-      // Its attempt has begun, and ended, without it.
+      // Its attempt has already started without it.
       this.time.after(this.timeouts.peerLossTimeoutMs / 2, () => member.exit('peers'));
       return;
     }
@@ -94,7 +97,7 @@
     if (attempt.members.size === this.properties.taskCount) this.start(attempt);
   }
 
-  /** A task was stopped or has vanished, or its machine has. */
+  /** Removes a task that was stopped or lost. A running attempt fails with it. */
   leave(member: GangMember): void {
     const attempt = this.attempts.get(member.attempt);
     if (attempt?.members.get(member.index) !== member) return;
@@ -102,7 +105,7 @@
     if (attempt.isRunning) this.fail(attempt);
   }
 
-  /** A task is stopped with enough time to save. The gang saves once all of its tasks are. */
+  /** Stops a task with enough time to save. The gang saves once all its tasks are stopped. */
   stop(member: GangMember): void {
     const attempt = this.attempts.get(member.attempt);
     if (!attempt?.isRunning) {
@@ -122,7 +125,7 @@
       if (attempt.hasEnded) return;
       attempt.hasEnded = true;
       this.savedProgressMs = this.progressOf(attempt);
-      for (const other of attempt.members.values()) other.exit('halted', true);
+      for (const otherMember of attempt.members.values()) otherMember.exit('halted', true);
     });
   }
 
@@ -141,7 +144,7 @@
     });
   }
 
-  /** The others notice when the machine of one hangs. */
+  /** Fails the attempt when the machine of one of its tasks hangs. */
   private scheduleHangCheck(attempt: GangAttempt): void {
     this.time.after(this.timeouts.peerLossTimeoutMs / 4, () => {
       if (attempt.hasEnded) return;
--- a/test/standin/invariant-checker.ts
+++ b/test/standin/invariant-checker.ts
@@ -1,6 +1,6 @@
 /**
- * The judge of a world: watches users and workers from outside and notes each violation of a rule that the
- * service is to keep, whatever fails.
+ * Checks the invariants of a simulated cluster: observes users and workers from outside, and records each
+ * violation of a rule that the service must keep under any fault.
  */
 import type { Settings } from '../../src/config/settings.js';
 import type { JobSpec } from '../../src/wire/index.js';
@@ -10,7 +10,7 @@
 import type { TaskRegistry } from './task-registry.js';
 import { isFinished, type UserJob, type Users } from './users.js';
 
-/** What the judge sees. */
+/** The parts of the simulated cluster that the checker observes. */
 export interface CheckedCluster {
   readonly time: VirtualTime;
   readonly settings: Settings;
@@ -21,11 +21,11 @@
   readonly workers: ReadonlyMap<string, WorkerOnMachine>;
 }
 
-/** Once all faults are over, a job waits no longer than this while some machine can take it. */
+/** The longest time that a job may wait after all faults have ended, while machines have room for it. */
 const MAX_PLACEABLE_WAIT_MS = 90_000;
-/** Questions about one job stay unanswered for at most so long while most others are answered. */
+/** The longest time that polls of one job may fail while most other polls succeed. */
 const MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_MS = 90_000;
-/** Once all faults are over, questions stay unanswered for at most so long. */
+/** The longest time that polls of a job may fail after all faults have ended. */
 const MAX_UNANSWERED_AFTER_FAULTS_MS = 75_000;
 
 const CANCELLATION_CHECK_INTERVAL_MS = 500;
@@ -36,16 +36,16 @@
   (spec.zone === null || spec.zone === machine.zone) &&
   (spec.allowSpot || !machine.spot);
 
-/** The judge. */
+/** Checks the invariants periodically and at each start of a task. */
 export class InvariantChecker {
-  /** One line for each violation: the rule, when, and by what. */
+  /** One line for each violation: the rule, the time and the details. */
   readonly violations: string[] = [];
-  /** When all faults were over. */
+  /** When all faults ended; undefined until then. */
   private faultsEndedAt: number | undefined;
 
   constructor(private readonly cluster: CheckedCluster) {}
 
-  /** Begins to watch. */
+  /** Starts the periodic checks. */
   start(): void {
     this.checkEvery(CANCELLATION_CHECK_INTERVAL_MS, () => this.checkCancelledJobs());
     this.checkEvery(CHECK_INTERVAL_MS, () => this.checkPollResponses());
@@ -59,7 +59,7 @@
     });
   }
 
-  /** All faults are over: from now on the rules for calm times hold too. */
+  /** Marks the end of all faults: from now on the invariants for a cluster without faults are checked too. */
   markFaultsEnded(): void {
     this.faultsEndedAt = this.cluster.time.now;
   }
@@ -68,12 +68,12 @@
     return this.faultsEndedAt !== undefined;
   }
 
-  /** Notes a violation. */
+  /** Records a violation. */
   reportViolation(rule: string, detail: string): void {
     this.violations.push(`${rule} at ${Math.round(this.cluster.time.now)}: ${detail}`);
   }
 
-  /** Checks a start. `others`: the machines that the task was on already. */
+  /** Checks the start of a task. `otherMachines` already hold the task. */
   checkStart(machineId: string, task: string, otherMachines: readonly string[]): void {
     if (otherMachines.length > 0 && !otherMachines.includes(machineId)) {
       this.reportViolation('ran_twice', `${task} on ${machineId} and ${otherMachines.join()}`);
@@ -91,19 +91,19 @@
     this.checkQuota(job.spec.team);
   }
 
-  /** Whether a job's tasks are together or spread as it asks for, with this one on a machine. */
+  /** Whether a job's tasks are in one zone or spread over zones as it asks, with this task on the machine. */
   private satisfiesZoneConstraints(spec: JobSpec, machine: RentedMachine, task: string): boolean {
-    const others = this.zonesOf(spec.id, task);
-    if (spec.singleZone && others.some((zone) => zone !== machine.zone)) return false;
-    const inZone = others.filter((zone) => zone === machine.zone).length + 1;
-    return !spec.spreadZones || inZone <= Math.ceil(spec.taskCount / 2);
+    const otherZones = this.zonesOf(spec.id, task);
+    if (spec.singleZone && otherZones.some((zone) => zone !== machine.zone)) return false;
+    const tasksInZone = otherZones.filter((zone) => zone === machine.zone).length + 1;
+    return !spec.spreadZones || tasksInZone <= Math.ceil(spec.taskCount / 2);
   }
 
-  /** The zones that a job's tasks are in, one for each task but this one. */
-  private zonesOf(job: string, except: string): string[] {
+  /** The zones of a job's placed tasks, one entry for each task except one. */
+  private zonesOf(job: string, exceptTask: string): string[] {
     const zones: string[] = [];
     for (const [task, machines] of this.cluster.tasks.placements()) {
-      if (task === except || !task.startsWith(`${job}/`)) continue;
+      if (task === exceptTask || !task.startsWith(`${job}/`)) continue;
       for (const id of machines) zones.push(this.cluster.cloud.machines.get(id)?.zone ?? '');
     }
     return zones;
@@ -111,13 +111,15 @@
 
   private checkQuota(team: string): void {
     const { tasks } = this.cluster;
-    const quota = this.maxCpusOf(team);
-    let used = 0;
-    for (const [task, machines] of tasks.placements()) used += machines.size * tasks.cpusOf(task);
-    if (quota > 0 && used > quota) this.reportViolation('quota', `${used} of ${quota}`);
+    const maxCpus = this.maxCpusOf(team);
+    let usedCpus = 0;
+    for (const [task, machines] of tasks.placements())
+      usedCpus += machines.size * tasks.cpusOf(task);
+    if (maxCpus > 0 && usedCpus > maxCpus)
+      this.reportViolation('quota', `${usedCpus} of ${maxCpus}`);
   }
 
-  /** The most processors of a team; 0: no limit. */
+  /** The most processors that a team may use; 0 for no limit. */
   private maxCpusOf(team: string): number {
     return this.cluster.settings.teams.get(team)?.maxCpus ?? 0;
   }
@@ -137,12 +139,15 @@
 
   private checkPollResponses(): void {
     const { now } = this.cluster.time;
-    const areMostAnswered = this.cluster.users.areMostPollsAnswered(
+    const areMostPollsAnswered = this.cluster.users.areMostPollsAnswered(
       MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_MS,
     );
     for (const [id, job] of this.cluster.jobs) {
       if (!job.isAccepted) continue;
-      if (areMostAnswered && now - job.lastResponseAt > MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_MS) {
+      if (
+        areMostPollsAnswered &&
+        now - job.lastResponseAt > MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_MS
+      ) {
         this.reportViolation('forgotten', `${id}: unanswered while others are not`);
         job.lastResponseAt = now;
       }
@@ -166,25 +171,26 @@
     }
   }
 
-  /** Whether machines have free resources for a job that waits and has no task anywhere. */
+  /** Whether a job waits, no worker holds a task of it, and machines have enough free resources for it. */
   private isPlaceable(id: string, job: UserJob): boolean {
     if (isFinished(job) || !job.isAccepted || job.isCancelRequested) return false;
     const { spec } = job;
-    let used = 0;
+    let usedCpus = 0;
     for (const { worker } of this.cluster.workers.values()) {
       for (const task of worker.taskNames()) {
         if (task.startsWith(`${id}/`)) return false;
-        used += this.cluster.tasks.cpusOf(task);
+        usedCpus += this.cluster.tasks.cpusOf(task);
       }
     }
     const needed = job.gang ? spec.taskCount : 1;
-    const quota = this.maxCpusOf(spec.team);
+    const maxCpus = this.maxCpusOf(spec.team);
     return (
-      this.countFittingTasks(job) >= needed && (quota <= 0 || used + needed * spec.cpus <= quota)
+      this.countFittingTasks(job) >= needed &&
+      (maxCpus <= 0 || usedCpus + needed * spec.cpus <= maxCpus)
     );
   }
 
-  /** How many tasks of a job fit on the machines, in the best zone if it is a gang that keeps to one. */
+  /** Counts the tasks of a job that fit on the machines; in the best zone for a gang that must stay in one zone. */
   private countFittingTasks({ spec, gang }: UserJob): number {
     const byZone = new Map<string, number>();
     for (const { worker, machine } of this.cluster.workers.values()) {
--- a/test/standin/load-balancer.ts
+++ b/test/standin/load-balancer.ts
@@ -1,4 +1,7 @@
-/** The users' load balancer, from the protocol: probes, removals and pauses, sticky connections. */
+/**
+ * A simulated load balancer in front of the controllers, as the protocol describes it: health checks, removal
+ * with a growing pause, and the reset of connections to unhealthy controllers.
+ */
 import type { Random } from '../../src/units/index.js';
 import type { TimeSource } from './clock.js';
 
@@ -6,27 +9,27 @@
   readonly controller: number;
   isHealthy: boolean;
   wasEverHealthy: boolean;
-  /** The results of the last probes, newest last. */
+  /** Whether each of the last probes passed, newest last. */
   recentProbes: boolean[];
   /** When its health last changed. */
-  healthChangedAt: number;
-  /** When it was removed, within the last two minutes. */
+  changedAt: number;
+  /** When it was removed, in the last two minutes. */
   recentRemovals: number[];
-  /** How long it stays removed, in milliseconds; it doubles with each removal. */
+  /** How long it stays removed; doubles with each removal in the last two minutes. */
   pauseMs: number;
 }
 
 const MIN_PAUSE_MS = 3000;
 const MAX_PAUSE_MS = 60_000;
-/** Removals count towards the pause for so long. */
+/** How long a removal counts towards the pause. */
 const REMOVAL_WINDOW_MS = 120_000;
-/** Connections to a node that became unhealthy are reset after so long. */
-const CONNECTION_RESET_MS = 5000;
-/** Of the probes that are remembered, so many failures remove a node. */
+/** How long after a controller became unhealthy the open connections to it are reset. */
+const RESET_DELAY_MS = 5000;
+/** A controller with more failures than this among its last `PROBE_WINDOW` probes is removed. */
 const MAX_FAILED_PROBES = 2;
 const PROBE_WINDOW = 6;
 
-/** The load balancer. */
+/** Sends users' connections to the controllers that pass their health checks. */
 export class LoadBalancer {
   private readonly backends: Backend[];
 
@@ -34,7 +37,7 @@
     private readonly time: TimeSource,
     private readonly random: Random,
     backendCount: number,
-    /** Whether a node answers its health check with 200 within a second. */
+    /** Whether a controller responds to its health check with 200 within a second. */
     private readonly probe: (node: number) => Promise<boolean>,
   ) {
     this.backends = Array.from({ length: backendCount }, (_, controller) => ({
@@ -42,7 +45,7 @@
       isHealthy: false,
       wasEverHealthy: false,
       recentProbes: [],
-      healthChangedAt: 0,
+      changedAt: 0,
       recentRemovals: [],
       pauseMs: MIN_PAUSE_MS,
     }));
@@ -69,7 +72,7 @@
     if (!hasFailedTwice && failedCount <= MAX_FAILED_PROBES) return;
     const { now } = this.time;
     backend.isHealthy = false;
-    backend.healthChangedAt = now;
+    backend.changedAt = now;
     backend.recentRemovals = [
       ...backend.recentRemovals.filter((at) => now - at < REMOVAL_WINDOW_MS),
       now,
@@ -80,33 +83,30 @@
     );
   }
 
-  /** A node is used after its first good probe; after a removal it takes two, and the pause. */
+  /** Adds a controller after its first passed probe; after a removal, after two in a row and the pause. */
   private addIfRecovered(backend: Backend): void {
     const { now } = this.time;
     const lastTwo = backend.recentProbes.slice(-2);
     const hasPassedTwice = lastTwo.length === 2 && !lastTwo.includes(false);
-    const isPaused = now - backend.healthChangedAt < backend.pauseMs;
+    const isPaused = now - backend.changedAt < backend.pauseMs;
     if (backend.wasEverHealthy && (!hasPassedTwice || isPaused)) return;
     backend.isHealthy = true;
     backend.wasEverHealthy = true;
-    backend.healthChangedAt = now;
+    backend.changedAt = now;
     backend.recentProbes = [];
   }
 
-  /** Whether an open connection to this node has been reset because the node is unhealthy. */
+  /** Whether open connections to a controller have been reset because it is unhealthy. */
   hasResetConnections(controller: number): boolean {
     const backend = this.backends[controller];
-    return (
-      !backend ||
-      (!backend.isHealthy && this.time.now - backend.healthChangedAt > CONNECTION_RESET_MS)
-    );
+    return !backend || (!backend.isHealthy && this.time.now - backend.changedAt > RESET_DELAY_MS);
   }
 
-  /** The node that a new connection goes to: a healthy one that did not just refuse it. */
+  /** Picks a random healthy controller for a new connection, without those that have just refused it. */
   chooseBackend(refused: ReadonlySet<number>): number | undefined {
-    const usable = this.backends.filter(
-      ({ controller: node, isHealthy }) => isHealthy && !refused.has(node),
+    const candidates = this.backends.filter(
+      ({ controller, isHealthy }) => isHealthy && !refused.has(controller),
     );
-    return usable[Math.floor(this.random() * usable.length)]?.controller;
+    return candidates[Math.floor(this.random() * candidates.length)]?.controller;
   }
 }
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -1,7 +1,7 @@
 /**
- * What a controller costs: one real process among the stand-ins on loopback, with a fleet and a stream of jobs
- * of a chosen size. Several builds run one after the other and are compared as a ratio, since the times
- * themselves belong to the machine that measured them.
+ * A load benchmark: measures the processor time of one real controller process that runs with the simulated
+ * services on loopback, with a fleet and streams of jobs of a chosen size. Several builds run one after the other
+ * and are compared as a ratio, since the times themselves depend on the machine that runs the benchmark.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
@@ -27,12 +27,12 @@
 
 const OUTPUT_FOLDER = 'target/load';
 const SEED = 20261202;
-/** How long the controller is down, and how long its machines may take to be answered again. */
+/** How long the controller is down, and the longest time to wait until all workers have their leases renewed. */
 const CONTROLLER_DOWN_MS = 5000;
 const MAX_RECOVERY_MS = 30_000;
 const FIRST_PORT = 21_000;
 const PORTS_PER_BUILD = 8000;
-/** The processors of a machine, on average, and the share of them that jobs are to keep busy. */
+/** The average number of processors of a machine, and the share of them that the jobs keep busy. */
 const CPUS_PER_MACHINE = 12;
 const BUSY_CPU_SHARE = 0.8;
 const FETCH_MS_PER_GB = 500;
@@ -41,7 +41,7 @@
 const POLL_INTERVAL = ms(5000);
 const POLL_TIMEOUT = ms(2000);
 const RECOVERY_CHECK_INTERVAL = ms(20);
-/** The system counts processor time in hundredths of a second. */
+/** Linux counts processor time in ticks of a hundredth of a second. */
 const MS_PER_CPU_TICK = 10;
 
 const machineType = (name: string, cpus: number, memoryGb: number, zone: string): MachineType => ({
@@ -57,7 +57,7 @@
   zones: [zone],
 });
 
-/** A kind of job: its share of the processors, and what each is like. */
+/** A stream of similar jobs: its share of the busy processors, and the jobs' runtime and specification. */
 interface JobStream {
   readonly share: number;
   readonly runMs: number;
@@ -104,10 +104,13 @@
   },
 ];
 
-/** One build among its stand-ins. */
+/** The benchmark of one build. */
 class BenchmarkRun {
   private readonly random = xoroshiro128plus(SEED);
-  private readonly jobs = new Map<string, { readonly spec: JobSpec; readonly runMs: number }>();
+  private readonly submittedJobs = new Map<
+    string,
+    { readonly spec: JobSpec; readonly runMs: number }
+  >();
   private readonly completedTasks = new Set<string>();
   private readonly client = new NodeHttpClient(64, 64, 64);
   private readonly endpoint: Endpoint;
@@ -144,16 +147,16 @@
     this.child = this.startController();
   }
 
-  /** Measures the build. Resolves with the milliseconds of processor time that it took in a second. */
+  /** Measures the build. Resolves with the processor time in milliseconds that it used per second. */
   async measure(): Promise<number> {
-    const feeding = STREAMS.map((stream) => this.submitStream(stream));
-    const spent = await this.measureSteadyLoad();
+    const submissions = STREAMS.map((stream) => this.submitStream(stream));
+    const cpuMsPerSecond = await this.measureSteadyLoad();
     await this.measureRestart();
     this.hasEnded = true;
     this.child.kill('SIGKILL');
     this.services.killWorkers();
-    await Promise.all(feeding);
-    return spent;
+    await Promise.all(submissions);
+    return cpuMsPerSecond;
   }
 
   private async measureSteadyLoad(): Promise<number> {
@@ -161,36 +164,36 @@
     await sleep(systemClock, ms(warm * 1000));
     const before = {
       cpuTicks: this.ticks(),
-      heartbeats: this.heartbeatCount(),
+      heartbeatsPerSecond: this.heartbeatCount(),
       started: this.startedTaskCount,
     };
     await sleep(systemClock, ms(seconds * 1000));
-    const spent = ((this.ticks() - before.cpuTicks) * MS_PER_CPU_TICK) / seconds;
-    const heartbeats = (this.heartbeatCount() - before.heartbeats) / seconds;
-    const starts = (this.startedTaskCount - before.started) / seconds;
+    const cpuMsPerSecond = ((this.ticks() - before.cpuTicks) * MS_PER_CPU_TICK) / seconds;
+    const heartbeats = (this.heartbeatCount() - before.heartbeatsPerSecond) / seconds;
+    const startsPerSecond = (this.startedTaskCount - before.started) / seconds;
     console.log(
       `${this.buildPath}: ${this.services.workers.size} machines, ${heartbeats.toFixed(0)} heartbeats/s, ` +
-        `${starts.toFixed(1)} starts/s, ${spent.toFixed(0)} ms of processor time a second`,
+        `${startsPerSecond.toFixed(1)} starts/s, ${cpuMsPerSecond.toFixed(0)} ms of processor time a second`,
     );
-    return spent;
+    return cpuMsPerSecond;
   }
 
-  /** All machines come back at once after a change of leader: what it costs until each is answered. */
+  /** Measures the cost of a restart: all workers send heartbeats at once until each has its lease renewed. */
   private async measureRestart(): Promise<void> {
-    const { workers } = this.services;
+    const { workers: workers } = this.services;
     this.child.kill('SIGKILL');
     await sleep(systemClock, ms(CONTROLLER_DOWN_MS));
     const before = new Map([...workers].map(([id, { worker }]) => [id, worker.renewalCount]));
     const startedAt = systemClock.steady();
     this.child = this.startController();
-    const areAllAnswered = (): boolean =>
+    const areAllRenewed = (): boolean =>
       [...workers].every(([id, { worker }]) => worker.renewalCount > (before.get(id) ?? 0));
-    while (!areAllAnswered() && systemClock.steady() - startedAt < MAX_RECOVERY_MS) {
+    while (!areAllRenewed() && systemClock.steady() - startedAt < MAX_RECOVERY_MS) {
       await sleep(systemClock, RECOVERY_CHECK_INTERVAL);
     }
     const seconds = (systemClock.steady() - startedAt) / 1000;
     console.log(
-      `${this.buildPath}: after a restart all are answered within ${seconds.toFixed(2)} s, ` +
+      `${this.buildPath}: after a restart all leases are renewed within ${seconds.toFixed(2)} s, ` +
         `for ${this.ticks() * MS_PER_CPU_TICK} ms of processor time`,
     );
   }
@@ -203,7 +206,7 @@
     });
   }
 
-  /** The processor time that the controller has taken, in ticks of the system. */
+  /** The processor time that the controller has used so far, in ticks. */
   private ticks(): number {
     const stat = readFileSync(`/proc/${this.child.pid ?? 0}/stat`, 'utf8');
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
@@ -218,13 +221,13 @@
   }
 
   private propertiesOf(task: string): TaskProperties | undefined {
-    const job = this.jobs.get(task.split('/')[0] ?? '');
+    const job = this.submittedJobs.get(task.split('/')[0] ?? '');
     if (!job) return undefined;
     const { cpus, image, imageSizeGb } = job.spec;
     return { cpus, runMs: job.runMs, fetchMs: imageSizeGb * FETCH_MS_PER_GB, image };
   }
 
-  /** Submits jobs of a stream as fast as its share of the processors runs them. */
+  /** Submits jobs of a stream at the rate at which its share of the processors runs them. */
   private async submitStream(stream: JobStream): Promise<void> {
     const { taskCount, cpus } = stream.spec;
     const cpuSecondsPerJob = (taskCount * cpus * stream.runMs) / 1000;
@@ -236,16 +239,16 @@
     }
   }
 
-  /** Submits a job and polls it to its end. */
+  /** Submits a job and polls it until it finishes. */
   private async runJob(stream: JobStream): Promise<void> {
     const { endpoint, client } = this;
-    const number = this.jobs.size + 1;
+    const number = this.submittedJobs.size + 1;
     const id = `run-${String(number).padStart(6, '0')}`;
     const image = `${stream.spec.jobClass}-${number % 4}`;
     const job = spec({ ...stream.spec, id, image, imageSizeGb: 1 });
     const body = encodeJobSpec(job);
     const path = '/v1/jobs';
-    this.jobs.set(id, { spec: job, runMs: stream.runMs });
+    this.submittedJobs.set(id, { spec: job, runMs: stream.runMs });
     while (!this.hasEnded) {
       const submission = { endpoint, method: 'POST' as const, path, body, timeout: SUBMIT_TIMEOUT };
       const outcome = await client.send(submission);
@@ -267,12 +270,12 @@
   }
 }
 
-const spent: number[] = [];
+const cpuMsPerSecondByBuild: number[] = [];
 for (const [turn, main] of options.main.entries()) {
-  spent.push(await new BenchmarkRun(main, turn).measure());
+  cpuMsPerSecondByBuild.push(await new BenchmarkRun(main, turn).measure());
 }
-const [first = 0] = spent;
-for (const [turn, time] of spent.entries()) {
+const [first = 0] = cpuMsPerSecondByBuild;
+for (const [turn, time] of cpuMsPerSecondByBuild.entries()) {
   if (turn > 0)
     console.log(`${options.main[turn] ?? ''}: ${(time / first).toFixed(2)} of the first`);
 }
--- a/test/standin/loopback-services.ts
+++ b/test/standin/loopback-services.ts
@@ -1,4 +1,4 @@
-/** The stand-ins on loopback, in real time, for one controller that runs as a process of its own. */
+/** The simulated services on loopback, in real time, for one controller that runs as a separate process. */
 import http from 'node:http';
 import { readBody } from '../../src/net/body.js';
 import { NodeHttpClient } from '../../src/net/client.js';
@@ -13,22 +13,22 @@
 import type { TaskEnvironment } from './worker-tasks.js';
 import { Worker } from './worker.js';
 
-/** What the stand-ins are to be like. */
+/** The ports, limits and callbacks of the simulated services. */
 export interface LoopbackServicesOptions {
-  /** `workers`: those of machines count up from this one. */
+  /** The workers' ports count up from `workers`. */
   readonly ports: { store: number; cloud: number; api: number; cluster: number; workers: number };
   readonly machineTypes: readonly MachineType[];
-  /** Machines that may be rented of each type, zone and price model. */
+  /** The most machines of each combination of type, zone and price model. */
   readonly capacity: number;
   readonly storeLimits: StoreLimits;
-  /** The requests to the cloud that the settings allow, per second. */
+  /** The requests per second to the cloud that the controller's settings allow. */
   readonly cloudRequestRate: number;
   readonly taskEnvironment: TaskEnvironment;
   readonly onMachineBooted?: (machine: RentedMachine) => void;
   readonly onMachineEnded?: (machine: RentedMachine) => void;
 }
 
-/** A worker and the server that takes its requests. */
+/** A worker and its HTTP server. */
 export interface ServedWorker {
   readonly worker: Worker;
   readonly server: http.Server;
@@ -37,7 +37,7 @@
 const HEARTBEAT_INTERVAL_MS = 3000;
 const LEASE_MS = 24_000;
 const LIST_LAG_MS = 3000;
-/** Longer than any pause between the requests of a controller. */
+/** Longer than any pause between two requests of a controller. */
 const KEEP_ALIVE_TIMEOUT_MS = 120_000;
 
 const realTime: TimeSource = {
@@ -53,14 +53,14 @@
   response: http.ServerResponse,
 ): Promise<void> {
   const body = await readBody(request, MAX_BODY);
-  const { status, body: answered } = await handler(
+  const { status, body: responseBody } = await handler(
     request.method ?? 'GET',
     request.url ?? '/',
     body && body.length > 0 ? decode(body) : undefined,
     'node-0',
   );
   response.writeHead(status, { 'content-type': 'application/cbor' });
-  response.end(encode(answered ?? {}));
+  response.end(encode(responseBody ?? {}));
 }
 
 function serve(port: number, handler: RequestHandler): http.Server {
@@ -76,11 +76,11 @@
   return server.listen(port, '127.0.0.1');
 }
 
-/** State service, cloud and workers. */
+/** The store, the cloud and the workers as HTTP servers. */
 export class LoopbackServices {
   readonly store: Store;
   readonly cloud: Cloud;
-  /** The workers that are up, by the ids of their machines. */
+  /** The running workers by machine id. */
   readonly workers = new Map<string, ServedWorker>();
   private readonly client = new NodeHttpClient(4000, 4, 4);
 
@@ -93,8 +93,8 @@
       machineTypes,
       listLagMs: LIST_LAG_MS,
       lifecycle: {
-        onBoot: (machine) => this.boot(machine),
-        onEnd: (machine) => this.end(machine),
+        onBoot: (machine) => this.startWorker(machine),
+        onEnd: (machine) => this.endWorker(machine),
       },
       addressOf: (n) => `127.0.0.1:${ports.workers + n}`,
     });
@@ -103,9 +103,9 @@
     serve(ports.cloud, (method, path, body) => this.cloud.handle(method, path, body));
   }
 
-  /** The settings file of the controller that these stand-ins are for. */
+  /** The settings file of the controller that uses these services. */
   settingsFile(): object {
-    const { ports, storeLimits: state, machineTypes, cloudRequestRate: cloudRate } = this.options;
+    const { ports, storeLimits, machineTypes, cloudRequestRate } = this.options;
     const file = settingsFile(0, [...new Set(machineTypes.flatMap(({ zones }) => zones))]);
     return {
       ...file,
@@ -118,23 +118,23 @@
         nodes: 1,
         teams: [{ name: 'vision', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }],
         state: {
-          rps: state.requestRate,
-          write_rps: state.writeRate,
-          value_kb: state.valueBytes / 1024,
-          txn_ops: state.transactionOps,
+          rps: storeLimits.requestRate,
+          write_rps: storeLimits.writeRate,
+          value_kb: storeLimits.valueBytes / 1024,
+          txn_ops: storeLimits.transactionOps,
         },
-        cloud: { rps: cloudRate, list_lag_s: LIST_LAG_MS / 1000 },
+        cloud: { rps: cloudRequestRate, list_lag_s: LIST_LAG_MS / 1000 },
       },
     };
   }
 
-  /** Ends all workers, so that nothing is sent any more. */
+  /** Kills all workers, so that they send nothing more. */
   killWorkers(): void {
     for (const { worker } of this.workers.values()) worker.kill();
   }
 
-  private boot(machine: RentedMachine): void {
-    const { ports, taskEnvironment: tasks } = this.options;
+  private startWorker(machine: RentedMachine): void {
+    const { ports, taskEnvironment } = this.options;
     const worker = new Worker({
       machine,
       cpus: this.cloud.machineType(machine.machineType)?.cpus ?? 0,
@@ -143,7 +143,7 @@
       clock: systemClock,
       random: Math.random,
       times: { heartbeatMs: HEARTBEAT_INTERVAL_MS, leaseMs: LEASE_MS },
-      taskEnvironment: tasks,
+      taskEnvironment,
     });
     const port = Number(machine.address.split(':')[1]);
     const server = serve(port, (method, path, body) => worker.handle(method, path, body));
@@ -151,10 +151,10 @@
     this.options.onMachineBooted?.(machine);
   }
 
-  private end(machine: RentedMachine): void {
-    const served = this.workers.get(machine.id);
-    served?.worker.kill();
-    served?.server.close();
+  private endWorker(machine: RentedMachine): void {
+    const servedWorker = this.workers.get(machine.id);
+    servedWorker?.worker.kill();
+    servedWorker?.server.close();
     this.workers.delete(machine.id);
     this.options.onMachineEnded?.(machine);
   }
--- a/test/standin/machine-fleet.ts
+++ b/test/standin/machine-fleet.ts
@@ -1,4 +1,4 @@
-/** The rented machines of a world and the workers on them, and what befalls them. */
+/** The rented machines of a simulated cluster with their workers, and the faults of machines. */
 import type { Random } from '../../src/units/index.js';
 import { ProcessClock, type VirtualTime } from './clock.js';
 import { Cloud, type RentedMachine } from './cloud.js';
@@ -8,7 +8,7 @@
 import type { TaskEnvironment } from './worker-tasks.js';
 import { Worker } from './worker.js';
 
-/** What machines need of the world around them. */
+/** The parts of the simulated cluster that machines use. */
 export interface MachineFleetDependencies {
   readonly time: VirtualTime;
   readonly random: Random;
@@ -27,13 +27,13 @@
 const MAX_CLOCK_DRIFT = 0.00025;
 const MAX_MACHINES_PER_RENTAL = 50;
 
-/** The address of the nth machine: as many as two bytes count. */
+/** The address of the nth machine; unique up to 65,535. */
 const addressOf = (n: number): string => `10.1.${n >> 8}.${n & 255}:9000`;
 
-/** All machines that are up, with the cloud that they are rented from. */
+/** The running machines and the cloud that they are rented from. */
 export class MachineFleet {
   readonly cloud: Cloud;
-  /** By the ids of their machines. */
+  /** The running workers by machine id. */
   readonly workers = new Map<string, WorkerOnMachine>();
 
   constructor(private readonly dependencies: MachineFleetDependencies) {
@@ -51,13 +51,13 @@
   }
 
   private startWorker(machine: RentedMachine): void {
-    const { time, random, network, settings: platform, taskEnvironment: tasks } = this.dependencies;
+    const { time, random, network, settings, taskEnvironment } = this.dependencies;
     const clock = new ProcessClock(time, (random() - 0.5) * 2 * MAX_CLOCK_DRIFT, 0);
-    const { heartbeatInterval, lease } = platform.of(0).workers;
+    const { heartbeatInterval, lease } = settings.of(0).workers;
     const worker = new Worker({
       machine,
       cpus: this.cloud.machineType(machine.machineType)?.cpus ?? 0,
-      controllers: platform.all.map(({ node, apiEndpoint }) => ({
+      controllers: settings.all.map(({ node, apiEndpoint }) => ({
         name: node,
         address: apiEndpoint,
       })),
@@ -65,7 +65,7 @@
       clock,
       random,
       times: { heartbeatMs: heartbeatInterval, leaseMs: lease },
-      taskEnvironment: tasks,
+      taskEnvironment,
     });
     this.workers.set(machine.id, { worker, machine });
     network.attach(machine.address, machine.zone, (method, path, body) =>
@@ -79,57 +79,57 @@
     this.dependencies.network.detach(machine.address);
   }
 
-  /** Rents machines before any controller asks for one. */
+  /** Rents machines without a request of a controller. */
   rent(count: number): void {
     const { zones } = this.dependencies.settings;
     this.cloud.capacityPerOffer = count;
-    for (let left = count; left > 0; left -= MAX_MACHINES_PER_RENTAL) {
-      const zone = zones[(left / MAX_MACHINES_PER_RENTAL) % zones.length] ?? '';
+    for (let remaining = count; remaining > 0; remaining -= MAX_MACHINES_PER_RENTAL) {
+      const zone = zones[(remaining / MAX_MACHINES_PER_RENTAL) % zones.length] ?? '';
       this.cloud.handle('POST', '/machines', {
-        hire: `given-${left}`,
+        hire: `given-${remaining}`,
         build: machineTypes[0]?.name,
         hall: zone,
         loaners: true,
-        how_many: Math.min(MAX_MACHINES_PER_RENTAL, left),
+        how_many: Math.min(MAX_MACHINES_PER_RENTAL, remaining),
       });
     }
   }
 
-  /** A hanging machine neither does nor answers anything. */
+  /** Makes a machine hang, or resumes it. A hung machine runs nothing and doesn't respond. */
   setHung(id: string, isHung: boolean): void {
-    const running = this.workers.get(id);
-    if (!running) return;
-    running.worker.isHung = isHung;
-    this.dependencies.network.setHung(running.machine.address, isHung);
+    const workerOnMachine = this.workers.get(id);
+    if (!workerOnMachine) return;
+    workerOnMachine.worker.isHung = isHung;
+    this.dependencies.network.setHung(workerOnMachine.machine.address, isHung);
   }
 
-  /** Its worker is gone and back at once, with nothing of what it knew. */
+  /** Restarts a worker at once, without any of its state. */
   restartWorker(id: string): void {
     this.workers.get(id)?.worker.restart();
   }
 
-  /** Its heartbeats arrive, but answers and commands don't reach it. */
+  /** Drops responses and commands to a machine, while its heartbeats still arrive. */
   setIncomingDropped(id: string, isDropped: boolean): void {
-    const running = this.workers.get(id);
-    if (!running) return;
+    const workerOnMachine = this.workers.get(id);
+    if (!workerOnMachine) return;
     this.dependencies.network.setIncomingDropped(id, isDropped);
-    this.dependencies.network.setIncomingDropped(running.machine.address, isDropped);
+    this.dependencies.network.setIncomingDropped(workerOnMachine.machine.address, isDropped);
   }
 
-  /** Its heartbeats reach no controller, while commands still reach it. */
+  /** Blocks a machine's heartbeats to all controllers, while commands still reach it. */
   setHeartbeatsBlocked(id: string, isBlocked: boolean): void {
-    const { network, settings: platform } = this.dependencies;
-    const controllers = new Set<string>(platform.all.map(({ apiEndpoint }) => apiEndpoint));
-    if (isBlocked) network.isolate(id, (address) => controllers.has(address), false);
+    const { network, settings } = this.dependencies;
+    const apiEndpoints = new Set<string>(settings.all.map(({ apiEndpoint }) => apiEndpoint));
+    if (isBlocked) network.isolate(id, (address) => apiEndpoints.has(address), false);
     else network.reconnect(id);
   }
 
-  /** The cloud gives notice that it takes a machine back, and does so. */
+  /** Gives a machine a reclaim notice, and ends it after `noticeMs`. */
   reclaim(id: string, noticeMs: number): void {
-    const running = this.workers.get(id);
-    if (!running) return;
+    const workerOnMachine = this.workers.get(id);
+    if (!workerOnMachine) return;
     const { time } = this.dependencies;
-    running.worker.reclaimedAt = time.now + noticeMs;
+    workerOnMachine.worker.reclaimedAt = time.now + noticeMs;
     time.after(noticeMs, () => this.cloud.end(id));
   }
 }
--- a/test/standin/machine-types.ts
+++ b/test/standin/machine-types.ts
@@ -1,7 +1,7 @@
-/** What the stand-in cloud offers in the tests that bring no offer of their own. */
+/** The machine types that the simulated cloud offers by default. */
 import type { MachineType } from '../../src/wire/index.js';
 
-/** One type, in every zone. */
+/** One type, available in every zone. */
 export const machineTypes: readonly MachineType[] = [
   {
     name: 'small',
--- a/test/standin/network-faults.ts
+++ b/test/standin/network-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of a world's network that concern its controllers and the state service. */
+/** Network faults that affect the controllers and the store. */
 import type { Random } from '../../src/units/index.js';
 import type { Network } from './network.js';
 import {
@@ -8,14 +8,14 @@
   type ClusterSettings,
 } from './cluster-settings.js';
 
-/** What faults need of the world around them. */
+/** The parts of the simulated cluster that network faults use. */
 export interface NetworkFaultsDependencies {
   readonly random: Random;
   readonly network: Network;
   readonly settings: ClusterSettings;
 }
 
-/** The faults. Each lasts until it is switched off. */
+/** Injects network faults. Each lasts until it is switched off. */
 export class NetworkFaults {
   private readonly apiEndpoints: readonly string[];
 
@@ -23,44 +23,44 @@
     this.apiEndpoints = dependencies.settings.all.map(({ apiEndpoint }) => apiEndpoint);
   }
 
-  /** A controller loses the state service and the other controllers, but not workers and users. */
-  isolate(controller: number, isRefused: boolean): void {
-    const { network, settings: platform } = this.dependencies;
-    const isolated = platform.of(controller);
+  /** Cuts a controller off from the store and the other controllers, but not from workers and users. */
+  isolate(controller: number, refusesConnections: boolean): void {
+    const { network, settings } = this.dependencies;
+    const isolated = settings.of(controller);
     const clusterEndpoints = new Set<string>(
-      platform.all.map(({ clusterEndpoint }) => clusterEndpoint),
+      settings.all.map(({ clusterEndpoint }) => clusterEndpoint),
     );
-    for (const other of platform.all) {
-      const isCutFrom =
+    for (const other of settings.all) {
+      const isUnreachable =
         other === isolated
           ? (address: string) => address === STORE_ADDRESS || clusterEndpoints.has(address)
           : (address: string) => address === isolated.clusterEndpoint;
-      network.isolate(other.node, isCutFrom, isRefused);
+      network.isolate(other.node, isUnreachable, refusesConnections);
     }
   }
 
-  /** Ends the isolation of any controller. */
+  /** Ends the isolation of all controllers. */
   reconnect(): void {
     for (const { node } of this.dependencies.settings.all)
       this.dependencies.network.reconnect(node);
   }
 
-  /** Connections between controllers are refused. */
+  /** Sets whether connections between controllers are refused. */
   setPeerConnectionsRefused(isRefused: boolean): void {
-    for (const node of CONTROLLERS) {
-      const { clusterEndpoint } = this.dependencies.settings.of(node);
+    for (const controller of CONTROLLERS) {
+      const { clusterEndpoint } = this.dependencies.settings.of(controller);
       this.dependencies.network.setConnectionsRefused(clusterEndpoint, isRefused);
     }
   }
 
-  /** Requests to the state service, and their answers, take up to so many milliseconds longer. */
+  /** Delays each request to the store, and each response, by up to `maxDelayMs`. */
   setStoreDelay(maxDelayMs: number): void {
     const { network, random } = this.dependencies;
     network.extraDelayMs =
       maxDelayMs <= 0 ? undefined : (to) => (to === STORE_ADDRESS ? random() * maxDelayMs : 0);
   }
 
-  /** Such a share of the transactions gets no answer and is carried out after newer ones. */
+  /** Sets the share of transactions that get no response and are carried out late, after newer ones. */
   setDelayedWriteShare(share: number): void {
     const { network, random } = this.dependencies;
     network.lateDeliveryMs =
@@ -69,11 +69,14 @@
         : (path) => (path === '/multi' && random() < share ? 2000 + random() * 10_000 : undefined);
   }
 
-  /** Of such a share of the messages to controllers and workers a copy arrives late, at any controller. */
+  /**
+   * Sets the share of the requests to controllers and workers that arrive a second time, late. The copy of a
+   * request to a controller arrives at a random controller.
+   */
   setDuplicateShare(share: number): void {
-    const { network, random, settings: platform } = this.dependencies;
+    const { network, random, settings } = this.dependencies;
     const { apiEndpoints } = this;
-    const { lease } = platform.of(0).workers;
+    const { lease } = settings.of(0).workers;
     const isExempt = (path: string, to: string): boolean =>
       to === STORE_ADDRESS || to === CLOUD_ADDRESS || path === '/up';
     network.duplicateDelivery =
@@ -81,9 +84,9 @@
         ? undefined
         : (path, to) => {
             if (isExempt(path, to) || random() >= share) return undefined;
-            const anyController = apiEndpoints[Math.floor(random() * apiEndpoints.length)] ?? to;
+            const randomController = apiEndpoints[Math.floor(random() * apiEndpoints.length)] ?? to;
             return {
-              to: apiEndpoints.includes(to) ? anyController : to,
+              to: apiEndpoints.includes(to) ? randomController : to,
               afterMs: 1000 + random() * 2 * lease,
             };
           };
--- a/test/standin/network.ts
+++ b/test/standin/network.ts
@@ -1,22 +1,22 @@
 /**
- * The network between hosts: delays, cuts that hold messages back and deliver them late, lost requests and
- * answers. A message under way is delivered whatever becomes of its sender.
+ * A simulated network: delays, partitions that hold requests back and deliver them late, lost requests and lost
+ * responses. A request in flight is delivered even if its sender dies meanwhile.
  */
 import type { HttpClient, Outcome, Request } from '../../src/net/http.js';
 import type { Random } from '../../src/units/index.js';
 import { decode, encode } from '../../src/wire/index.js';
 import type { ProcessClock, VirtualTime } from './clock.js';
 
-/** The zone of all that belongs to none: users, the balancer, the cloud, the state service. */
+/** The zone of hosts outside all zones: users, the load balancer, the cloud, the store. */
 export const NO_ZONE = '.region';
 
-/** What a host answers to a request. */
+/** A host's response to a request. */
 export interface HostResponse {
   readonly status: number;
   readonly body?: unknown;
 }
 
-/** What a host does with a request; `from` names the sender. */
+/** Handles the requests to a host; `from` names the sender. */
 export type RequestHandler = (
   method: string,
   path: string,
@@ -27,38 +27,38 @@
 interface Host {
   readonly zone: string;
   readonly handler: RequestHandler;
-  /** A host that hangs neither answers nor refuses: what is sent to it waits until it goes on. */
+  /** A hung host neither responds nor refuses connections: requests to it wait until it resumes. */
   isHung: boolean;
 }
 
-/** One request under way. */
+/** A request that was sent and has no outcome yet. */
 interface InFlightRequest {
   readonly from: string;
   readonly fromZone: string;
   readonly to: string;
   readonly request: Request;
-  /** The body as it arrives. */
+  /** The body as the receiver decodes it. */
   readonly body: unknown;
-  /** Ends it for its sender; only the first outcome counts. */
+  /** Passes the outcome to the sender; only the first one counts. */
   readonly settle: (outcome: Outcome) => void;
 }
 
-/** Where the further copy of a request goes, and after how many milliseconds. */
+/** Where and after which delay a copy of a request arrives. */
 export interface DuplicateDelivery {
   readonly to: string;
   readonly afterMs: number;
 }
 
 interface Isolation {
-  readonly isCutFrom: (address: string) => boolean;
-  /** Whether connections are refused, or else stay without an answer. */
-  readonly isRefused: boolean;
+  readonly isUnreachable: (address: string) => boolean;
+  /** Whether connections to these addresses are refused; otherwise they time out. */
+  readonly isRefusing: boolean;
 }
 
-/** The share of requests into a cut that find an open connection, and so are delivered after it. */
+/** The share of requests across a partition that use an open connection, and so are delivered once it heals. */
 const OPEN_CONNECTION_SHARE = 0.6;
 
-/** What arrives of a body: frames of bytes as they are, and all else by way of CBOR. */
+/** The body as it arrives: a copy of a buffer, and anything else encoded to CBOR and decoded again. */
 function serializedCopy(body: unknown): unknown {
   if (body === undefined) return undefined;
   return Buffer.isBuffer(body) ? Buffer.from(body) : decode(encode(body));
@@ -66,33 +66,36 @@
 
 const undelivered = (reason: string): Outcome => ({ kind: 'undelivered', reason });
 
-const setMembership = (set: Set<string>, member: string, isIn: boolean): void => {
-  if (isIn) set.add(member);
+const setMembership = (set: Set<string>, member: string, isMember: boolean): void => {
+  if (isMember) set.add(member);
   else set.delete(member);
 };
 
-/** The network. */
+/** The simulated network between all hosts. */
 export class Network {
   private readonly hosts = new Map<string, Host>();
-  /** Pairs of zones, `from|to`. */
+  /** The partitioned pairs of zones, as `from|to`. */
   private readonly partitions = new Set<string>();
-  private heldRequests: { readonly call: InFlightRequest; readonly deliver: () => void }[] = [];
-  private heldPath: string | undefined;
+  private heldRequests: { readonly inFlight: InFlightRequest; readonly deliver: () => void }[] = [];
+  private heldRequestPath: string | undefined;
   private readonly hostsDroppingIncoming = new Set<string>();
   private readonly isolations = new Map<string, Isolation>();
-  private readonly refusingAddresses = new Set<string>();
+  private readonly refusing = new Set<string>();
 
-  /** The share of requests, and of answers, that are lost. */
+  /** The share of requests, and of responses, that are lost. */
   lossShare = 0;
-  /** Which requests arrive a second time; undefined: this one does not. */
+  /** Returns the second delivery of a request, or undefined if it arrives only once. */
   duplicateDelivery: ((path: string, to: string) => DuplicateDelivery | undefined) | undefined;
-  /** By how many milliseconds requests to an address, and their answers, take longer. */
+  /** Returns the extra delay of a request to an address, and of its response. */
   extraDelayMs: ((to: string) => number) | undefined;
-  /** Requests that get no answer and arrive so many milliseconds late, after newer ones; undefined: not this one. */
+  /**
+   * Returns the delay of a request that arrives late, after newer ones, and gets no response; undefined for a
+   * request that is delivered normally.
+   */
   lateDeliveryMs: ((path: string) => number | undefined) | undefined;
-  /** Requests that are carried out, but whose answer is lost. */
+  /** Whether a request is carried out but its response is lost. */
   losesResponse: ((path: string) => boolean) | undefined;
-  /** Called before each request leaves; a test may end the sender here. */
+  /** Called before each request is sent; a test may kill the sender here. */
   onSend: ((from: string, to: string, path: string) => void) | undefined;
 
   constructor(
@@ -114,21 +117,25 @@
     if (!isHung) this.releaseHeldRequests();
   }
 
-  /** Cuts two zones off from each other, in both directions. */
-  setPartitioned(zone: string, other: string, isCut: boolean): void {
+  /** Partitions two zones from each other in both directions, or heals the partition. */
+  setPartitioned(zone: string, other: string, isPartitioned: boolean): void {
     for (const key of [`${zone}|${other}`, `${other}|${zone}`])
-      setMembership(this.partitions, key, isCut);
-    if (!isCut) this.releaseHeldRequests();
+      setMembership(this.partitions, key, isPartitioned);
+    if (!isPartitioned) this.releaseHeldRequests();
   }
 
-  /** Drops all that is sent to a host, answers too, while what it sends arrives. */
+  /** Drops all requests and responses to a host, while what it sends arrives. */
   setIncomingDropped(host: string, isDropped: boolean): void {
     setMembership(this.hostsDroppingIncoming, host, isDropped);
   }
 
-  /** Cuts a host off from some addresses. */
-  isolate(host: string, isCutFrom: (address: string) => boolean, isRefused: boolean): void {
-    this.isolations.set(host, { isCutFrom, isRefused });
+  /** Cuts a host off from the addresses for which `isUnreachable` is true. */
+  isolate(
+    host: string,
+    isUnreachable: (address: string) => boolean,
+    refusesConnections: boolean,
+  ): void {
+    this.isolations.set(host, { isUnreachable, isRefusing: refusesConnections });
   }
 
   /** Ends the isolation of a host. */
@@ -139,16 +146,16 @@
 
   /** Refuses connections to an address, as a packet filter does. */
   setConnectionsRefused(address: string, isRefused: boolean): void {
-    setMembership(this.refusingAddresses, address, isRefused);
+    setMembership(this.refusing, address, isRefused);
   }
 
-  /** Holds back requests to a path until it is called with another path or undefined. */
+  /** Holds back requests to a path. A call with undefined ends that and releases them. */
   holdRequests(path: string | undefined): void {
-    this.heldPath = path;
+    this.heldRequestPath = path;
     if (path === undefined) this.releaseHeldRequests();
   }
 
-  /** A client for one process. No outcome comes back to a process that is dead. */
+  /** Creates the HTTP client of one process. A dead process gets no outcomes. */
   client(from: string, zone: string, clock: ProcessClock): HttpClient {
     return {
       send: (request) =>
@@ -160,14 +167,14 @@
     };
   }
 
-  /** Sends a request. `resolve` is called once with its outcome, after the timeout at the latest. */
+  /** Sends a request. Calls `resolve` once with its outcome, after the timeout at the latest. */
   send(from: string, zone: string, request: Request, resolve: (outcome: Outcome) => void): void {
     const to = request.endpoint;
-    if (this.isRefused(from, to)) {
+    if (this.isConnectionRefused(from, to)) {
       this.time.after(1, () => resolve(undelivered('refused')));
       return;
     }
-    // A new connection into a cut is not made; what goes over an open one is delivered after the cut.
+    // Across a partition no new connection is made; requests over an open one arrive once the partition heals.
     const isConnectionOpen = this.random() < OPEN_CONNECTION_SHARE;
     let isSettled = false;
     let wasSent = false;
@@ -178,7 +185,10 @@
       resolve(outcome);
     };
     const timer = this.time.after(request.timeout, () =>
-      settle({ kind: wasSent ? 'unknown' : 'undelivered', reason: 'no answer in time' }),
+      settle({
+        kind: wasSent ? 'unknown' : 'undelivered',
+        reason: 'no response before the timeout',
+      }),
     );
     if (this.isBlocked(from, zone, to) && !isConnectionOpen) return;
     wasSent = true;
@@ -186,35 +196,35 @@
     this.dispatch({ from, fromZone: zone, to, request, body, settle });
   }
 
-  private dispatch(call: InFlightRequest): void {
+  private dispatch(inFlight: InFlightRequest): void {
     const { to, request } = call;
     if (this.random() < this.lossShare || this.hostsDroppingIncoming.has(to)) return;
-    const lateness = this.lateDeliveryMs?.(request.path);
-    if (lateness !== undefined) {
-      this.time.after(lateness, () => void this.handle(call, to));
+    const delayMs = this.lateDeliveryMs?.(request.path);
+    if (delayMs !== undefined) {
+      this.time.after(delayMs, () => void this.handle(inFlight, to));
       return;
     }
-    const deliver = (): void => this.deliverRequest(call);
-    const delay = this.extraDelayMs?.(to) ?? 0;
-    if (delay > 0) this.time.after(delay, () => this.forward(call, deliver));
-    else if (request.path === this.heldPath) this.heldRequests.push({ call, deliver });
-    else this.forward(call, deliver);
+    const deliver = (): void => this.deliverRequest(inFlight);
+    const extraDelayMs = this.extraDelayMs?.(to) ?? 0;
+    if (extraDelayMs > 0) this.time.after(extraDelayMs, () => this.forward(inFlight, deliver));
+    else if (request.path === this.heldRequestPath) this.heldRequests.push({ inFlight, deliver });
+    else this.forward(inFlight, deliver);
   }
 
-  private forward(call: InFlightRequest, deliver: () => void): void {
-    if (this.isBlocked(call.from, call.fromZone, call.to))
-      this.heldRequests.push({ call, deliver });
+  private forward(inFlight: InFlightRequest, deliver: () => void): void {
+    if (this.isBlocked(inFlight.from, inFlight.fromZone, inFlight.to))
+      this.heldRequests.push({ inFlight, deliver });
     else this.time.after(1 + this.random() * 4, deliver);
   }
 
-  /** Sends on what was held back; what is still blocked is held again. */
+  /** Forwards all held requests; those that are still blocked are held again. */
   private releaseHeldRequests(): void {
-    const { heldRequests: held } = this;
+    const { heldRequests } = this;
     this.heldRequests = [];
-    for (const { call, deliver } of held) this.forward(call, deliver);
+    for (const { inFlight, deliver } of heldRequests) this.forward(inFlight, deliver);
   }
 
-  /** The answer of the host at an address to a call; undefined if none is there. */
+  /** Passes a request to the host at an address; undefined if there is none. */
   private handle(
     { from, request, body }: InFlightRequest,
     address: string,
@@ -223,42 +233,41 @@
     return handler && Promise.resolve(handler(request.method, request.path, body, from));
   }
 
-  private deliverRequest(call: InFlightRequest): void {
+  private deliverRequest(inFlight: InFlightRequest): void {
     const { from, to, request } = call;
     const duplicate = this.duplicateDelivery?.(request.path, to);
-    if (duplicate) this.time.after(duplicate.afterMs, () => void this.handle(call, duplicate.to));
-    const answered = this.handle(call, to);
-    if (!answered) {
-      call.settle(undelivered('refused'));
+    if (duplicate)
+      this.time.after(duplicate.afterMs, () => void this.handle(inFlight, duplicate.to));
+    const response = this.handle(inFlight, to);
+    if (!response) {
+      inFlight.settle(undelivered('refused'));
       return;
     }
-    void answered.then((answer) => {
+    void response.then((hostResponse) => {
       if (this.random() < this.lossShare || this.hostsDroppingIncoming.has(from)) return;
       if (this.losesResponse?.(request.path)) return;
-      this.sendResponse(call, answer);
+      this.sendResponse(inFlight, hostResponse);
     });
   }
 
-  private sendResponse(call: InFlightRequest, { status, body }: HostResponse): void {
-    const arrived = serializedCopy(body);
-    const delay = 1 + this.random() * 4 + (this.extraDelayMs?.(call.to) ?? 0);
+  private sendResponse(inFlight: InFlightRequest, { status, body }: HostResponse): void {
+    const receivedBody = serializedCopy(body);
+    const delay = 1 + this.random() * 4 + (this.extraDelayMs?.(inFlight.to) ?? 0);
     this.time.after(delay, () => {
-      // A cut blocks answers as well: the sender has given up long before it is over.
-      if (this.isBlocked(call.from, call.fromZone, call.to)) return;
-      call.settle({ kind: 'answer', status, body: arrived });
+      // A partition blocks responses too: the sender times out long before the partition heals.
+      if (this.isBlocked(inFlight.from, inFlight.fromZone, inFlight.to)) return;
+      inFlight.settle({ kind: 'answer', status, body: receivedBody });
     });
   }
 
   private isBlocked(from: string, fromZone: string, to: string): boolean {
-    if (this.isolations.get(from)?.isCutFrom(to)) return true;
+    if (this.isolations.get(from)?.isUnreachable(to)) return true;
     const host = this.hosts.get(to);
     return host !== undefined && (host.isHung || this.partitions.has(`${fromZone}|${host.zone}`));
   }
 
-  private isRefused(from: string, to: string): boolean {
+  private isConnectionRefused(from: string, to: string): boolean {
     const isolation = this.isolations.get(from);
-    return (
-      this.refusingAddresses.has(to) || (isolation?.isRefused === true && isolation.isCutFrom(to))
-    );
+    return this.refusing.has(to) || (isolation?.isRefusing === true && isolation.isUnreachable(to));
   }
 }
--- a/test/standin/random-faults.ts
+++ b/test/standin/random-faults.ts
@@ -1,12 +1,12 @@
 /**
- * What goes wrong on a bad day. The table's order and the order in which each mishap draws from the cluster's
- * randomness decide what a seed plays, so they stay as they are: a new mishap goes to the end.
+ * The faults that the randomised scenario injects. The order of the table, and the order in which each fault draws
+ * random numbers, determine what a seed does, so neither may change: append new faults at the end.
  */
 import type { Random } from '../../src/units/index.js';
 import { CONTROLLERS } from './cluster-settings.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** The share of messages that are duplicated on a bad day at any time. */
+/** The share of messages that are duplicated throughout the scenario. */
 export const BASE_DUPLICATE_SHARE = 0.02;
 
 /** A random element of a list that is not empty. */
@@ -19,11 +19,11 @@
   ['a', 'c'],
 ] as const;
 
-/** One step of a day: what was drawn for whatever mishap comes. */
+/** One step of the scenario, with the random choices that are drawn for any fault. */
 class FaultStep {
   private readonly controller: number;
   readonly zones: readonly [string, string];
-  /** The machines that are up. */
+  /** The ids of the running machines. */
   readonly machines: readonly string[];
 
   constructor(readonly cluster: SimulatedCluster) {
@@ -32,12 +32,12 @@
     this.machines = [...cluster.workers.keys()];
   }
 
-  /** Whether something happens that has such a probability. */
+  /** Draws true with a probability. */
   chance(probability: number): boolean {
     return this.cluster.random() < probability;
   }
 
-  /** A time between the shortest and so much more. */
+  /** Draws a time between `minMs` and `minMs + rangeMs`. */
   randomTime(minMs: number, rangeMs: number): number {
     return minMs + this.cluster.random() * rangeMs;
   }
@@ -46,46 +46,46 @@
     this.cluster.time.after(delay, run);
   }
 
-  /** A random node. */
+  /** The random controller of this step. */
   anyController(): number {
     return this.controller;
   }
 
-  /** With such a probability the leader, if there is one, else a random node. */
+  /** The leader with a probability, if there is one; otherwise the random controller of this step. */
   leaderOrAnyController(probability: number): number {
     return this.chance(probability) ? (this.cluster.leader() ?? this.controller) : this.controller;
   }
 
-  /** Does something to a random machine, if there is any. */
+  /** Applies an action to a random machine, if there is any. */
   withRandomMachine(action: (id: string) => void): void {
     if (this.machines.length > 0) action(pickRandom(this.cluster.random, this.machines));
   }
 }
 
 interface RandomFault {
-  /** How many of the slots it has, by one of which each step is decided. */
+  /** The probability of this fault in a step is its weight divided by `TOTAL_WEIGHT`. */
   readonly weight: number;
   readonly inject: (cluster: SimulatedCluster, step: FaultStep) => void;
 }
 
-/** Of these slots the mishaps leave some free: then nothing happens. */
+/** More than the sum of all weights: the rest is the probability that a step injects no fault. */
 const TOTAL_WEIGHT = 34;
 
 const killOneController: RandomFault = {
   weight: 2,
   inject: (cluster, step) => {
-    const node = step.leaderOrAnyController(0.6);
-    cluster.killController(node);
-    step.after(step.chance(0.4) ? 300 : 6000, () => cluster.startController(node));
+    const controller = step.leaderOrAnyController(0.6);
+    cluster.killController(controller);
+    step.after(step.chance(0.4) ? 300 : 6000, () => cluster.startController(controller));
   },
 };
 
 const killAllControllers: RandomFault = {
   weight: 1,
   inject: (cluster, step) => {
-    for (const node of CONTROLLERS) cluster.killController(node);
-    for (const node of CONTROLLERS)
-      step.after(step.randomTime(1000, 6000), () => cluster.startController(node));
+    for (const controller of CONTROLLERS) cluster.killController(controller);
+    for (const controller of CONTROLLERS)
+      step.after(step.randomTime(1000, 6000), () => cluster.startController(controller));
   },
 };
 
@@ -111,9 +111,11 @@
 const storeOutageForOneController: RandomFault = {
   weight: 1,
   inject: (cluster, step) => {
-    const name = `node-${step.anyController()}`;
-    cluster.store.setOutageFor(name, true);
-    step.after(step.randomTime(4000, 20_000), () => cluster.store.setOutageFor(name, false));
+    const controllerId = `node-${step.anyController()}`;
+    cluster.store.setOutageFor(controllerId, true);
+    step.after(step.randomTime(4000, 20_000), () =>
+      cluster.store.setOutageFor(controllerId, false),
+    );
   },
 };
 
@@ -177,15 +179,15 @@
   },
 };
 
-/** All are back within a fraction of a second, and end again in the middle of the election that follows. */
+/** All controllers restart within half a second, and are killed again during the election that follows. */
 const killAllControllersTwice: RandomFault = {
   weight: 1,
   inject: (cluster, step) => {
-    for (const node of CONTROLLERS) cluster.killController(node);
-    for (const node of CONTROLLERS) {
-      step.after(step.randomTime(50, 450), () => cluster.startController(node));
-      step.after(step.randomTime(500, 700), () => cluster.killController(node));
-      step.after(step.randomTime(1200, 500), () => cluster.startController(node));
+    for (const controller of CONTROLLERS) cluster.killController(controller);
+    for (const controller of CONTROLLERS) {
+      step.after(step.randomTime(50, 450), () => cluster.startController(controller));
+      step.after(step.randomTime(500, 700), () => cluster.killController(controller));
+      step.after(step.randomTime(1200, 500), () => cluster.startController(controller));
     }
   },
 };
@@ -193,9 +195,9 @@
 const freezeController: RandomFault = {
   weight: 2,
   inject: (cluster, step) => {
-    const node = step.leaderOrAnyController(0.7);
-    cluster.setControllerFrozen(node, true);
-    step.after(step.randomTime(200, 15_000), () => cluster.setControllerFrozen(node, false));
+    const controller = step.leaderOrAnyController(0.7);
+    cluster.setControllerFrozen(controller, true);
+    step.after(step.randomTime(200, 15_000), () => cluster.setControllerFrozen(controller, false));
   },
 };
 
@@ -240,12 +242,12 @@
   },
 };
 
-/** The store refuses the leader alone; jobs are cancelled; then it is out for all, for long. */
+/** The store refuses only the leader, jobs are cancelled, and then a long outage of the store affects all. */
 const refuseLeaderBeforeOutage: RandomFault = {
   weight: 1,
   inject: (cluster, step) => {
-    const name = `node-${cluster.leader() ?? step.anyController()}`;
-    cluster.store.setOutageFor(name, true);
+    const controllerId = `node-${cluster.leader() ?? step.anyController()}`;
+    cluster.store.setOutageFor(controllerId, true);
     step.after(step.randomTime(0, 7000), () =>
       cluster.cancelRunningJobs(6, step.chance(0.3) ? 20_000 : 0),
     );
@@ -254,7 +256,9 @@
       cluster.store.setOutage(true);
       step.after(step.randomTime(24_000, 30_000), () => cluster.store.setOutage(false));
     });
-    step.after(step.randomTime(4000, 20_000), () => cluster.store.setOutageFor(name, false));
+    step.after(step.randomTime(4000, 20_000), () =>
+      cluster.store.setOutageFor(controllerId, false),
+    );
   },
 };
 
@@ -288,15 +292,15 @@
   sendUnexpectedRequests,
 ];
 
-/** Draws a mishap, and lets it happen unless the draw falls on a free slot. */
+/** Draws a fault by its weight and injects it, or does nothing if the draw is above the sum of the weights. */
 export function injectRandomFault(cluster: SimulatedCluster): void {
   const step = new FaultStep(cluster);
   let draw = Math.floor(cluster.random() * TOTAL_WEIGHT);
-  for (const { weight: slots, inject: happen } of RANDOM_FAULTS) {
-    if (draw < slots) {
-      happen(cluster, step);
+  for (const { weight, inject } of RANDOM_FAULTS) {
+    if (draw < weight) {
+      inject(cluster, step);
       return;
     }
-    draw -= slots;
+    draw -= weight;
   }
 }
--- a/test/standin/run-seeds.ts
+++ b/test/standin/run-seeds.ts
@@ -1,27 +1,27 @@
 /**
- * Plays bad days by hand, for what the few seeds of the tests do not find:
+ * Runs the randomised fault scenario with a range of seeds, to find faults that the few seeds of the tests miss:
  *
- *     node hunt.js FIRST LAST [gangs] [BUILD]
+ *     node run-seeds.js FIRST LAST [gangs] [BUILD]
  *
  * BUILD is the folder of an older compiled version, from which the controllers are upgraded to this one.
- * Prints the violations of each broken day. Ends with 1 if there is any.
+ * Prints the violations of each seed that fails. Exits with status 1 if any seed fails.
  */
 import { runFaultScenario, recoverAndVerify } from './fault-scenario.js';
 import { loadOlderBuild } from './older-build.js';
 
-/** Of a broken day's message, so many lines are printed. */
+/** The most lines that are printed of the message of a failed seed. */
 const MAX_PRINTED_LINES = 6;
 
-const first = Number(process.argv[2] ?? 1);
-const last = Number(process.argv[3] ?? first);
+const firstSeed = Number(process.argv[2] ?? 1);
+const lastSeed = Number(process.argv[3] ?? firstSeed);
 const withGangs = process.argv[4] === 'gangs';
-const folder = process.argv[5];
-const build = folder === undefined ? undefined : await loadOlderBuild(folder);
+const buildFolder = process.argv[5];
+const build = buildFolder === undefined ? undefined : await loadOlderBuild(buildFolder);
 let failedCount = 0;
-for (let seed = first; seed <= last; seed++) {
+for (let seed = firstSeed; seed <= lastSeed; seed++) {
   try {
     await recoverAndVerify(
-      await runFaultScenario(seed, { withGangs: withGangs, ...(build ? { build } : {}) }),
+      await runFaultScenario(seed, { withGangs, ...(build ? { build } : {}) }),
       `seed ${seed}`,
     );
   } catch (error) {
@@ -30,5 +30,5 @@
     console.log(message.split('\n').slice(0, MAX_PRINTED_LINES).join('\n'));
   }
 }
-console.log(`seeds ${first} to ${last}: ${failedCount} broken`);
+console.log(`seeds ${firstSeed} to ${lastSeed}: ${failedCount} failed`);
 process.exit(failedCount > 0 ? 1 : 0);
--- a/test/standin/simulated-cluster.ts
+++ b/test/standin/simulated-cluster.ts
@@ -77,57 +77,66 @@
     const generator = xoroshiro128plus(options.seed);
     const random = (): number => uniformFloat64(generator);
     const jobs = new Map<string, UserJob>();
-    const platform = new ClusterSettings(options);
-    const settings = platform.of(0);
+    const clusterSettings = new ClusterSettings(options);
+    const firstSettings = clusterSettings.of(0);
     const network = new Network(time, random);
     network.lossShare = options.lossShare ?? 0;
     this.random = random;
     this.jobs = jobs;
-    this.settings = platform;
+    this.settings = clusterSettings;
     this.network = network;
-    this.store = new Store(time, settings.state);
+    this.store = new Store(time, firstSettings.state);
     this.tasks = new TaskRegistry(jobs, {
-      onTaskStarted: (machine, task, others) => this.invariants.checkStart(machine, task, others),
+      onTaskStarted: (machine, task, otherMachines) =>
+        this.invariants.checkStart(machine, task, otherMachines),
       onJobCompleted: (job) => this.cancelWithProbability(job),
     });
     this.machines = new MachineFleet({
       time,
       random,
       network,
-      settings: platform,
+      settings: clusterSettings,
       taskEnvironment: this.tasks,
     });
-    this.networkFaults = new NetworkFaults({ random, network, settings: platform });
+    this.networkFaults = new NetworkFaults({ random, network, settings: clusterSettings });
     this.attachExternalServices();
     // What goes wrong inside must not stay unseen behind rules that hold.
     const log = createErrorCollectingLog(time, (line) =>
       this.invariants.violations.push(`log: ${line}`),
     );
     this.controllers = new ControllerProcesses(
-      { time, random, network, settings: platform, log },
+      { time, random, network, settings: clusterSettings, log },
       options.build ?? currentBuild,
     );
-    for (const node of CONTROLLERS) this.controllers.start(node);
+    for (const controller of CONTROLLERS) this.controllers.start(controller);
     this.users = new Users({
       time,
       random,
       network,
       loadBalancer: this.createLoadBalancer(),
-      zones: platform.zones,
+      zones: clusterSettings.zones,
       jobs,
       processOf: (node) => this.controllers.processOf(node),
       onTaskCompleted: (task) => this.tasks.onTaskCompleted(task),
       onViolation: (rule, detail) => this.invariants.reportViolation(rule, detail),
     });
     const { tasks, users, cloud, workers } = this;
-    this.invariants = new InvariantChecker({ time, settings, jobs, tasks, users, cloud, workers });
+    this.invariants = new InvariantChecker({
+      time,
+      settings: firstSettings,
+      jobs,
+      tasks,
+      users,
+      cloud,
+      workers,
+    });
     this.invariants.start();
   }
 
   private attachExternalServices(): void {
-    const { store: state, cloud } = this;
+    const { store, cloud } = this;
     this.network.attach(STORE_ADDRESS, NO_ZONE, (method, path, body, from) =>
-      state.handle(method, path, body, from),
+      store.handle(method, path, body, from),
     );
     this.network.attach(CLOUD_ADDRESS, NO_ZONE, (method, path, body) =>
       cloud.handle(method, path, body),
@@ -136,8 +145,8 @@
 
   private createLoadBalancer(): LoadBalancer {
     const clock = new ProcessClock(this.time, 0, 0);
-    return new LoadBalancer(this.time, this.random, CONTROLLERS.length, async (node) => {
-      const { apiEndpoint: endpoint } = this.settings.of(node);
+    return new LoadBalancer(this.time, this.random, CONTROLLERS.length, async (controller) => {
+      const { apiEndpoint: endpoint } = this.settings.of(controller);
       const client = this.network.client('balancer', NO_ZONE, clock);
       const outcome = await client.send({
         endpoint,
@@ -226,8 +235,8 @@
   // --- machines -------------------------------------------------------------------------------------
 
   /** Rents machines before any controller asks for one. */
-  rentMachines(count: number): void {
-    this.machines.rent(count);
+  rentMachines(machineCount: number): void {
+    this.machines.rent(machineCount);
   }
 
   /** Lets a machine hang, or go on. */
@@ -258,8 +267,8 @@
   // --- faults ---------------------------------------------------------------------------------------
 
   /** A controller loses the state service and the other controllers, but not workers and users. */
-  isolateController(controller: number, isRefused: boolean): void {
-    this.networkFaults.isolate(controller, isRefused);
+  isolateController(controller: number, refusesConnections: boolean): void {
+    this.networkFaults.isolate(controller, refusesConnections);
   }
 
   /** Ends the isolation of any controller. */
@@ -296,22 +305,22 @@
   // --- cancellations --------------------------------------------------------------------------------
 
   /** Users cancel so many running jobs at about the same time; their machines hang for so long meanwhile. */
-  cancelRunningJobs(count: number, hangMs: number): void {
-    const running = [...this.jobs].filter(
+  cancelRunningJobs(jobCount: number, hangDurationMs: number): void {
+    const runningJobs = [...this.jobs].filter(
       ([id, job]) => !isFinished(job) && !job.isCancelRequested && this.machinesOf(id).length > 0,
     );
-    const hung = new Set<string>();
-    for (const [id] of running.slice(0, count)) {
-      if (hangMs > 0) {
+    const hungMachines = new Set<string>();
+    for (const [id] of runningJobs.slice(0, jobCount)) {
+      if (hangDurationMs > 0) {
         for (const machine of this.machinesOf(id)) {
-          if (hung.size < MAX_MACHINES_HUNG_BY_CANCELLATION) hung.add(machine);
+          if (hungMachines.size < MAX_MACHINES_HUNG_BY_CANCELLATION) hungMachines.add(machine);
         }
       }
       this.time.after(this.random() * CANCELLATION_WINDOW_MS, () => this.users.cancel(id));
     }
-    for (const machine of hung) {
+    for (const machine of hungMachines) {
       this.setMachineHung(machine, true);
-      this.time.after(hangMs, () => this.setMachineHung(machine, false));
+      this.time.after(hangDurationMs, () => this.setMachineHung(machine, false));
     }
   }
 
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -122,15 +122,15 @@
   }
 
   /** While it is out nothing is carried out and no lease ends. Afterwards each lease has its full time again. */
-  setOutage(isOut: boolean): void {
-    this.isUnavailable = isOut;
-    if (isOut) return;
+  setOutage(isUnavailable: boolean): void {
+    this.isUnavailable = isUnavailable;
+    if (isUnavailable) return;
     for (const lease of this.leases.values()) lease.expiresAt = this.time.now + lease.ttlMs;
   }
 
   /** Answers 503 to one node alone, whose leases run out meanwhile. */
-  setOutageFor(controllerId: string, isOut: boolean): void {
-    if (isOut) this.refusedControllers.add(controllerId);
+  setOutageFor(controllerId: string, isUnavailable: boolean): void {
+    if (isUnavailable) this.refusedControllers.add(controllerId);
     else this.refusedControllers.delete(controllerId);
   }
 
@@ -161,9 +161,9 @@
 
   // --- leases -------------------------------------------------------------------------------------
 
-  private grantLease(ttl: number): HostResponse {
+  private grantLease(ttlMs: number): HostResponse {
     const id = this.nextLeaseId++;
-    this.leases.set(id, { ttlMs: ttl, expiresAt: this.time.now + ttl });
+    this.leases.set(id, { ttlMs: ttlMs, expiresAt: this.time.now + ttlMs });
     return { status: 200, body: { tenure: id } };
   }
 
@@ -202,13 +202,13 @@
 
   private transact({ if: conditions = [], writes = [] }: Transaction): HostResponse {
     if (!this.writeLimiter.take(writes.length, this.limits.writeRate)) return RATE_LIMITED;
-    const refusal = this.refusalReason(conditions.length, writes);
-    if (refusal !== undefined) return { status: 400, body: { error: refusal } };
-    const failed = conditions.filter(
+    const reason = this.refusalReason(conditions.length, writes);
+    if (reason !== undefined) return { status: 400, body: { error: reason } };
+    const failedConditions = conditions.filter(
       ({ key, stamp }) => (this.values.get(key)?.revision ?? 0) !== stamp,
     );
-    if (failed.length > 0) {
-      const keys = failed.map(({ key }) => key);
+    if (failedConditions.length > 0) {
+      const keys = failedConditions.map(({ key }) => key);
       return { status: 409, body: { failed: keys, ledger_rev: this.revision } };
     }
     if (writes.length > 0) this.apply(writes);
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -54,7 +54,7 @@
   /** All jobs by their ids; users add those that they submit. */
   readonly jobs: Map<string, UserJob>;
   /** The process that a controller runs as at this moment. */
-  processOf(node: number): object | undefined;
+  processOf(controller: number): object | undefined;
   onTaskCompleted(task: string): void;
   onViolation(rule: string, detail: string): void;
 }
@@ -135,19 +135,19 @@
     for (const [id, job] of this.dependencies.jobs) {
       if (job.isAccepted && this.dependencies.random() < 0.2) this.repeatRequest(id, job);
     }
-    const tooLarge = encodeJobSpec(spec({ cpus: 1000 }));
+    const unplaceable = encodeJobSpec(spec({ cpus: 1000 }));
     const incomplete: Partial<SubmissionMessage> = encodeJobSpec(spec({}));
     delete incomplete.entries;
     const suffix = String(this.jobCount).padStart(5, '0');
-    this.expectRejection({ ...tooLarge, name_id: `run-9${suffix}` }, 422);
+    this.expectRejection({ ...unplaceable, name_id: `run-9${suffix}` }, 422);
     this.expectRejection({ ...incomplete, name_id: `run-8${suffix}` }, 400);
   }
 
   /** Asks for a job that nobody submitted. */
   pollUnknownJob(): void {
     void this.sendRequest('GET', '/v1/jobs/run-999999', undefined, POLL_TIMEOUT_MS).then(
-      (answer) => {
-        if (answer?.status === 200) this.dependencies.onViolation('invented', 'run-999999');
+      (response) => {
+        if (response?.status === 200) this.dependencies.onViolation('invented', 'run-999999');
       },
     );
   }
@@ -181,21 +181,21 @@
   /** A connection, unless its process has ended or the balancer has reset it. */
   private openConnection(connection: Connection | undefined): Connection | undefined {
     if (!connection) return undefined;
-    const { controller: node, process } = connection;
+    const { controller, process } = connection;
     const isOpen =
-      this.dependencies.processOf(node) === process &&
-      !this.dependencies.loadBalancer.hasResetConnections(node);
+      this.dependencies.processOf(controller) === process &&
+      !this.dependencies.loadBalancer.hasResetConnections(controller);
     return isOpen ? connection : undefined;
   }
 
   private connect(): Connection | undefined {
-    const refused = new Set<number>();
+    const refusingControllers = new Set<number>();
     for (let attempt = 0; attempt < MAX_CONNECT_ATTEMPTS; attempt++) {
-      const node = this.dependencies.loadBalancer.chooseBackend(refused);
-      if (node === undefined) return undefined;
-      const process = this.dependencies.processOf(node);
-      if (process) return { controller: node, process };
-      refused.add(node);
+      const controller = this.dependencies.loadBalancer.chooseBackend(refusingControllers);
+      if (controller === undefined) return undefined;
+      const process = this.dependencies.processOf(controller);
+      if (process) return { controller, process };
+      refusingControllers.add(controller);
     }
     return undefined;
   }
@@ -226,16 +226,16 @@
   private submitUntilAccepted(job: UserJob): void {
     const { time } = this.dependencies;
     const body = encodeJobSpec(job.spec);
-    void this.sendRequest('POST', '/v1/jobs', body, POST_TIMEOUT_MS, job).then((answer) => {
-      if (answer?.status === 201 || answer?.status === 200) {
+    void this.sendRequest('POST', '/v1/jobs', body, POST_TIMEOUT_MS, job).then((response) => {
+      if (response?.status === 201 || response?.status === 200) {
         job.isAccepted = true;
         job.lastResponseAt = time.now;
-        this.recordStatus(job, answer.body);
+        this.recordStatus(job, response.body);
         time.after(2000, () => this.poll(job));
         return;
       }
-      if (answer?.status === 400 || answer?.status === 422) {
-        this.dependencies.onViolation('forgotten', `${job.spec.id} got ${answer.status}`);
+      if (response?.status === 400 || response?.status === 422) {
+        this.dependencies.onViolation('forgotten', `${job.spec.id} got ${response.status}`);
       }
       time.after(RETRY_INTERVAL_MS, () => this.submitUntilAccepted(job));
     });
@@ -243,8 +243,8 @@
 
   private cancelUntilConfirmed(job: UserJob): void {
     const path = `/v1/jobs/${job.spec.id}/abort`;
-    void this.sendRequest('POST', path, undefined, POST_TIMEOUT_MS, job).then((answer) => {
-      if (answer?.status === 200) this.recordStatus(job, answer.body);
+    void this.sendRequest('POST', path, undefined, POST_TIMEOUT_MS, job).then((response) => {
+      if (response?.status === 200) this.recordStatus(job, response.body);
       else this.dependencies.time.after(RETRY_INTERVAL_MS, () => this.cancelUntilConfirmed(job));
     });
   }
@@ -253,12 +253,12 @@
     const { time } = this.dependencies;
     const { id } = job.spec;
     void this.sendRequest('GET', `/v1/jobs/${id}`, undefined, POLL_TIMEOUT_MS, job).then(
-      (answer) => {
-        const isAnswered = answer?.status === 200 || answer?.status === 404;
+      (response) => {
+        const isAnswered = response?.status === 200 || response?.status === 404;
         if (isAnswered) job.lastResponseAt = time.now;
-        this.polls.push({ at: time.now, isAnswered });
-        if (answer?.status === 404) this.dependencies.onViolation('forgotten', id);
-        if (answer?.status === 200) this.recordStatus(job, answer.body);
+        this.polls.push({ at: time.now, isAnswered: isAnswered });
+        if (response?.status === 404) this.dependencies.onViolation('forgotten', id);
+        if (response?.status === 200) this.recordStatus(job, response.body);
         // Also after its end: the answer must stay.
         time.after(isFinished(job) ? 6000 : 3000, () => this.poll(job));
       },
@@ -294,22 +294,22 @@
 
   /** Submits a job again, or cancels it though it is done. */
   private repeatRequest(id: string, job: UserJob): void {
-    const cancels = job.lastStatus === 'done' && this.dependencies.random() < 0.5;
-    const path = cancels ? `/v1/jobs/${id}/abort` : '/v1/jobs';
-    const body = cancels ? undefined : encodeJobSpec(job.spec);
-    void this.sendRequest('POST', path, body, POST_TIMEOUT_MS).then((answer) => {
-      if (answer?.status === 200) this.recordStatus(job, answer.body);
-      if (answer?.status === 400 || answer?.status === 422 || answer?.status === 404) {
-        this.dependencies.onViolation('forgotten', `${id} got ${answer.status} for ${path}`);
+    const isCancellation = job.lastStatus === 'done' && this.dependencies.random() < 0.5;
+    const path = isCancellation ? `/v1/jobs/${id}/abort` : '/v1/jobs';
+    const body = isCancellation ? undefined : encodeJobSpec(job.spec);
+    void this.sendRequest('POST', path, body, POST_TIMEOUT_MS).then((response) => {
+      if (response?.status === 200) this.recordStatus(job, response.body);
+      if (response?.status === 400 || response?.status === 422 || response?.status === 404) {
+        this.dependencies.onViolation('forgotten', `${id} got ${response.status} for ${path}`);
       }
     });
   }
 
-  private expectRejection(body: Partial<SubmissionMessage>, expected: number): void {
-    void this.sendRequest('POST', '/v1/jobs', body, POST_TIMEOUT_MS).then((answer) => {
-      if (answer === undefined || answer.status === 503 || answer.status === 429) return;
-      if (answer.status === expected) return;
-      const detail = `${body.name_id ?? ''} got ${answer.status} instead of ${expected}`;
+  private expectRejection(body: Partial<SubmissionMessage>, expectedStatus: number): void {
+    void this.sendRequest('POST', '/v1/jobs', body, POST_TIMEOUT_MS).then((response) => {
+      if (response === undefined || response.status === 503 || response.status === 429) return;
+      if (response.status === expectedStatus) return;
+      const detail = `${body.name_id ?? ''} got ${response.status} instead of ${expectedStatus}`;
       this.dependencies.onViolation('accepted', detail);
     });
   }
--- a/test/standin/worker-tasks.ts
+++ b/test/standin/worker-tasks.ts
@@ -12,7 +12,7 @@
 /** One attempt of a task on this worker. */
 interface TaskAttempt {
   readonly task: string;
-  readonly attempt: number;
+  readonly number: number;
   readonly cpus: number;
   /** As the protocol names it. */
   state: 'fetching' | 'gathering' | 'running' | 'flushing' | 'exited';
@@ -95,27 +95,27 @@
   /** The status of each task, as heartbeats hold it. */
   statuses(): object[] {
     return [...this.attempts.values()].map(
-      ({ task, attempt, state, cause, hasSavedCheckpoint: isSaved }) => ({
+      ({ task, number: attempt, state, cause, hasSavedCheckpoint }) => ({
         entry: task,
         try: attempt,
         status: state,
         ...(cause === undefined ? {} : { cause }),
-        ...(isSaved ? { kept: true } : {}),
+        ...(hasSavedCheckpoint ? { kept: true } : {}),
       }),
     );
   }
 
   /** Drops all tasks, as a worker does that ends or has lost its lease. */
   dropAllTasks(): void {
-    for (const held of this.attempts.values()) this.release(held);
+    for (const attempt of this.attempts.values()) this.release(attempt);
     this.attempts.clear();
   }
 
   /** A task is no longer on the machine, and no longer part of its gang. */
-  private release(held: TaskAttempt): void {
-    const { machine, environment: world } = this.host;
-    if (occupiesMachine(held)) world.onTaskLeft(machine, held.task);
-    if (held.gangMember) world.propertiesOf(held.task)?.gang?.leave(held.gangMember);
+  private release(attempt: TaskAttempt): void {
+    const { machine, environment } = this.host;
+    if (occupiesMachine(attempt)) environment.onTaskLeft(machine, attempt.task);
+    if (attempt.gangMember) environment.propertiesOf(attempt.task)?.gang?.leave(attempt.gangMember);
   }
 
   /** Drops the images too, as a worker does that begins from nothing. */
@@ -127,31 +127,32 @@
   /** Carries out a command. A repeated one changes nothing. */
   execute(command: CommandMessage): void {
     const key = keyOf(command.entry, command.try);
-    const held = this.attempts.get(key);
+    const attempt = this.attempts.get(key);
     if (command.verb === 'launch') {
-      if (!held) this.startAttempt(command.entry, command.try);
+      if (!attempt) this.startAttempt(command.entry, command.try);
     } else if (command.verb === 'kill') {
-      if (held && held.state !== 'exited') this.stop(held, (command.wind_down_s ?? 0) * 1000);
-    } else if (held?.state === 'exited') this.attempts.delete(key);
+      if (attempt && attempt.state !== 'exited')
+        this.stop(attempt, (command.wind_down_s ?? 0) * 1000);
+    } else if (attempt?.state === 'exited') this.attempts.delete(key);
   }
 
-  private startAttempt(task: string, attempt: number): void {
-    const facts = this.host.environment.propertiesOf(task);
-    const refusal = facts && this.refusalReason(task, facts);
-    const held: TaskAttempt = {
+  private startAttempt(task: string, attemptNumber: number): void {
+    const properties = this.host.environment.propertiesOf(task);
+    const refusal = properties && this.refusalReason(task, properties);
+    const attempt: TaskAttempt = {
       task,
-      attempt,
+      number: attemptNumber,
       state: 'fetching',
       cause: undefined,
       hasSavedCheckpoint: false,
       gangMember: undefined,
-      cpus: facts?.cpus ?? 0,
+      cpus: properties?.cpus ?? 0,
     };
     this.host.onChanged();
-    this.attempts.set(keyOf(task, attempt), held);
-    if (!facts) this.exit(held, 'no_such');
-    else if (refusal !== undefined) this.exit(held, refusal);
-    else this.fetchImage(held, facts);
+    this.attempts.set(keyOf(task, attemptNumber), attempt);
+    if (!properties) this.exit(attempt, 'no_such');
+    else if (refusal !== undefined) this.exit(attempt, refusal);
+    else this.fetchImage(attempt, properties);
   }
 
   /** Why a start is refused, as the protocol names it; undefined if it is not. */
@@ -160,73 +161,75 @@
     return this.usedCpus(cpus) > this.host.cpus ? 'full' : undefined;
   }
 
-  private fetchImage(held: TaskAttempt, facts: TaskProperties): void {
-    const fetchMs = this.images.has(facts.image) ? 0 : facts.fetchMs;
+  private fetchImage(attempt: TaskAttempt, properties: TaskProperties): void {
+    const fetchMs = this.images.has(properties.image) ? 0 : properties.fetchMs;
     this.host.after(fetchMs, () => {
-      if (this.isCurrent(held)) this.run(held, facts);
+      if (this.isCurrent(attempt)) this.run(attempt, properties);
     });
   }
 
-  private run(held: TaskAttempt, facts: TaskProperties): void {
-    const { machine, environment: world } = this.host;
-    const { task } = held;
-    this.images.add(facts.image);
-    world.onTaskStarted(machine, task);
-    if (facts.gang) {
-      this.joinGang(held, facts.gang);
+  private run(attempt: TaskAttempt, properties: TaskProperties): void {
+    const { machine, environment } = this.host;
+    const { task } = attempt;
+    this.images.add(properties.image);
+    environment.onTaskStarted(machine, task);
+    if (properties.gang) {
+      this.joinGang(attempt, properties.gang);
       return;
     }
-    held.state = 'running';
+    attempt.state = 'running';
     this.host.onChanged();
-    this.host.after(world.isCompleted(task) ? 0 : facts.runMs, () => {
-      if (!this.isCurrent(held)) return;
-      world.onTaskCompleted(task);
-      this.exit(held, 'done');
+    this.host.after(environment.isCompleted(task) ? 0 : properties.runMs, () => {
+      if (!this.isCurrent(attempt)) return;
+      environment.onTaskCompleted(task);
+      this.exit(attempt, 'done');
     });
   }
 
   /** Whether a task is still held and has not exited. */
-  private isCurrent(held: TaskAttempt): boolean {
-    return this.attempts.get(keyOf(held.task, held.attempt)) === held && held.state !== 'exited';
+  private isCurrent(task: TaskAttempt): boolean {
+    return this.attempts.get(keyOf(task.task, task.number)) === task && task.state !== 'exited';
   }
 
   /** The task of a gang has its image: from now on it does what its gang does. */
-  private joinGang(held: TaskAttempt, gang: GangRun): void {
-    const changeLater = (change: () => void): void => {
+  private joinGang(attempt: TaskAttempt, gang: GangRun): void {
+    const applyLater = (change: () => void): void => {
       this.host.after(0, () => {
-        if (this.isCurrent(held)) change();
+        if (this.isCurrent(attempt)) change();
       });
     };
     const setState = (state: TaskAttempt['state']): void => {
-      held.state = state;
+      attempt.state = state;
       this.host.onChanged();
     };
-    held.gangMember = {
-      index: Number(held.task.split('/')[1]),
-      attempt: held.attempt,
+    attempt.gangMember = {
+      index: Number(attempt.task.split('/')[1]),
+      attempt: attempt.number,
       isHung: () => this.host.isHung(),
-      startRunning: () => changeLater(() => setState('running')),
+      startRunning: () => applyLater(() => setState('running')),
       startCheckpoint: () => setState('flushing'),
-      exit: (cause, isSaved) => changeLater(() => this.exit(held, cause, isSaved)),
+      exit: (cause, hasSavedCheckpoint) =>
+        applyLater(() => this.exit(attempt, cause, hasSavedCheckpoint)),
     };
     setState('gathering');
-    gang.join(held.gangMember);
+    gang.join(attempt.gangMember);
   }
 
   /** Stops a task. The task of a gang saves first if there is enough time. */
-  private stop(held: TaskAttempt, graceMs: number): void {
-    const facts = this.host.environment.propertiesOf(held.task);
-    const canSave = facts?.checkpointMs !== undefined && graceMs >= facts.checkpointMs;
-    if (held.state === 'flushing' && graceMs > 0) return;
-    if (held.state === 'running' && held.gangMember && canSave) facts.gang?.stop(held.gangMember);
-    else this.exit(held, 'halted');
-  }
-
-  private exit(held: TaskAttempt, cause: string, isSaved = false): void {
-    this.release(held);
-    held.state = 'exited';
-    held.cause = cause;
-    if (isSaved) held.hasSavedCheckpoint = true;
+  private stop(attempt: TaskAttempt, graceMs: number): void {
+    const properties = this.host.environment.propertiesOf(attempt.task);
+    const canSave = properties?.checkpointMs !== undefined && graceMs >= properties.checkpointMs;
+    if (attempt.state === 'flushing' && graceMs > 0) return;
+    if (attempt.state === 'running' && attempt.gangMember && canSave)
+      properties.gang?.stop(attempt.gangMember);
+    else this.exit(attempt, 'halted');
+  }
+
+  private exit(attempt: TaskAttempt, cause: string, isSaved = false): void {
+    this.release(attempt);
+    attempt.state = 'exited';
+    attempt.cause = cause;
+    if (isSaved) attempt.hasSavedCheckpoint = true;
     this.host.onChanged();
   }
 }
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -100,7 +100,11 @@
   /** Answers a request to the worker itself. */
   handle(_method: string, path: string, body: unknown): HostResponse {
     if (path === '/status') return { status: 200, body: this.createHeartbeat() };
-    const { baton, shift, orders } = body as {
+    const {
+      baton: baton,
+      shift,
+      orders,
+    } = body as {
       baton?: number;
       shift?: number;
       orders: CommandMessage[];
