--- a/test/sim/combined-faults.test.ts
+++ b/test/sim/combined-faults.test.ts
@@ -1,4 +1,9 @@
-/** Worlds with several faults at the same time or in close sequence; `docs/meetings.md` says what each has shown. */
+/**
+ * Several faults at the same time or in close sequence, each of which the service survives alone: changes of leader
+ * during outages of the store, cancellations on machines that hang, requests that arrive late or twice. They guard
+ * against lost jobs, tasks that run twice and cancelled tasks that go on running. `docs/meetings.md` lists what each
+ * combination has revealed.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { OVERLOADED_CONTROLLER_CPU, recoverAndVerify } from '../standin/fault-scenario.js';
@@ -6,17 +11,17 @@
 import { CONTROLLERS } from '../standin/cluster-settings.js';
 import { SimulatedCluster } from '../standin/simulated-cluster.js';
 
-/** A combination of faults. The rules are checked while it is played and after all faults are over. */
+/** A combination of faults. The invariants are checked while it runs and after all faults have ended. */
 interface Combination {
   readonly name: string;
   readonly seeds: readonly number[];
-  /** The quota of its team; without it, the usual one. */
+  /** The quota of the team in processors; 24 by default, 0 for no limit. */
   readonly maxCpus?: number;
-  readonly play: (cluster: SimulatedCluster, seed: number) => Promise<void>;
+  readonly run: (cluster: SimulatedCluster, seed: number) => Promise<void>;
 }
 
-/** Jobs that run for long, each on its own machines, and a fleet that has been up for a while. */
-async function longJobs(
+/** Submits long jobs and waits until all their tasks have started. */
+async function startLongJobs(
   cluster: SimulatedCluster,
   count: number,
   runMs = 200_000,
@@ -29,70 +34,70 @@
   return ids;
 }
 
-/** Ends the leader, and starts its node again after so many milliseconds. */
-function endLeader(cluster: SimulatedCluster, downMs: number): void {
+/** Kills the leader and restarts it after `downMs`. */
+function killLeader(cluster: SimulatedCluster, downMs: number): void {
   const leader = cluster.leader();
   if (leader === undefined) return;
   cluster.killController(leader);
   cluster.time.after(downMs, () => cluster.startController(leader));
 }
 
-function after(cluster: SimulatedCluster, delay: number, run: () => void): void {
+function schedule(cluster: SimulatedCluster, delay: number, run: () => void): void {
   cluster.time.after(delay, run);
 }
 
-/** The leader is refused alone for a while, and then the state service is out for all. */
-function refuseLeaderThenAll(
+/** The store refuses only the leader for a while, and then has an outage for all. */
+function refuseLeaderBeforeOutage(
   cluster: SimulatedCluster,
-  outageAfter: number,
-  outageFor: number,
+  outageAfterMs: number,
+  outageMs: number,
 ): void {
   const leader = cluster.leader() ?? 0;
   cluster.store.setOutageFor(`node-${leader}`, true);
-  after(cluster, 14_000, () => cluster.store.setOutageFor(`node-${leader}`, false));
-  after(cluster, outageAfter, () => cluster.store.setOutage(true));
-  after(cluster, outageAfter + outageFor, () => cluster.store.setOutage(false));
+  schedule(cluster, 14_000, () => cluster.store.setOutageFor(`node-${leader}`, false));
+  schedule(cluster, outageAfterMs, () => cluster.store.setOutage(true));
+  schedule(cluster, outageAfterMs + outageMs, () => cluster.store.setOutage(false));
 }
 
 const combinations: readonly Combination[] = [
-  // From refusal to outage: before, while and after the leader key runs out.
-  ...[500, 2000, 3800, 4300, 5000, 8000, 12_000].map((outageAfter): Combination => ({
-    name: `the leader is refused alone, and ${outageAfter} ms later all are for longer than cancel_s`,
+  // The times from the refusal to the outage: before, while and after the leader key expires.
+  ...[500, 2000, 3800, 4300, 5000, 8000, 12_000].map((outageAfterMs): Combination => ({
+    name: `the store refuses the leader only, and all controllers ${outageAfterMs} ms later for longer than cancel_s`,
     seeds: [1, 2, 3, 4, 5],
     maxCpus: 0,
-    play: async (cluster, seed) => {
-      await longJobs(cluster, 6);
-      refuseLeaderThenAll(cluster, outageAfter, seed % 2 === 0 ? 53_000 : 26_000);
+    run: async (cluster, seed) => {
+      await startLongJobs(cluster, 6);
+      refuseLeaderBeforeOutage(cluster, outageAfterMs, seed % 2 === 0 ? 53_000 : 26_000);
       const leader = cluster.leader() ?? 0;
       if (seed === 3) {
         cluster.setControllerFrozen(leader, true);
-        after(cluster, 9000, () => cluster.setControllerFrozen(leader, false));
+        schedule(cluster, 9000, () => cluster.setControllerFrozen(leader, false));
       }
-      // Some workers get no answers from a new leader.
+      // Some workers get no responses from a new leader.
       if (seed >= 4)
         for (const id of [...cluster.workers.keys()].slice(0, 2))
           cluster.setIncomingDropped(id, true);
-      for (let at = 0; at <= outageAfter + 1000; at += 700) {
-        after(cluster, at, () => cluster.cancelRunningJobs(1, 0));
+      for (let at = 0; at <= outageAfterMs + 1000; at += 700) {
+        schedule(cluster, at, () => cluster.cancelRunningJobs(1, 0));
       }
       await cluster.run(75_000);
     },
   })),
   {
-    name: 'jobs are cancelled as the leader is refused, on machines that hang, and then all are refused',
+    name: 'jobs on machines that hang are cancelled while the store refuses the leader, before an outage for all',
     seeds: [1, 2, 3, 4],
     maxCpus: 0,
-    play: async (cluster, seed) => {
-      await longJobs(cluster, 6);
-      refuseLeaderThenAll(cluster, 1000, 53_000);
+    run: async (cluster, seed) => {
+      await startLongJobs(cluster, 6);
+      refuseLeaderBeforeOutage(cluster, 1000, 53_000);
       cluster.cancelRunningJobs(4, seed * 8000);
       await cluster.run(75_000);
     },
   },
   {
-    name: 'leaders change ten times in two minutes, and small jobs end far apart meanwhile',
+    name: 'jobs of different lengths finish during ten failovers in two minutes',
     seeds: [1, 2, 3],
-    play: async (cluster, seed) => {
+    run: async (cluster, seed) => {
       await cluster.run(2500);
       for (let i = 0; i < 10; i++) {
         cluster.users.submit(
@@ -100,71 +105,72 @@
           4000 + 5000 * i,
           i % 3 === 0 ? 9000 * i : undefined,
         );
-        endLeader(cluster, [200, 700, 5000][(i + seed) % 3] ?? 0);
+        killLeader(cluster, [200, 700, 5000][(i + seed) % 3] ?? 0);
         if (i === 5) {
           cluster.store.setOutage(true);
-          after(cluster, 30_000, () => cluster.store.setOutage(false));
+          schedule(cluster, 30_000, () => cluster.store.setOutage(false));
         }
         await cluster.run(12_000);
       }
     },
   },
   {
-    name: 'new leaders end before they know the records, while jobs are cancelled',
+    name: 'new leaders are killed before they have read the records, while jobs are being cancelled',
     seeds: [1, 2, 3],
     maxCpus: 0,
-    play: async (cluster) => {
-      await longJobs(cluster, 4);
+    run: async (cluster) => {
+      await startLongJobs(cluster, 4);
       cluster.cancelRunningJobs(4, 0);
-      // The cancellations are in the store, and the workers have no commands yet.
+      // The cancellations are in the store, but the workers have got no commands yet.
       cluster.network.holdRequests('/commands');
       await cluster.run(250);
       cluster.store.refusedListPrefix = 'live/';
       for (let i = 0; i < 9; i++) {
-        endLeader(cluster, 300);
+        killLeader(cluster, 300);
         await cluster.run(6000);
       }
       cluster.store.refusedListPrefix = undefined;
     },
   },
   {
-    name: 'the state service answers slowly while users cancel and ask, and the leader ends',
+    name: 'the store responds slowly while users cancel and poll, and the leader is killed',
     seeds: [1, 2, 3],
-    play: async (cluster) => {
+    run: async (cluster) => {
       await cluster.run(2500);
       cluster.setStoreDelay(900);
       for (let i = 0; i < 8; i++) cluster.users.submit({ taskCount: 2 }, 6000, 3000 * i);
       await cluster.run(20_000);
-      endLeader(cluster, 400);
+      killLeader(cluster, 400);
       await cluster.run(20_000);
     },
   },
   {
-    name: 'all controllers are away for longer than a lease',
+    name: 'all controllers are down for longer than a worker lease',
     seeds: [1, 2, 3],
     maxCpus: 0,
-    play: async (cluster, seed) => {
-      await longJobs(cluster, 4, 60_000);
+    run: async (cluster, seed) => {
+      await startLongJobs(cluster, 4, 60_000);
       cluster.cancelRunningJobs(2, 0);
       await cluster.run(seed * 150);
-      for (const node of CONTROLLERS) cluster.killController(node);
-      for (const node of CONTROLLERS) after(cluster, 30_000, () => cluster.startController(node));
+      for (const controller of CONTROLLERS) cluster.killController(controller);
+      for (const controller of CONTROLLERS)
+        schedule(cluster, 30_000, () => cluster.startController(controller));
       await cluster.run(45_000);
     },
   },
   {
-    name: 'a leader ends while machines with long tasks can not be reached or get no answers from the next one',
+    name: 'the leader is killed while machines with long tasks hang or get no responses',
     seeds: [1, 2, 3, 4],
     maxCpus: 0,
-    play: async (cluster, seed) => {
-      await longJobs(cluster, 5, 80_000);
+    run: async (cluster, seed) => {
+      await startLongJobs(cluster, 5, 80_000);
       const some = [...cluster.workers.keys()].slice(0, 3);
       for (const id of some) {
         if (seed % 2 === 0) cluster.setIncomingDropped(id, true);
         else cluster.setMachineHung(id, true);
       }
-      endLeader(cluster, 5000);
-      after(cluster, 2000, () => cluster.cancelRunningJobs(3, 0));
+      killLeader(cluster, 5000);
+      schedule(cluster, 2000, () => cluster.cancelRunningJobs(3, 0));
       await cluster.run(18_000);
       for (const id of some) {
         cluster.setIncomingDropped(id, false);
@@ -174,23 +180,23 @@
     },
   },
   {
-    name: 'transactions without an answer are carried out late, also those of a process that ended',
+    name: 'transactions without a response are carried out late, also those of a killed process',
     seeds: [1, 2, 3, 4, 5, 6],
-    play: async (cluster, seed) => {
+    run: async (cluster, seed) => {
       await cluster.run(2500);
       cluster.setDelayedWriteShare(0.35);
       for (let i = 0; i < 10; i++) {
         cluster.users.submit({ taskCount: 2 }, 5000, i % 2 === 0 ? 2500 * i : undefined);
-        if (i % 4 === seed % 4) endLeader(cluster, 300);
+        if (i % 4 === seed % 4) killLeader(cluster, 300);
         await cluster.run(3500);
       }
       await cluster.run(15_000);
     },
   },
   {
-    name: 'jobs are cancelled, asked for and submitted again at the moment of their end',
+    name: 'jobs are cancelled, polled and submitted again at the moment when they finish',
     seeds: [1, 2, 3],
-    play: async (cluster) => {
+    run: async (cluster) => {
       await cluster.run(2500);
       cluster.cancelOnCompletionShare = 0.8;
       for (let i = 0; i < 12; i++) {
@@ -202,14 +208,14 @@
     },
   },
   {
-    name: 'copies of heartbeats and commands arrive late, also of earlier sessions, at any controller',
+    name: 'copies of heartbeats and commands, also of earlier sessions, arrive late at any controller',
     seeds: [1, 2, 3, 4],
-    play: async (cluster, seed) => {
+    run: async (cluster, seed) => {
       await cluster.run(2500);
       cluster.setDuplicateShare(0.4);
       for (let i = 0; i < 10; i++) {
         cluster.users.submit({ taskCount: 2 }, 9000, i % 3 === 0 ? 2500 * i : undefined);
-        if (i % 5 === seed % 5) endLeader(cluster, 800);
+        if (i % 5 === seed % 5) killLeader(cluster, 800);
         const ids = [...cluster.workers.keys()];
         if (i === 6) for (const id of ids.slice(0, 2)) cluster.restartWorker(id);
         await cluster.run(6000);
@@ -217,11 +223,11 @@
     },
   },
   {
-    name: 'a leader is cut off from the store and the others, not from workers, while jobs are cancelled',
+    name: 'a leader is cut off from the store and its peers, but not from workers, while jobs are cancelled',
     seeds: [1, 2, 3, 4],
     maxCpus: 0,
-    play: async (cluster, seed) => {
-      await longJobs(cluster, 5);
+    run: async (cluster, seed) => {
+      await startLongJobs(cluster, 5);
       cluster.isolateController(cluster.leader() ?? 0, seed % 2 === 0);
       for (let i = 0; i < 6; i++) {
         await cluster.run(2500);
@@ -231,11 +237,11 @@
     },
   },
   {
-    name: 'a zone with workers and a controller is cut off for longer than a lease',
+    name: 'a zone with workers and a controller is partitioned off for longer than a worker lease',
     seeds: [1, 2, 3],
     maxCpus: 0,
-    play: async (cluster, seed) => {
-      await longJobs(cluster, 5, 70_000);
+    run: async (cluster, seed) => {
+      await startLongJobs(cluster, 5, 70_000);
       const [cut, b, c] =
         seed === 1 ? ['a', 'b', 'c'] : seed === 2 ? ['b', 'a', 'c'] : ['c', 'a', 'b'];
       cluster.network.setPartitioned(cut, b, true);
@@ -247,29 +253,29 @@
     },
   },
   {
-    name: 'a team at its quota, a new leader, machines that can not be reached, and a cancellation',
+    name: 'a team at its quota with failovers, unreachable machines and cancellations',
     seeds: [1, 2, 3, 4],
     maxCpus: 24,
-    play: async (cluster, seed) => {
-      await longJobs(cluster, 4, 45_000);
+    run: async (cluster, seed) => {
+      await startLongJobs(cluster, 4, 45_000);
       for (let i = 0; i < 4; i++) cluster.users.submit({ taskCount: 3, cpus: 2 }, 9000);
       const some = [...cluster.workers.keys()].slice(0, 2);
       for (const id of some) {
         if (seed % 2 === 0) cluster.setHeartbeatsBlocked(id, true);
         else cluster.setMachineHung(id, true);
       }
-      endLeader(cluster, 500);
+      killLeader(cluster, 500);
       await cluster.run(seed * 1500);
       cluster.cancelRunningJobs(2, 0);
       await cluster.run(16_000);
-      endLeader(cluster, 500);
+      killLeader(cluster, 500);
       await cluster.run(20_000);
     },
   },
   {
-    name: 'commands and their answers are held up for seconds, and the machine then goes on',
+    name: 'commands are held back for seconds while machines hang, and arrive when the machines resume',
     seeds: [1, 2, 3],
-    play: async (cluster, seed) => {
+    run: async (cluster, seed) => {
       await cluster.run(2500);
       cluster.users.submit({ taskCount: 2 }, 90_000);
       await cluster.run(18_000);
@@ -287,25 +293,26 @@
     },
   },
   {
-    name: 'controllers hand over and back, all end, and one returns within a second',
+    name: 'failovers alternate with kills of all controllers, of which one restarts within a second',
     seeds: [1, 2, 3],
-    play: async (cluster, seed) => {
+    run: async (cluster, seed) => {
       await cluster.run(2500);
       for (let i = 0; i < 6; i++) cluster.users.submit({ taskCount: 2 }, 5000 * (i + 1));
       for (let i = 0; i < 6; i++) {
-        endLeader(cluster, 400);
+        killLeader(cluster, 400);
         await cluster.run(5000);
-        for (const node of CONTROLLERS) cluster.killController(node);
-        after(cluster, 100 + 250 * seed, () => cluster.startController(i % 3));
-        for (const node of CONTROLLERS) after(cluster, 5000, () => cluster.startController(node));
+        for (const controller of CONTROLLERS) cluster.killController(controller);
+        schedule(cluster, 100 + 250 * seed, () => cluster.startController(i % 3));
+        for (const controller of CONTROLLERS)
+          schedule(cluster, 5000, () => cluster.startController(controller));
         await cluster.run(7000);
       }
     },
   },
   {
-    name: 'jobs that are bound to one zone, in a single zone or spread lose their machines',
+    name: 'jobs with zone constraints lose their machines',
     seeds: [1, 2, 3],
-    play: async (cluster, seed) => {
+    run: async (cluster, seed) => {
       await cluster.run(2500);
       for (let i = 0; i < 3; i++) {
         cluster.users.submit({ taskCount: 3, zone: 'b' }, 15_000);
@@ -318,15 +325,15 @@
       for (const { machine } of [...cluster.workers.values()]) {
         if (machine.zone === (seed % 2 === 0 ? 'b' : 'a')) cluster.cloud.end(machine.id);
       }
-      endLeader(cluster, 1000);
+      killLeader(cluster, 1000);
       await cluster.run(20_000);
     },
   },
   {
-    name: 'more work than the machines can take, urgent and not, over slow links',
+    name: 'urgent and other jobs exceed the capacity of the machines over a slow network',
     seeds: [1, 2],
     maxCpus: 0,
-    play: async (cluster) => {
+    run: async (cluster) => {
       cluster.cloud.capacityPerOffer = 1;
       await cluster.run(2500);
       cluster.network.extraDelayMs = () => 60 * cluster.random();
@@ -341,28 +348,28 @@
     },
   },
   {
-    name: 'workers reach no controller while commands reach them, and their jobs are cancelled',
+    name: 'jobs are cancelled on workers that reach no controller, while commands reach them',
     seeds: [1, 2, 3],
     maxCpus: 0,
-    play: async (cluster, seed) => {
-      await longJobs(cluster, 5);
+    run: async (cluster, seed) => {
+      await startLongJobs(cluster, 5);
       for (const id of [...cluster.workers.keys()].slice(0, 2))
         cluster.setHeartbeatsBlocked(id, true);
       await cluster.run(seed * 3000);
       cluster.cancelRunningJobs(4, 0);
-      if (seed === 2) endLeader(cluster, 5000);
+      if (seed === 2) killLeader(cluster, 5000);
       await cluster.run(70_000);
     },
   },
   {
-    name: 'heartbeats are held back until a new leader has acted, and then arrive there',
+    name: 'heartbeats are held back until a new leader has acted, and then arrive at it',
     seeds: [1, 2, 3],
     maxCpus: 0,
-    play: async (cluster, seed) => {
-      await longJobs(cluster, 4, 60_000);
+    run: async (cluster, seed) => {
+      await startLongJobs(cluster, 4, 60_000);
       cluster.network.holdRequests('/agent/beat');
       await cluster.run(3500);
-      endLeader(cluster, seed === 1 ? 300 : 5000);
+      killLeader(cluster, seed === 1 ? 300 : 5000);
       cluster.cancelRunningJobs(2, 0);
       await cluster.run(6000 + 2000 * seed);
       cluster.network.holdRequests(undefined);
@@ -371,14 +378,14 @@
   },
 ];
 
-for (const { name, seeds, maxCpus = 24, play } of combinations) {
+for (const { name, seeds, maxCpus = 24, run } of combinations) {
   void test(name, async () => {
     for (const seed of seeds) {
-      // With the last seed, the leader redirects the workers that report to it to the other nodes.
-      const small = seed === seeds.at(-1) ? { controllerCpu: OVERLOADED_CONTROLLER_CPU } : {};
-      const cluster = new SimulatedCluster({ seed: 5000 + seed, maxCpus, ...small });
+      // With the last seed, the leader redirects its workers to the other controllers.
+      const overload = seed === seeds.at(-1) ? { controllerCpu: OVERLOADED_CONTROLLER_CPU } : {};
+      const cluster = new SimulatedCluster({ seed: 5000 + seed, maxCpus, ...overload });
       cluster.cloud.bootFailureShare = 0;
-      await play(cluster, seed);
+      await run(cluster, seed);
       await recoverAndVerify(cluster, `${name}, seed ${seed}`);
     }
   });
--- a/test/sim/fleet.test.ts
+++ b/test/sim/fleet.test.ts
@@ -1,4 +1,8 @@
-/** Worlds in which the fleet is at stake: what keeps machines, what gives them up, and what finds them again. */
+/**
+ * The fleet across failovers, outages and late messages. Guards against deleting machines that work, because a new
+ * leader hasn't heard from them yet or nobody can respond to them, against keeping unreachable machines, and against
+ * starting cancelled or completed tasks again from late or lost messages.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Endpoint, ms } from '../../src/units/index.js';
@@ -8,14 +12,14 @@
 import { CONTROLLERS } from '../standin/cluster-settings.js';
 import { SimulatedCluster } from '../standin/simulated-cluster.js';
 
-/** A cluster whose machines all boot, so that a test finds the fleet that it counts on. */
+/** Creates a cluster without boot failures, so that a test gets the fleet that it expects. */
 function createReliableCluster(seed: number): SimulatedCluster {
   const cluster = new SimulatedCluster({ seed });
   cluster.cloud.bootFailureShare = 0;
   return cluster;
 }
 
-/** A cluster in which a long job runs and the fleet has been up for longer than any boot takes. */
+/** Creates a cluster in which a long job runs, and all machines have been running for longer than any boot takes. */
 async function createClusterWithFleet(
   seed: number,
 ): Promise<{ cluster: SimulatedCluster; fleet: string[] }> {
@@ -28,7 +32,7 @@
   return { cluster, fleet };
 }
 
-void test('a failover keeps the fleet: a machine that is listed as running and has not reported yet has not failed to boot', async () => {
+void test('a failover keeps running machines that the new leader has no heartbeat of yet', async () => {
   const { cluster, fleet } = await createClusterWithFleet(11);
   const leader = cluster.leader() ?? 0;
   cluster.killController(leader);
@@ -41,14 +45,14 @@
   assert.deepEqual(cluster.violations, []);
 });
 
-void test('a machine that reports late after a failover is not given up because others were faster', async () => {
+void test('a failover keeps a machine whose first heartbeat arrives later than those of the others', async () => {
   const { cluster, fleet } = await createClusterWithFleet(54);
   const leader = cluster.leader() ?? 0;
   const slow = fleet[0] ?? '';
   cluster.setMachineHung(slow, true);
   cluster.killController(leader);
   cluster.time.after(5000, () => cluster.startController(leader));
-  // Longer than a machine that has reported before may be silent, and within its lease.
+  // Longer than a machine may send no heartbeats after its first one, but within its lease.
   await cluster.run(17_000);
   cluster.setMachineHung(slow, false);
   await cluster.run(30_000);
@@ -56,7 +60,7 @@
   assert.deepEqual(cluster.violations, []);
 });
 
-void test('an outage of the state service keeps the fleet: a machine whose heartbeats stay unanswered is not silent', async () => {
+void test('an outage of the store keeps the fleet, although heartbeats get no responses meanwhile', async () => {
   const { cluster, fleet } = await createClusterWithFleet(12);
   cluster.store.setOutage(true);
   await cluster.run(34_000);
@@ -69,36 +73,36 @@
   assert.deepEqual(cluster.violations, []);
 });
 
-void test('a direct start that arrives long after its job was cancelled runs nothing', async () => {
-  // Cancelled before a report could deliver the start, and while the task ran by a report's answer.
-  for (const [seed, abortAfter] of [
+void test('a direct start command that arrives long after its job was cancelled starts nothing', async () => {
+  // Cancelled before the response to a heartbeat can deliver the start, and while the task runs after it did.
+  for (const [seed, cancelAfterMs] of [
     [21, 150],
     [22, 8000],
   ] as const) {
     const cluster = createReliableCluster(seed);
     await cluster.run(3000);
-    // Its machine holds the image, has free resources, and is not released meanwhile.
+    // Keeps a machine that has the image and free resources, and isn't deleted meanwhile.
     const other = cluster.users.submit({ taskCount: 1 }, 300_000);
     await cluster.run(25_000);
     assert.equal(cluster.workers.size, 1);
     const before = cluster.startCount;
     cluster.network.holdRequests('/commands');
-    cluster.users.submit({ taskCount: 1 }, 200_000, abortAfter);
-    await cluster.run(abortAfter + 60_000);
+    cluster.users.submit({ taskCount: 1 }, 200_000, cancelAfterMs);
+    await cluster.run(cancelAfterMs + 60_000);
     const started = cluster.startCount - before;
     assert.deepEqual(
       cluster.users.unfinishedJobs(),
       [`${other} running`],
-      `cancelled after ${abortAfter} ms`,
+      `cancelled after ${cancelAfterMs} ms`,
     );
     cluster.network.holdRequests(undefined);
     await cluster.run(10_000);
-    assert.equal(cluster.startCount - before, started, 'the late start is a repeat');
+    assert.equal(cluster.startCount - before, started, 'the late command starts nothing');
     assert.deepEqual(cluster.violations, []);
   }
 });
 
-void test('a job of very many tasks keeps its record within a value of the store', async () => {
+void test('the record of a job with 100,000 tasks stays within the largest value of the store', async () => {
   const cluster = createReliableCluster(31);
   await cluster.run(3000);
   cluster.users.submit({ taskCount: 100_000, cpus: 0.1, memoryGb: 0.1 }, 2000, 60_000);
@@ -109,7 +113,7 @@
   assert.deepEqual(cluster.users.unfinishedJobs(), []);
 });
 
-void test('a completion stays on its worker until it is in the store', async () => {
+void test('a worker keeps reporting a completion until it is in the store', async () => {
   const cluster = createReliableCluster(41);
   await cluster.run(3000);
   const other = cluster.users.submit({ taskCount: 1 }, 300_000);
@@ -119,31 +123,33 @@
   await cluster.run(5000);
   const leader = cluster.leader() ?? 0;
   cluster.store.setOutage(true);
-  // It completes while nothing can be written and the leader still answers heartbeats; then the leader ends.
+  // The task completes while nothing can be written and the leader still handles heartbeats; then the leader is killed.
   await cluster.run(3500);
   cluster.killController(leader);
   cluster.store.setOutage(false);
   cluster.time.after(3000, () => cluster.startController(leader));
   await cluster.run(30_000);
   assert.deepEqual(cluster.users.unfinishedJobs(), [`${other} running`]);
-  assert.equal(cluster.startCount - before, 1, 'what was completed is not run again');
+  assert.equal(cluster.startCount - before, 1, 'the completed task does not run again');
   assert.deepEqual(cluster.violations, []);
 });
 
-void test('a machine whose heartbeats arrive while answers do not: its tasks run elsewhere, and it is released', async () => {
+void test('tasks of a machine that gets no responses run elsewhere, and the machine is deleted', async () => {
   const { cluster, fleet } = await createClusterWithFleet(51);
   const unreachable = fleet[0] ?? '';
-  // Alone, the leader gets its heartbeats often enough not to miss it: each try at a dead node ends at once.
+  // With the other controllers down, the leader gets enough of its heartbeats not to count it as lost: each attempt
+  // at a dead controller fails at once.
   const leader = cluster.leader();
-  for (const node of CONTROLLERS) if (node !== leader) cluster.killController(node);
+  for (const controller of CONTROLLERS)
+    if (controller !== leader) cluster.killController(controller);
   cluster.setIncomingDropped(unreachable, true);
-  const beganAt = cluster.time.now;
+  const startedAt = cluster.time.now;
   for (let i = 0; i < 6; i++) cluster.users.submit({ taskCount: 2, cpus: 1 }, 4000);
   await cluster.run(75_000);
   assert.deepEqual(
     cluster.users.unfinishedJobs().filter((job) => !job.startsWith('run-000001')),
     [],
-    `after ${cluster.time.now - beganAt} ms`,
+    `after ${cluster.time.now - startedAt} ms`,
   );
   assert.ok(!cluster.workers.has(unreachable));
   await cluster.run(340_000);
@@ -151,7 +157,7 @@
   assert.deepEqual(cluster.violations, []);
 });
 
-void test('a late copy of the heartbeat of a machine that is long gone delays no start', async () => {
+void test('a late copy of a heartbeat from a machine that no longer exists delays no start', async () => {
   const cluster = createReliableCluster(52);
   await cluster.run(20_000);
   const leader = cluster.leader() ?? 0;
@@ -184,22 +190,22 @@
   assert.deepEqual(cluster.violations, []);
 });
 
-void test('a worker that restarts and numbers its heartbeats from the start is used again', async () => {
+void test('a worker that restarts and numbers its heartbeats from 1 again is used again', async () => {
   const { cluster, fleet } = await createClusterWithFleet(53);
   for (const id of fleet) cluster.restartWorker(id);
   await cluster.run(20_000);
   assert.deepEqual(
     fleet.filter((id) => !cluster.workers.has(id)),
     [],
-    'none is given up as silent',
+    'no machine is deleted as lost',
   );
   await cluster.run(260_000);
   assert.deepEqual(cluster.users.unfinishedJobs(), []);
   assert.deepEqual(cluster.violations, []);
 });
 
-void test('no request is answered with an older status than the store may already show of an end', async () => {
-  // The write was carried out and its answer got lost, or it is still under way and may yet be.
+void test('no response contains a status that a write with an unknown outcome may have made obsolete', async () => {
+  // The write was carried out and its response was lost, or it is still in flight and may be carried out later.
   for (const isHeld of [false, true]) {
     const cluster = createReliableCluster(61);
     await cluster.run(3000);
@@ -207,52 +213,53 @@
     await cluster.run(25_000);
     const endpoint = Endpoint(`10.0.0.${(cluster.leader() ?? 0) + 1}:8080`);
     const client = cluster.network.client('user', NO_ZONE, new ProcessClock(cluster.time, 0, 0));
-    const ask = (path: string, body?: unknown) =>
+    const post = (path: string, body?: unknown) =>
       client.send({ endpoint, method: 'POST', path, body, timeout: ms(5000) });
     if (isHeld) cluster.network.holdRequests('/multi');
     else cluster.network.losesResponse = (path) => path === '/multi';
-    void ask(`/v1/jobs/${id}/abort`);
-    // Under way, the store is asked what it holds, and the write is not repeated at once.
+    void post(`/v1/jobs/${id}/abort`);
+    // While the write is in flight, the controller reads the store and doesn't repeat the write at once.
     await cluster.run(isHeld ? 2060 : 400);
-    const known = cluster.jobs.get(id);
-    assert.ok(known);
-    const again = ask('/v1/jobs', encodeJobSpec(known.spec));
+    const job = cluster.jobs.get(id);
+    assert.ok(job);
+    const repeated = post('/v1/jobs', encodeJobSpec(job.spec));
     await cluster.run(4000);
     cluster.network.losesResponse = undefined;
     cluster.network.holdRequests(undefined);
-    const outcome = await again;
+    const outcome = await repeated;
     assert.ok(outcome.kind === 'answer');
     const status = (outcome.body as { status?: string } | undefined)?.status;
     assert.ok(outcome.status === 503 || status === 'aborted', `${outcome.status} ${status ?? ''}`);
   }
 });
 
-void test('over a thousand machines: all report to a new leader, and none is given up', async () => {
+void test('a new leader keeps all of over a thousand machines and their tasks', async () => {
   const cluster = new SimulatedCluster({ seed: 71, maxCpus: 0 });
   cluster.cloud.bootFailureShare = 0;
   cluster.rentMachines(1050);
-  // All have been busy for longer than the shortest time that a machine is paid for.
+  // All machines have been busy for longer than the minimal billing time of a machine.
   for (let i = 0; i < 20; i++)
     cluster.users.submit({ taskCount: 100, cpus: 4, expectedRuntimeSeconds: 60 }, 60_000);
   await cluster.run(24_000);
   const fleet = [...cluster.workers.keys()];
   assert.ok(fleet.length >= 1050);
-  const { startCount: starts } = cluster;
-  assert.ok(starts >= 1900, `${starts} started`);
-  for (const node of CONTROLLERS) cluster.killController(node);
-  for (const node of CONTROLLERS) cluster.time.after(5000, () => cluster.startController(node));
+  const { startCount } = cluster;
+  assert.ok(startCount >= 1900, `${startCount} started`);
+  for (const controller of CONTROLLERS) cluster.killController(controller);
+  for (const controller of CONTROLLERS)
+    cluster.time.after(5000, () => cluster.startController(controller));
   await cluster.run(22_000);
   assert.deepEqual(
     fleet.filter((id) => !cluster.workers.has(id)),
     [],
   );
-  assert.ok(cluster.startCount <= 2000 * 1.01, 'what ran goes on and is not started again');
+  assert.ok(cluster.startCount <= 2000 * 1.01, 'running tasks go on and are not started again');
   await cluster.run(60_000);
   assert.deepEqual(cluster.users.unfinishedJobs(), []);
   assert.deepEqual(cluster.violations, []);
 });
 
-void test('a leader whose key is older than the changes that the store keeps starts few watches', async () => {
+void test('a leader whose key is older than the changes that the store retains starts few watches', async () => {
   const cluster = createReliableCluster(81);
   cluster.store.maxRetainedChanges = 10;
   await cluster.run(3000);
@@ -260,7 +267,7 @@
   await cluster.run(30_000);
   const before = cluster.store.watchCount;
   await cluster.run(30_000);
-  // Each of three nodes waits for ten seconds at a time, the leader for notices.
+  // Each of the three controllers has one watch for ten seconds at a time, the leader one for inbox entries.
   assert.ok(
     cluster.store.watchCount - before <= 15,
     `${cluster.store.watchCount - before} watches`,
--- a/test/sim/gangs.test.ts
+++ b/test/sim/gangs.test.ts
@@ -1,4 +1,8 @@
-/** Worlds with gangs: whole starts, checkpoints, lost machines, cancellations, and ends of the leader. */
+/**
+ * Gangs under faults. Guards against gangs that start only in part, that run twice, that lose their checkpoint or
+ * that never end, when machines are lost or reclaimed, jobs are cancelled, the leader is killed at any step or the
+ * store lowers its limits.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../../src/wire/index.js';
@@ -21,7 +25,7 @@
   return gang;
 }
 
-/** A cluster in which one gang is submitted. */
+/** Creates a cluster and submits one gang to it. */
 async function createClusterWithGang(seed: number, change: Partial<JobSpec>, runMs: number) {
   const cluster = new SimulatedCluster({ seed });
   await cluster.run(2500);
@@ -29,7 +33,7 @@
   return { cluster, id, gang: gangOf(cluster, id) };
 }
 
-async function untilRunning(cluster: SimulatedCluster, gang: GangRun): Promise<void> {
+async function waitUntilRunning(cluster: SimulatedCluster, gang: GangRun): Promise<void> {
   for (let i = 0; i < 300 && gang.startCount === 0; i++) await cluster.run(200);
   assert.equal(gang.startCount, 1);
 }
@@ -37,7 +41,7 @@
 const firstMachine = (cluster: SimulatedCluster, id: string): string =>
   cluster.machinesOf(id)[0] ?? '';
 
-void test('gangs of several sizes run whole, once, and are done', async () => {
+void test('gangs of several sizes start as a whole, run once and finish', async () => {
   const cluster = new SimulatedCluster({ seed: 11 });
   await cluster.run(2500);
   const ids = [
@@ -51,10 +55,10 @@
   for (const id of ids) assert.equal(gangOf(cluster, id).startCount, 1, id);
 });
 
-void test('a gang that loses a machine goes on from its checkpoint, once all of it is gone', async () => {
+void test('a gang that loses a machine resumes from its checkpoint after all its tasks have ended', async () => {
   for (const seed of [21, 22, 23]) {
     const { cluster, id, gang } = await createClusterWithGang(seed, {}, 20_000);
-    await untilRunning(cluster, gang);
+    await waitUntilRunning(cluster, gang);
     await cluster.run(12_000);
     const lost = firstMachine(cluster, id);
     if (seed === 22) cluster.setMachineHung(lost, true);
@@ -66,21 +70,21 @@
   }
 });
 
-void test('a gang that loses a machine before it runs does not wait for its time to gather', async () => {
+void test('a gang that loses a machine before it runs restarts before the gathering timeout', async () => {
   const { cluster, id, gang } = await createClusterWithGang(31, { imageSizeGb: 6 }, 8000);
   for (let i = 0; i < 100 && cluster.machinesHolding(id).length < 2; i++) await cluster.run(200);
   await cluster.run(3000);
   assert.equal(gang.startCount, 0);
   cluster.cloud.end(cluster.machinesHolding(id)[0] ?? '');
-  // The proof of the loss takes about nine seconds, fetching twelve, booting ten; gathering takes 45.
+  // Detecting the loss takes about nine seconds, fetching twelve and booting ten; the gathering timeout is 45 seconds.
   await cluster.run(42_000);
   assert.equal(gang.startCount, 1);
   await recoverAndVerify(cluster, 'lost before it ran');
 });
 
-void test('a gang whose machine is reclaimed with notice saves as a whole', async () => {
+void test('a gang saves a checkpoint as a whole when a machine of it gets a reclaim notice', async () => {
   const { cluster, id, gang } = await createClusterWithGang(41, {}, 40_000);
-  await untilRunning(cluster, gang);
+  await waitUntilRunning(cluster, gang);
   await cluster.run(2500);
   cluster.reclaimMachine(firstMachine(cluster, id), 16_000);
   await cluster.run(40_000);
@@ -92,10 +96,10 @@
   assert.equal(gang.startCount, 2);
 });
 
-void test('a gang that was cancelled is gone, whether it gathers, runs or saves', async () => {
+void test('a cancelled gang ends, whether it gathers, runs or saves a checkpoint', async () => {
   for (const seed of [51, 52, 53]) {
     const { cluster, id, gang } = await createClusterWithGang(seed, { imageSizeGb: 3 }, 200_000);
-    if (seed !== 51) await untilRunning(cluster, gang);
+    if (seed !== 51) await waitUntilRunning(cluster, gang);
     else
       for (let i = 0; i < 200 && cluster.machinesHolding(id).length === 0; i++)
         await cluster.run(200);
@@ -110,14 +114,14 @@
   }
 });
 
-void test('the leader ends at every step of a gang', async () => {
+void test('gangs finish although the leader is killed at any of its first messages', async () => {
   for (let step = 1; step <= 40; step++) {
     const cluster = new SimulatedCluster({ seed: 600 + step });
     await cluster.run(2000);
-    let left = step;
+    let remaining = step;
     cluster.network.onSend = (from) => {
       const leader = cluster.leader();
-      if (leader === undefined || from !== `node-${leader}` || --left !== 0) return;
+      if (leader === undefined || from !== `node-${leader}` || --remaining !== 0) return;
       cluster.killController(leader);
       cluster.time.after(step % 3 === 0 ? 200 : 5000, () => cluster.startController(leader));
     };
@@ -131,7 +135,7 @@
   }
 });
 
-void test('the state service lowers its limits while wide jobs and gangs are submitted and the leader ends', async () => {
+void test('jobs with many tasks and gangs finish although the store lowers its limits and the leader is killed', async () => {
   for (const seed of [71, 72, 73, 74]) {
     const nextStateLimits = { value_kb: 2, txn_ops: 4, write_rps: 12 };
     const cluster = new SimulatedCluster({
@@ -161,7 +165,7 @@
   }
 });
 
-void test('days on which everything goes wrong, with gangs', async () => {
+void test('arrays and gangs finish under random faults', async () => {
   for (let seed = 2001; seed <= 2010; seed++) {
     await recoverAndVerify(await runFaultScenario(seed, { withGangs: true }), `seed ${seed}`);
   }
--- a/test/sim/invariants.test.ts
+++ b/test/sim/invariants.test.ts
@@ -1,25 +1,29 @@
-/** Worlds in which one thing goes wrong at every step, and days on which everything does; the rules hold. */
+/**
+ * The invariants of the service under one fault at every step, and under random faults. Guards against jobs that are
+ * lost, run twice or never finish, when the leader is killed or frozen at any of its messages, when zones are
+ * partitioned, when machines hang or when the store has an outage.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { runFaultScenario, recoverAndVerify } from '../standin/fault-scenario.js';
 import { SimulatedCluster } from '../standin/simulated-cluster.js';
 
-/** Does something to the leader as its nth message leaves. */
-function atLeaderMessage(
+/** Applies an action to the leader just before its nth message is sent. */
+function onLeaderMessage(
   cluster: SimulatedCluster,
   n: number,
-  act: (leader: number) => void,
+  action: (leader: number) => void,
 ): void {
-  let left = n;
+  let remaining = n;
   cluster.network.onSend = (from) => {
     const leader = cluster.leader();
-    if (leader === undefined || from !== `node-${leader}` || left <= 0) return;
-    left--;
-    if (left === 0) act(leader);
+    if (leader === undefined || from !== `node-${leader}` || remaining <= 0) return;
+    remaining--;
+    if (remaining === 0) action(leader);
   };
 }
 
-void test('a quiet day: every job runs to its end', async () => {
+void test('without faults every job finishes', async () => {
   const cluster = new SimulatedCluster({ seed: 1 });
   await cluster.run(3000);
   for (let i = 0; i < 6; i++) cluster.users.submit({ taskCount: 1 + i, cpus: 1 + (i % 3) }, 4000);
@@ -32,12 +36,12 @@
   assert.ok(cluster.startCount >= 30);
 });
 
-void test('the leader is killed at every step', async () => {
-  // The nth message of the leader is the last thing it does; what was sent before still arrives.
+void test('jobs finish although the leader is killed at any of its first 60 messages', async () => {
+  // The leader is killed just before its nth message is sent; what it sent before still arrives.
   for (let step = 1; step <= 60; step++) {
     const cluster = new SimulatedCluster({ seed: 100 + step });
     await cluster.run(2000);
-    atLeaderMessage(cluster, step, (leader) => {
+    onLeaderMessage(cluster, step, (leader) => {
       cluster.killController(leader);
       cluster.time.after(step % 3 === 0 ? 200 : 5000, () => cluster.startController(leader));
     });
@@ -48,7 +52,7 @@
   }
 });
 
-void test('a cancellation during an outage, and while the leader is cut off', async () => {
+void test('jobs are cancelled during an outage of the store, or while the leader is cut off', async () => {
   for (const seed of [1, 2, 3, 4]) {
     const cluster = new SimulatedCluster({ seed: 200 + seed });
     await cluster.run(2000);
@@ -65,7 +69,7 @@
   }
 });
 
-void test('a cut between zones with late delivery, and a machine that hangs', async () => {
+void test('jobs finish although zones are partitioned with late delivery and a machine hangs', async () => {
   for (let seed = 1; seed <= 8; seed++) {
     const cluster = new SimulatedCluster({ seed: 300 + seed });
     await cluster.run(2000);
@@ -82,11 +86,11 @@
   }
 });
 
-void test('the leader is frozen at every step, for a moment or for several leases', async () => {
+void test('jobs finish although the leader is frozen at any of its first 45 messages, for 0.2 to 13 seconds', async () => {
   for (let step = 1; step <= 45; step++) {
     const cluster = new SimulatedCluster({ seed: 400 + step });
     await cluster.run(2000);
-    atLeaderMessage(cluster, step, (leader) => {
+    onLeaderMessage(cluster, step, (leader) => {
       cluster.setControllerFrozen(leader, true);
       const frozenMs = [200, 3000, 5000, 13_000][step % 4] ?? 0;
       cluster.time.after(frozenMs, () => cluster.setControllerFrozen(leader, false));
@@ -98,7 +102,7 @@
   }
 });
 
-void test('days on which everything goes wrong', async () => {
+void test('jobs finish under random faults', async () => {
   for (let seed = 1001; seed <= 1025; seed++)
     await recoverAndVerify(await runFaultScenario(seed), `seed ${seed}`);
 });
--- a/test/standin/cluster-settings.ts
+++ b/test/standin/cluster-settings.ts
@@ -1,43 +1,43 @@
-/** The platform of a world: its nodes, their settings, and the addresses of the services around them. */
+/** The settings of the simulated controllers, and the addresses of the services that they use. */
 import { parseSettings, type Settings } from '../../src/config/settings.js';
 import { settingsFile } from '../support/settings.js';
 
-/** The nodes that controllers run on. */
+/** The indexes of the controllers: `node-0`, `node-1` and `node-2`. */
 export const CONTROLLERS = [0, 1, 2] as const;
 
-/** The zones of a world that does not name its own. */
+/** The default zones of a simulated cluster. */
 export const ZONES = ['a', 'b', 'c'] as const;
 
-/** Where controllers find the state service. */
+/** The address of the store. */
 export const STORE_ADDRESS = '10.2.0.1:2379';
-/** Where they find the cloud. */
+/** The address of the cloud API. */
 export const CLOUD_ADDRESS = '10.2.0.2:8443';
 
-/** The limit of the one team, unless a world sets another. */
+/** The default of `maxCpus`. */
 const DEFAULT_MAX_CPUS = 24;
 
-/** What a world may change of the settings of its nodes. */
+/** The settings that a simulated cluster can override. */
 export interface ClusterSettingsOptions {
   readonly zones?: readonly string[];
-  /** The most processors of its one team; 0: no limit. */
+  /** The most processors of the only team; 0 for no limit. */
   readonly maxCpus?: number;
-  /** The share of a processor that a controller has. */
+  /** The share of a processor that each controller has. */
   readonly controllerCpu?: number;
-  /** The limits that the settings announce for the state service. */
+  /** The future limits of the store that the settings announce. */
   readonly announcedStoreLimits?: { value_kb: number; txn_ops: number; write_rps: number };
 }
 
-/** The settings of all nodes. */
+/** The settings of all controllers. */
 export class ClusterSettings {
   readonly zones: readonly string[];
   private readonly byController: readonly Settings[];
 
   constructor(private readonly options: ClusterSettingsOptions) {
     this.zones = options.zones ?? ZONES;
-    this.byController = CONTROLLERS.map((node) => parseSettings(this.fileOf(node)));
+    this.byController = CONTROLLERS.map((controller) => parseSettings(this.fileOf(controller)));
   }
 
-  /** The settings file of a node. */
+  /** The settings file of a controller. */
   fileOf(controller: number): object {
     const {
       maxCpus = DEFAULT_MAX_CPUS,
@@ -51,14 +51,14 @@
     return { ...file, params: { ...file.params, teams, limits, state } };
   }
 
-  /** The settings of a node. */
+  /** The parsed settings of a controller. */
   of(controller: number): Settings {
     const settings = this.byController[controller];
-    if (!settings) throw new RangeError(`there is no node ${controller}`);
+    if (!settings) throw new RangeError(`there is no controller ${controller}`);
     return settings;
   }
 
-  /** The settings of all nodes, in the order of `NODES`. */
+  /** The parsed settings of all controllers, in the order of `CONTROLLERS`. */
   get all(): readonly Settings[] {
     return this.byController;
   }
--- a/test/standin/current-build.ts
+++ b/test/standin/current-build.ts
@@ -1,4 +1,4 @@
-/** The version of the service that this repository holds, as a `Build`. */
+/** The version of the service in this repository, as a `Build`. */
 import { defaultOperator } from '../../src/config/operator.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { Controller } from '../../src/controller.js';
@@ -12,7 +12,7 @@
 import type { NodeId } from '../../src/units/index.js';
 import type { Build, ControllerEnvironment, PeerConnection, RunningController } from './build.js';
 
-/** On these connections nothing needs to be paired: each request has an exchange of its own. */
+/** Always the same, since each request has its own exchange and its response needs no matching by id. */
 const REQUEST_ID = 1;
 
 const createPeer = (connection: PeerConnection): Peer => ({
@@ -31,7 +31,9 @@
   const { peers, ...environment } = host;
   const controller = new Controller(parseSettings(settingsFile), defaultOperator, {
     ...environment,
-    peers: new Map<NodeId, Peer>([...peers].map(([node, peer]) => [node, createPeer(peer)])),
+    peers: new Map<NodeId, Peer>(
+      [...peers].map(([controllerId, peer]) => [controllerId, createPeer(peer)]),
+    ),
   });
   return {
     start: () => controller.start(),
@@ -48,5 +50,5 @@
   };
 }
 
-/** This version. */
+/** The version of the service in this repository. */
 export const currentBuild: Build = { createController };
--- a/test/standin/invariant-checker.ts
+++ b/test/standin/invariant-checker.ts
@@ -175,18 +175,18 @@
   private isPlaceable(id: string, job: UserJob): boolean {
     if (isFinished(job) || !job.isAccepted || job.isCancelRequested) return false;
     const { spec } = job;
-    let usedCpus = 0;
+    let used = 0;
     for (const { worker } of this.cluster.workers.values()) {
       for (const task of worker.taskNames()) {
         if (task.startsWith(`${id}/`)) return false;
-        usedCpus += this.cluster.tasks.cpusOf(task);
+        used += this.cluster.tasks.cpusOf(task);
       }
     }
     const needed = job.gang ? spec.taskCount : 1;
     const maxCpus = this.maxCpusOf(spec.team);
     return (
       this.countFittingTasks(job) >= needed &&
-      (maxCpus <= 0 || usedCpus + needed * spec.cpus <= maxCpus)
+      (maxCpus <= 0 || used + needed * spec.cpus <= maxCpus)
     );
   }
 
--- a/test/standin/load-balancer.ts
+++ b/test/standin/load-balancer.ts
@@ -38,7 +38,7 @@
     private readonly random: Random,
     backendCount: number,
     /** Whether a controller responds to its health check with 200 within a second. */
-    private readonly probe: (node: number) => Promise<boolean>,
+    private readonly probe: (controller: number) => Promise<boolean>,
   ) {
     this.backends = Array.from({ length: backendCount }, (_, controller) => ({
       controller,
--- a/test/standin/network.ts
+++ b/test/standin/network.ts
@@ -197,7 +197,7 @@
   }
 
   private dispatch(inFlight: InFlightRequest): void {
-    const { to, request } = call;
+    const { to, request } = inFlight;
     if (this.random() < this.lossShare || this.hostsDroppingIncoming.has(to)) return;
     const delayMs = this.lateDeliveryMs?.(request.path);
     if (delayMs !== undefined) {
@@ -234,7 +234,7 @@
   }
 
   private deliverRequest(inFlight: InFlightRequest): void {
-    const { from, to, request } = call;
+    const { from, to, request } = inFlight;
     const duplicate = this.duplicateDelivery?.(request.path, to);
     if (duplicate)
       this.time.after(duplicate.afterMs, () => void this.handle(inFlight, duplicate.to));
--- a/test/standin/older-build.ts
+++ b/test/standin/older-build.ts
@@ -1,6 +1,6 @@
 /**
- * Runs an older, compiled version of the service (commit 9324b84 and before) as a `Build`. Its classes and
- * fields have names of their own; what they are is stated here, as far as a world needs it.
+ * Runs an older, compiled version of the service (commit 9324b84 and before) as a `Build`. Its classes and fields
+ * have different names than the current ones; the types below declare those that the simulated cluster needs.
  */
 import { resolve } from 'node:path';
 import { pathToFileURL } from 'node:url';
@@ -10,7 +10,7 @@
 import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
 import type { Build, ControllerEnvironment, PeerConnection, RunningController } from './build.js';
 
-/** Values that only the older version reads. */
+/** Opaque values that only the older version reads. */
 type OlderSettings = unknown;
 type OlderOperator = unknown;
 type OlderMessage = unknown;
@@ -21,7 +21,7 @@
 
 interface OlderPeer {
   readonly responsive: boolean;
-  /** Resolves with undefined if there was no response in time. */
+  /** Resolves with undefined if no response arrives before the timeout. */
   ask(request: OlderMessage, timeout: DurationMs): Promise<OlderMessage>;
 }
 
@@ -115,7 +115,7 @@
   };
 }
 
-/** Loads the older version from the folder into which it was compiled. Rejects if a module is missing there. */
+/** Loads the older version from the folder of its compiled modules. Rejects if a module is missing there. */
 export async function loadOlderBuild(folder: string): Promise<Build> {
   const load = async <Module>(path: string): Promise<Module> =>
     (await import(pathToFileURL(resolve(folder, path)).href)) as Module;
--- a/test/standin/serve.ts
+++ b/test/standin/serve.ts
@@ -1,4 +1,4 @@
-/** The quick start: the stand-ins on loopback, and a settings file for one controller. */
+/** The quick start: runs the simulated services on loopback and writes a settings file for one controller. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { LoopbackServices } from './loopback-services.js';
 
@@ -25,17 +25,19 @@
   storeLimits: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
   cloudRequestRate: 2,
   taskEnvironment: {
-    // The stand-in workers run every task for three seconds, whatever it asks for.
+    // The simulated workers run every task for three seconds, regardless of its specification.
     propertiesOf: () => ({ cpus: 0, runMs: 3000, fetchMs: 1000, image: 'any' }),
-    onTaskStarted: (machine, task) => console.log(`${machine}: ${task} runs`),
-    onTaskLeft: (machine, task) => console.log(`${machine}: ${task} has ended`),
+    onTaskStarted: (machine, task) => console.log(`${machine}: task ${task} started`),
+    onTaskLeft: (machine, task) => console.log(`${machine}: task ${task} ended`),
     onTaskCompleted: (task) => completedTasks.add(task),
     isCompleted: (task) => completedTasks.has(task),
   },
-  onMachineBooted: ({ id }) => console.log(`${id} is up`),
-  onMachineEnded: ({ id }) => console.log(`${id} is gone`),
+  onMachineBooted: ({ id }) => console.log(`machine ${id} booted`),
+  onMachineEnded: ({ id }) => console.log(`machine ${id} ended`),
 });
 
 mkdirSync(OUTPUT_FOLDER, { recursive: true });
 writeFileSync(`${OUTPUT_FOLDER}/node-0.json`, JSON.stringify(services.settingsFile(), null, 2));
-console.log(`stand-ins are up; settings for a controller are in ${OUTPUT_FOLDER}/node-0.json`);
+console.log(
+  `simulated services are running; the settings file for a controller is ${OUTPUT_FOLDER}/node-0.json`,
+);
--- a/test/standin/simulated-cluster.ts
+++ b/test/standin/simulated-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * A world: three whole controllers among the stand-ins, on a virtual clock and by the luck of one seed, with
- * the rules checked as they run. What happens in it is in the files of its parts.
+ * A simulated cluster: three complete controllers with simulated external systems on a virtual clock. One seed
+ * determines all that happens, and the invariants are checked while it runs.
  */
 import { pino, type Logger } from 'pino';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -27,22 +27,22 @@
 import { TaskRegistry } from './task-registry.js';
 import { Users, isFinished, type UserJob } from './users.js';
 
-/** What a world is made of. */
+/** Options of a simulated cluster. */
 export interface SimulatedClusterOptions extends ClusterSettingsOptions {
   readonly seed: number;
-  /** The share of requests, and of answers, that are lost. */
+  /** The share of requests, and of responses, that are lost. */
   readonly lossShare?: number;
-  /** The version that all controllers run until they are upgraded; without it, this one. */
+  /** The version that all controllers run until they are upgraded; the current one by default. */
   readonly build?: Build;
 }
 
 const PROBE_TIMEOUT = ms(1000);
 const PINO_LEVEL_ERROR = 50;
-/** Users cancel several jobs within so many milliseconds. */
+/** The time within which users cancel several jobs. */
 const CANCELLATION_WINDOW_MS = 200;
 const MAX_MACHINES_HUNG_BY_CANCELLATION = 8;
 
-/** A log whose errors are passed on; all of it goes to stderr if SIM_LOG names a level. */
+/** A log that passes errors to `onError`. If SIM_LOG is set to a level, it also writes to stderr. */
 function createErrorCollectingLog(time: VirtualTime, onError: (line: string) => void): Logger {
   return pino(
     { level: process.env.SIM_LOG ?? 'error' },
@@ -55,7 +55,7 @@
   );
 }
 
-/** The world. */
+/** Three controllers, their workers, users and external services, with methods that inject faults. */
 export class SimulatedCluster {
   readonly time = new VirtualTime();
   readonly random: Random;
@@ -63,7 +63,7 @@
   readonly store: Store;
   readonly users: Users;
   readonly jobs: ReadonlyMap<string, UserJob>;
-  /** Of the jobs that end, such a share is cancelled at that very moment. */
+  /** The share of jobs that are cancelled at the moment when their last task completes. */
   cancelOnCompletionShare = 0;
   private readonly settings: ClusterSettings;
   private readonly controllers: ControllerProcesses;
@@ -100,7 +100,7 @@
     });
     this.networkFaults = new NetworkFaults({ random, network, settings: clusterSettings });
     this.attachExternalServices();
-    // What goes wrong inside must not stay unseen behind rules that hold.
+    // Errors that a controller logs count as violations, even if all invariants hold.
     const log = createErrorCollectingLog(time, (line) =>
       this.invariants.violations.push(`log: ${line}`),
     );
@@ -116,7 +116,7 @@
       loadBalancer: this.createLoadBalancer(),
       zones: clusterSettings.zones,
       jobs,
-      processOf: (node) => this.controllers.processOf(node),
+      processOf: (controller) => this.controllers.processOf(controller),
       onTaskCompleted: (task) => this.tasks.onTaskCompleted(task),
       onViolation: (rule, detail) => this.invariants.reportViolation(rule, detail),
     });
@@ -158,19 +158,19 @@
     });
   }
 
-  /** Lets so many milliseconds pass. */
+  /** Advances the virtual time. */
   async run(durationMs: number): Promise<void> {
     await this.time.run(this.time.now + durationMs);
   }
 
-  // --- what has happened ----------------------------------------------------------------------------
+  // --- observations ----------------------------------------------------------------------------
 
-  /** The rules that were violated so far. */
+  /** The violations of invariants so far. */
   get violations(): readonly string[] {
     return this.invariants.violations;
   }
 
-  /** How many tasks were started so far. */
+  /** How many tasks have started so far. */
   get startCount(): number {
     return this.tasks.startCount;
   }
@@ -179,24 +179,24 @@
     return this.machines.cloud;
   }
 
-  /** The workers that are up, by the ids of their machines. */
+  /** The running workers by machine id. */
   get workers(): ReadonlyMap<string, WorkerOnMachine> {
     return this.machines.workers;
   }
 
-  /** The machines that hold a task of a job, with its image or not yet. */
+  /** The machines that hold a task of a job, including those that still fetch its image. */
   machinesHolding(job: string): string[] {
     return [...this.workers]
       .filter(([, { worker }]) => worker.taskNames().some((task) => task.startsWith(`${job}/`)))
       .map(([id]) => id);
   }
 
-  /** The machines that a job's tasks are on, with their image. */
+  /** The machines of a job's tasks that have their image, one entry for each task. */
   machinesOf(job: string): string[] {
     return this.tasks.machinesOf(job);
   }
 
-  /** All faults are over. */
+  /** Marks the end of all faults, after which stricter invariants hold. */
   markFaultsEnded(): void {
     this.invariants.markFaultsEnded();
   }
@@ -207,96 +207,96 @@
 
   // --- controllers ----------------------------------------------------------------------------------
 
-  /** Starts the controller of a node, unless it runs. */
+  /** Starts a controller unless it is already running. */
   startController(controller: number): void {
     this.controllers.start(controller);
   }
 
-  /** Ends a controller's process without a signal. */
+  /** Kills a controller's process without a signal. */
   killController(controller: number): void {
     this.controllers.kill(controller);
   }
 
-  /** Freezes a controller's process, or lets it go on. */
+  /** Freezes or resumes a controller's process. */
   setControllerFrozen(controller: number, isFrozen: boolean): void {
     this.controllers.setFrozen(controller, isFrozen);
   }
 
-  /** Ends a controller's process and starts it with this version after a while. */
+  /** Kills a controller's process and starts it with the current version after `downMs`. */
   upgradeController(controller: number, downMs: number): void {
     this.controllers.upgrade(controller, downMs);
   }
 
-  /** The node that leads at this moment. */
+  /** The index of the controller that leads now. */
   leader(): number | undefined {
     return this.controllers.leader();
   }
 
   // --- machines -------------------------------------------------------------------------------------
 
-  /** Rents machines before any controller asks for one. */
+  /** Rents machines without a request of a controller. */
   rentMachines(machineCount: number): void {
     this.machines.rent(machineCount);
   }
 
-  /** Lets a machine hang, or go on. */
+  /** Makes a machine hang, or resumes it. */
   setMachineHung(id: string, isHung: boolean): void {
     this.machines.setHung(id, isHung);
   }
 
-  /** A worker is gone and back at once, with nothing of what it knew. */
+  /** Restarts a worker at once, without any of its state. */
   restartWorker(id: string): void {
     this.machines.restartWorker(id);
   }
 
-  /** A worker's heartbeats arrive, but answers and commands don't reach it. */
+  /** Drops responses and commands to a worker, while its heartbeats still arrive. */
   setIncomingDropped(id: string, isDropped: boolean): void {
     this.machines.setIncomingDropped(id, isDropped);
   }
 
-  /** A worker's heartbeats reach no controller, while commands still reach it. */
+  /** Blocks a worker's heartbeats to all controllers, while commands still reach it. */
   setHeartbeatsBlocked(id: string, isBlocked: boolean): void {
     this.machines.setHeartbeatsBlocked(id, isBlocked);
   }
 
-  /** The cloud gives notice that it takes a machine back, and does so. */
+  /** Gives a machine a reclaim notice, and ends it after `noticeMs`. */
   reclaimMachine(id: string, noticeMs: number): void {
     this.machines.reclaim(id, noticeMs);
   }
 
   // --- faults ---------------------------------------------------------------------------------------
 
-  /** A controller loses the state service and the other controllers, but not workers and users. */
+  /** Cuts a controller off from the store and the other controllers, but not from workers and users. */
   isolateController(controller: number, refusesConnections: boolean): void {
     this.networkFaults.isolate(controller, refusesConnections);
   }
 
-  /** Ends the isolation of any controller. */
+  /** Ends the isolation of all controllers. */
   reconnectControllers(): void {
     this.networkFaults.reconnect();
   }
 
-  /** Connections between controllers are refused. */
+  /** Sets whether connections between controllers are refused. */
   setPeerConnectionsRefused(isRefused: boolean): void {
     this.networkFaults.setPeerConnectionsRefused(isRefused);
   }
 
-  /** Requests to the state service, and their answers, take up to so many milliseconds longer. */
+  /** Delays each request to the store, and each response, by up to `maxDelayMs`. */
   setStoreDelay(maxDelayMs: number): void {
     this.networkFaults.setStoreDelay(maxDelayMs);
   }
 
-  /** Such a share of the transactions gets no answer and is carried out after newer ones. */
+  /** Sets the share of transactions that get no response and are carried out late, after newer ones. */
   setDelayedWriteShare(share: number): void {
     this.networkFaults.setDelayedWriteShare(share);
   }
 
-  /** Of such a share of the messages to controllers and workers a copy arrives late, at any controller. */
+  /** Sets the share of the requests to controllers and workers that arrive a second time, late. */
   setDuplicateShare(share: number): void {
     this.networkFaults.setDuplicateShare(share);
   }
 
-  /** The state service takes from now on only what the settings announced. */
+  /** Lowers the limits of the store to those that the settings announced. */
   applyAnnouncedStoreLimits(): void {
     const { next } = this.settings.of(0).state;
     if (next) this.store.setLimits(next);
@@ -304,7 +304,7 @@
 
   // --- cancellations --------------------------------------------------------------------------------
 
-  /** Users cancel so many running jobs at about the same time; their machines hang for so long meanwhile. */
+  /** Cancels running jobs at about the same time. Their machines hang meanwhile if `hangDurationMs` is above 0. */
   cancelRunningJobs(jobCount: number, hangDurationMs: number): void {
     const runningJobs = [...this.jobs].filter(
       ([id, job]) => !isFinished(job) && !job.isCancelRequested && this.machinesOf(id).length > 0,
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -1,4 +1,7 @@
-/** The state service, from the protocol: revisions, transactions, leases, watches, limits, outages. */
+/**
+ * A simulated key-value store, as the protocol describes it: revisions, transactions, leases, watches, limits and
+ * outages.
+ */
 import type { TimeSource } from './clock.js';
 import type { HostResponse } from './network.js';
 
@@ -8,7 +11,7 @@
   readonly lease: number | undefined;
 }
 
-/** A change as watches tell it. */
+/** A change as watch responses contain it. */
 interface Change {
   readonly put?: string;
   readonly delete?: string;
@@ -27,7 +30,7 @@
   expiresAt: number;
 }
 
-/** A transaction as it is sent. */
+/** The body of a transaction request. */
 interface Transaction {
   readonly if?: readonly { readonly key: string; readonly stamp: number }[];
   readonly writes?: readonly Write[];
@@ -40,7 +43,7 @@
   readonly tenure?: number;
 }
 
-/** What the service takes. Rates are per second. */
+/** The limits of the store. Rates are per second. */
 export interface StoreLimits {
   readonly requestRate: number;
   readonly writeRate: number;
@@ -49,13 +52,13 @@
 }
 
 const LEASE_SWEEP_INTERVAL_MS = 50;
-/** A lease ends by so much later than it was due. */
+/** How much later than due a lease expires. */
 const LEASE_EXPIRY_DELAY_MS = 50;
 const MAX_PAGE_ENTRIES = 1000;
-/** Conditions that a transaction may have, as a multiple of its operations. */
+/** The most conditions of a transaction, as a multiple of the most operations. */
 const MAX_CONDITIONS_PER_OP = 4;
 
-/** A bucket of tokens that holds at most one second's. */
+/** A token bucket that holds the tokens of at most one second. */
 class RateLimiter {
   private tokens: number;
   private refilledAt = 0;
@@ -67,7 +70,7 @@
     this.tokens = rate;
   }
 
-  /** Takes tokens, all or none; false if there are not enough. */
+  /** Takes all of the tokens, or none and returns false if there are too few. */
   take(count: number, rate: number): boolean {
     const { now } = this.time;
     this.tokens = Math.min(rate, this.tokens + ((now - this.refilledAt) / 1000) * rate);
@@ -80,15 +83,15 @@
 
 const RATE_LIMITED: HostResponse = { status: 429, body: {} };
 
-/** The state service. */
+/** The simulated key-value store. */
 export class Store {
   private readonly values = new Map<string, StoredValue>();
   private revision = 0;
   private nextLeaseId = 1;
   private readonly leases = new Map<number, Lease>();
-  /** The last changes, for watches. */
+  /** The most recent changes, for watches. */
   private changes: Change[] = [];
-  /** Watches from an earlier revision are answered with 410: some changes since are forgotten. */
+  /** A watch from an earlier revision gets a 410 response, since some later changes are discarded. */
   private oldestWatchableRevision = 0;
   private watchers: Watcher[] = [];
   private isUnavailable = false;
@@ -96,15 +99,15 @@
   private readonly requestLimiter: RateLimiter;
   private readonly writeLimiter: RateLimiter;
 
-  /** The sizes of all values that were sent to it, in bytes. */
+  /** The sizes in bytes of all values that transactions contained so far. */
   readonly valueSizes: number[] = [];
-  /** How many changes it keeps for watches. */
+  /** How many changes are retained for watches. */
   maxRetainedChanges = 10_000;
-  /** How many watches it was asked for so far. */
+  /** How many watch requests arrived so far. */
   watchCount = 0;
-  /** How many transactions it refused as too large so far. */
+  /** How many transactions were refused as too large so far. */
   tooLargeCount = 0;
-  /** Lists of keys that begin like this are refused, while all else is served. */
+  /** Requests to list keys with this prefix get a 503 response; all other requests are served. */
   refusedListPrefix: string | undefined;
 
   constructor(
@@ -116,19 +119,19 @@
     this.expireLeases();
   }
 
-  /** Changes its limits without notice. */
+  /** Changes the limits immediately. */
   setLimits(limits: StoreLimits): void {
     this.limits = limits;
   }
 
-  /** While it is out nothing is carried out and no lease ends. Afterwards each lease has its full time again. */
+  /** Starts or ends an outage: all requests get a 503, no lease expires, and afterwards each lease is renewed. */
   setOutage(isUnavailable: boolean): void {
     this.isUnavailable = isUnavailable;
     if (isUnavailable) return;
     for (const lease of this.leases.values()) lease.expiresAt = this.time.now + lease.ttlMs;
   }
 
-  /** Answers 503 to one node alone, whose leases run out meanwhile. */
+  /** Starts or ends an outage for one controller only, whose leases may expire meanwhile. */
   setOutageFor(controllerId: string, isUnavailable: boolean): void {
     if (isUnavailable) this.refusedControllers.add(controllerId);
     else this.refusedControllers.delete(controllerId);
@@ -167,7 +170,7 @@
     return { status: 200, body: { tenure: id } };
   }
 
-  /** Renews a lease, or ends it. */
+  /** Renews a lease, or ends it if the method is DELETE. */
   private renewOrEndLease(method: string, id: number): HostResponse {
     const lease = this.leases.get(id);
     if (!lease) return { status: 404, body: {} };
@@ -185,7 +188,7 @@
     this.time.after(LEASE_SWEEP_INTERVAL_MS, () => this.expireLeases());
   }
 
-  /** Ends a lease, and with it the keys that hang on it. */
+  /** Ends a lease and deletes the keys that are attached to it. */
   private endLease(id: number): void {
     this.leases.delete(id);
     const keys = [...this.values].filter(([, { lease }]) => lease === id).map(([key]) => key);
@@ -215,7 +218,7 @@
     return { status: 200, body: { ledger_rev: this.revision } };
   }
 
-  /** Why a transaction is refused whatever the store holds; undefined if it is not. */
+  /** Why a transaction is invalid regardless of the stored values; undefined if it is valid. */
   private refusalReason(conditionCount: number, writes: readonly Write[]): string | undefined {
     const { transactionOps, valueBytes } = this.limits;
     const sizes = writes.map(({ data }) => Buffer.byteLength(JSON.stringify(data ?? null)));
--- a/test/standin/submit.ts
+++ b/test/standin/submit.ts
@@ -1,11 +1,11 @@
-/** The quick start's user: submits a job of so many tasks and follows it to its end. */
+/** The user of the quick start: submits a job with a given number of tasks and polls it until it finishes. */
 import { NodeHttpClient } from '../../src/net/client.js';
 import { Endpoint, ms, sleep } from '../../src/units/index.js';
 import { systemClock } from '../../src/units/system.js';
 import { encodeJobSpec } from '../../src/wire/index.js';
 import { spec } from '../support/jobs.js';
 
-const TIMEOUT = ms(5000);
+const REQUEST_TIMEOUT = ms(5000);
 const RETRY_INTERVAL = ms(1000);
 
 const taskCount = Number(process.argv[2] ?? 3);
@@ -20,7 +20,7 @@
     method: 'POST',
     path: '/v1/jobs',
     body,
-    timeout: TIMEOUT,
+    timeout: REQUEST_TIMEOUT,
   });
   console.log(`submitted: ${outcome.kind === 'answer' ? outcome.status : outcome.reason}`);
   if (outcome.kind === 'answer' && outcome.status < 300) break;
@@ -29,7 +29,7 @@
 }
 for (;;) {
   const path = `/v1/jobs/${id}`;
-  const outcome = await client.send({ endpoint, method: 'GET', path, timeout: TIMEOUT });
+  const outcome = await client.send({ endpoint, method: 'GET', path, timeout: REQUEST_TIMEOUT });
   if (outcome.kind === 'answer' && outcome.status === 200) {
     console.log(JSON.stringify(outcome.body));
     if ((outcome.body as { status: string }).status === 'done') process.exit(0);
--- a/test/standin/task-registry.ts
+++ b/test/standin/task-registry.ts
@@ -1,28 +1,28 @@
-/** What workers see of the jobs that users submitted, and where each task is at every moment. */
+/** The tasks of all submitted jobs: their properties for the workers, and the machines that each is on. */
 import type { UserJob } from './users.js';
 import type { TaskProperties, TaskEnvironment } from './worker-tasks.js';
 
-/** One task of a job. */
+/** One task of a submitted job. */
 export interface RegisteredTask {
   readonly job: UserJob;
   readonly index: number;
 }
 
-/** Called as tasks start and end. */
+/** Callbacks for the start of tasks and the completion of jobs. */
 export interface TaskObserver {
-  /** `others`: the machines that the task was on already. */
+  /** `otherMachines`: the machines that already held the task. */
   onTaskStarted(machine: string, task: string, otherMachines: readonly string[]): void;
-  /** All tasks of a job are completed; called once more for each task that completes again. */
+  /** All tasks of a job are completed. Called again for each task that completes once more. */
   onJobCompleted(job: UserJob): void;
 }
 
 const FETCH_MS_PER_GB = 2000;
 
-/** The tasks of all jobs. */
+/** Tracks the tasks of all jobs. */
 export class TaskRegistry implements TaskEnvironment {
-  /** How many tasks were started so far. */
+  /** How many tasks have started so far. */
   startCount = 0;
-  /** The machines that each task is on; a task that is on none has no entry. */
+  /** The machines that each task is on; a task on none has no entry. */
   private readonly machinesByTask = new Map<string, Set<string>>();
 
   constructor(
@@ -30,24 +30,24 @@
     private readonly observer: TaskObserver,
   ) {}
 
-  /** The task of a name; undefined if its job was never submitted. */
+  /** Finds a task by its name; undefined if its job was never submitted. */
   find(task: string): RegisteredTask | undefined {
     const [id = '', index = ''] = task.split('/');
     const job = this.jobs.get(id);
     return job ? { job, index: Number(index) } : undefined;
   }
 
-  /** The processors that a task takes; 0 if it was never submitted. */
+  /** The processors that a task uses; 0 if it was never submitted. */
   cpusOf(task: string): number {
     return this.find(task)?.job.spec.cpus ?? 0;
   }
 
-  /** All tasks that are on machines, and the machines, in the order in which they started. */
+  /** All tasks on machines with their machines, in the order in which the tasks started. */
   placements(): Iterable<[string, ReadonlySet<string>]> {
     return this.machinesByTask;
   }
 
-  /** The machines that a job's tasks are on, one for each task. */
+  /** The machines of a job's tasks, one entry for each placed task. */
   machinesOf(job: string): string[] {
     const found: string[] = [];
     for (const [task, machines] of this.machinesByTask) {
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -1,6 +1,6 @@
 /**
- * Users, from the protocol: they submit, ask, cancel and repeat, and remember each answer, so that one which
- * contradicts an earlier one is noticed.
+ * Simulated users, as the protocol describes them: they submit, poll, cancel and repeat requests, and record each
+ * response to detect one that contradicts an earlier one.
  */
 import type { Outcome } from '../../src/net/http.js';
 import { Endpoint, ms, type Random } from '../../src/units/index.js';
@@ -17,25 +17,25 @@
 import { GangRun } from './gang-run.js';
 import { NO_ZONE, type Network } from './network.js';
 
-/** A job as its user knows it, and as the workers carry it out. */
+/** A job with the state that its user knows and the progress of its tasks on the workers. */
 export interface UserJob {
   readonly spec: JobSpec;
   readonly runMs: number;
   isAccepted: boolean;
-  /** The status that its user was last answered, as the protocol names it. */
+  /** The status in the last response to its user, as the protocol names it. */
   lastStatus: string;
   isCancelRequested: boolean;
-  /** When its user was answered that it is cancelled. */
+  /** When a response told its user that it is cancelled. */
   cancelledAt: number | undefined;
   /** The indexes of the tasks that the workers have completed. */
   readonly completedTasks: Set<number>;
-  /** What its tasks do together, if it is a gang. */
+  /** The shared state of its tasks, if it is a gang. */
   readonly gang: GangRun | undefined;
-  /** When a question about it was last answered. */
+  /** When a request about it last got a response. */
   lastResponseAt: number;
-  /** Since when it has waited though some machine can take it. */
+  /** Since when it has waited while some machine has room for it. */
   placeableSince: number | undefined;
-  /** The controller process that its user's connection is open to. */
+  /** The user's open connection to a controller process. */
   connection: Connection | undefined;
 }
 
@@ -44,16 +44,16 @@
   readonly process: object;
 }
 
-/** What users need of the world around them. */
+/** The parts of the simulated cluster that users use. */
 export interface UsersDependencies {
   readonly time: VirtualTime;
   readonly random: Random;
   readonly network: Network;
   readonly loadBalancer: LoadBalancer;
   readonly zones: readonly string[];
-  /** All jobs by their ids; users add those that they submit. */
+  /** All jobs by id; users add those that they submit. */
   readonly jobs: Map<string, UserJob>;
-  /** The process that a controller runs as at this moment. */
+  /** The running process of a controller. */
   processOf(controller: number): object | undefined;
   onTaskCompleted(task: string): void;
   onViolation(rule: string, detail: string): void;
@@ -66,13 +66,13 @@
 const RETRY_INTERVAL_MS = 1000;
 const MAX_CONNECT_ATTEMPTS = 3;
 
-/** Whether the last answer to a job's user was a final one. */
+/** Whether the last status that the job's user got is final. */
 export const isFinished = ({ lastStatus }: UserJob): boolean =>
   lastStatus === 'done' || lastStatus === 'aborted';
 
-/** All users. */
+/** Simulates all users. */
 export class Users {
-  /** The last polls: when, and whether they were answered. */
+  /** The last polls: their times, and whether each got a response. */
   private polls: { readonly at: number; readonly isAnswered: boolean }[] = [];
   private jobCount = 0;
   private readonly clock: ProcessClock;
@@ -81,7 +81,7 @@
     this.clock = new ProcessClock(dependencies.time, 0, 0);
   }
 
-  /** Submits a job, and polls it to its end and beyond. Cancels it after `cancelAfter`, if that is given. */
+  /** Submits a job and polls it until it finishes and beyond. Cancels it after `cancelAfterMs`, if given. */
   submit(overrides: Partial<JobSpec>, runMs: number, cancelAfterMs?: number): string {
     const id = `run-${String(++this.jobCount).padStart(6, '0')}`;
     const submitted = spec({ ...overrides, id });
@@ -105,7 +105,7 @@
     return id;
   }
 
-  /** The user of a job cancels it. */
+  /** Cancels a job as its user. */
   cancel(id: string): void {
     const job = this.dependencies.jobs.get(id);
     if (!job || job.isCancelRequested) return;
@@ -113,14 +113,14 @@
     this.cancelUntilConfirmed(job);
   }
 
-  /** Jobs that have not come to their end, each with its last status. */
+  /** The unfinished jobs, each as its id and last status. */
   unfinishedJobs(): string[] {
     return [...this.dependencies.jobs]
       .filter(([, job]) => !isFinished(job))
       .map(([id, job]) => `${id} ${job.lastStatus}`);
   }
 
-  /** Whether most polls were answered within the last so many milliseconds. Older ones are forgotten. */
+  /** Whether most polls within the last `withinMs` got a response. Discards older ones. */
   areMostPollsAnswered(withinMs: number): boolean {
     const { now } = this.dependencies.time;
     this.polls = this.polls.filter(({ at }) => now - at < withinMs);
@@ -128,8 +128,8 @@
   }
 
   /**
-   * What users do that makes no sense: repeat the submission of a running job, cancel one that is done, and
-   * submit jobs that can't run (422) or that lack a field (400).
+   * Sends requests that are redundant or invalid: repeats the submission of a running job, cancels one that is
+   * done, and submits jobs that can't run (422) or that lack a field (400).
    */
   sendUnexpectedRequests(): void {
     for (const [id, job] of this.dependencies.jobs) {
@@ -143,7 +143,7 @@
     this.expectRejection({ ...incomplete, name_id: `run-8${suffix}` }, 400);
   }
 
-  /** Asks for a job that nobody submitted. */
+  /** Polls a job that was never submitted. */
   pollUnknownJob(): void {
     void this.sendRequest('GET', '/v1/jobs/run-999999', undefined, POLL_TIMEOUT_MS).then(
       (response) => {
@@ -155,8 +155,8 @@
   // --- connections --------------------------------------------------------------------------------
 
   /**
-   * Asks over the job's connection as long as that is open, else over a new one. Resolves with undefined
-   * if there was no answer.
+   * Sends a request over the job's connection while that is open, otherwise over a new one. Resolves with
+   * undefined if there is no response.
    */
   private async sendRequest(
     method: 'GET' | 'POST',
@@ -178,7 +178,7 @@
     return undefined;
   }
 
-  /** A connection, unless its process has ended or the balancer has reset it. */
+  /** Returns the connection unless its process has ended or the load balancer has reset it. */
   private openConnection(connection: Connection | undefined): Connection | undefined {
     if (!connection) return undefined;
     const { controller, process } = connection;
@@ -259,13 +259,13 @@
         this.polls.push({ at: time.now, isAnswered: isAnswered });
         if (response?.status === 404) this.dependencies.onViolation('forgotten', id);
         if (response?.status === 200) this.recordStatus(job, response.body);
-        // Also after its end: the answer must stay.
+        // Polling goes on after the end of the job, since its status must not change any more.
         time.after(isFinished(job) ? 6000 : 3000, () => this.poll(job));
       },
     );
   }
 
-  /** Compares the status in an answer with what is known of the job, and remembers it. */
+  /** Checks the status in a response against what is known of the job, and records it. */
   private recordStatus(job: UserJob, body: unknown): void {
     const { status } = body as { status: string };
     const { id, taskCount } = job.spec;
@@ -290,9 +290,9 @@
     job.lastStatus = status;
   }
 
-  // --- odd requests -------------------------------------------------------------------------------
+  // --- unexpected requests -------------------------------------------------------------------------------
 
-  /** Submits a job again, or cancels it though it is done. */
+  /** Submits a job again, or cancels it although it is done. */
   private repeatRequest(id: string, job: UserJob): void {
     const isCancellation = job.lastStatus === 'done' && this.dependencies.random() < 0.5;
     const path = isCancellation ? `/v1/jobs/${id}/abort` : '/v1/jobs';
--- a/test/standin/worker-tasks.ts
+++ b/test/standin/worker-tasks.ts
@@ -1,7 +1,7 @@
-/** The tasks on one worker, from the protocol: what commands start and stop, and how tasks end. */
+/** The tasks on one simulated worker, as the protocol describes them: start, stop, exit and checkpoints. */
 import type { GangMember, GangRun } from './gang-run.js';
 
-/** A command as it is sent. */
+/** A command as the protocol encodes it. */
 export interface CommandMessage {
   readonly verb: 'launch' | 'kill' | 'clear';
   readonly entry: string;
@@ -9,7 +9,7 @@
   readonly wind_down_s?: number;
 }
 
-/** One attempt of a task on this worker. */
+/** An attempt of a task on this worker. */
 interface TaskAttempt {
   readonly task: string;
   readonly number: number;
@@ -19,35 +19,35 @@
   /** Why it exited, as the protocol names it. */
   cause: string | undefined;
   hasSavedCheckpoint: boolean;
-  /** Its part in a gang, from when it has its image. */
+  /** Its membership in a gang, once it has its image. */
   gangMember: GangMember | undefined;
 }
 
-/** What a worker fetches of a task. */
+/** The properties of a task that a worker needs to run it. */
 export interface TaskProperties {
   readonly cpus: number;
   readonly runMs: number;
-  /** How long its image takes to fetch. */
+  /** How long fetching its image takes. */
   readonly fetchMs: number;
   readonly image: string;
-  /** How long it takes to save when it is stopped; undefined if it can't. */
+  /** How long saving a checkpoint takes when it is stopped; undefined if it can't save any. */
   readonly checkpointMs?: number | undefined;
   readonly gang?: GangRun | undefined;
 }
 
-/** What a worker shares with the world around it. Tasks are named `<job>/<index>`. */
+/** Provides the properties of tasks and receives their events. Tasks are named `<job>/<index>`. */
 export interface TaskEnvironment {
   /** Undefined if the task was never submitted. */
   propertiesOf(task: string): TaskProperties | undefined;
-  /** The task has its image and is on the machine from now on. */
+  /** The task has its image and occupies the machine from now on. */
   onTaskStarted(machine: string, task: string): void;
-  /** It no longer is. */
+  /** The task no longer occupies the machine. */
   onTaskLeft(machine: string, task: string): void;
   onTaskCompleted(task: string): void;
   isCompleted(task: string): boolean;
 }
 
-/** What the tasks need of their worker. */
+/** The parts of a worker that its tasks use. */
 export interface TaskHost {
   /** The id of its machine. */
   readonly machine: string;
@@ -55,9 +55,9 @@
   readonly environment: TaskEnvironment;
   /** Whether its machine hangs. */
   isHung(): boolean;
-  /** Runs something later, unless the worker is dead by then, and no earlier than it goes on if it hangs. */
+  /** Runs a callback after a delay. Drops it if the worker is dead by then; delays it while the worker hangs. */
   after(delay: number, run: () => void): void;
-  /** Something has changed that the next heartbeat is to tell. */
+  /** Called for each change that the next heartbeat must report. */
   onChanged(): void;
 }
 
@@ -66,33 +66,33 @@
 
 const keyOf = (task: string, attempt: number): string => `${task}#${attempt}`;
 
-/** All tasks of a worker. */
+/** The tasks of one worker. */
 export class WorkerTasks {
   private readonly attempts = new Map<string, TaskAttempt>();
   private readonly images = new Set<string>();
 
   constructor(private readonly host: TaskHost) {}
 
-  /** The tasks that are on it, or for which it fetches the image. */
+  /** The names of the tasks that run on it or whose image it fetches. */
   taskNames(): string[] {
     return [...this.attempts.values()]
       .filter(({ state }) => state !== 'exited')
       .map(({ task }) => task);
   }
 
-  /** The processors that its tasks leave. */
+  /** The processors that its tasks don't use. */
   freeCpus(): number {
     return this.host.cpus - this.usedCpus(0);
   }
 
-  /** The processors that its tasks take beside `others`. */
+  /** The processors that its tasks use, plus `otherCpus`. */
   private usedCpus(otherCpus: number): number {
     let used = otherCpus;
     for (const { state, cpus } of this.attempts.values()) if (state !== 'exited') used += cpus;
     return used;
   }
 
-  /** The status of each task, as heartbeats hold it. */
+  /** The status of each task, as heartbeats contain it. */
   statuses(): object[] {
     return [...this.attempts.values()].map(
       ({ task, number: attempt, state, cause, hasSavedCheckpoint }) => ({
@@ -105,26 +105,26 @@
     );
   }
 
-  /** Drops all tasks, as a worker does that ends or has lost its lease. */
+  /** Drops all tasks, when the worker ends or has lost its lease. */
   dropAllTasks(): void {
     for (const attempt of this.attempts.values()) this.release(attempt);
     this.attempts.clear();
   }
 
-  /** A task is no longer on the machine, and no longer part of its gang. */
+  /** Removes a task from the machine and from its gang. */
   private release(attempt: TaskAttempt): void {
     const { machine, environment } = this.host;
     if (occupiesMachine(attempt)) environment.onTaskLeft(machine, attempt.task);
     if (attempt.gangMember) environment.propertiesOf(attempt.task)?.gang?.leave(attempt.gangMember);
   }
 
-  /** Drops the images too, as a worker does that begins from nothing. */
+  /** Drops all tasks and images, when the worker restarts without any state. */
   dropTasksAndImages(): void {
     this.dropAllTasks();
     this.images.clear();
   }
 
-  /** Carries out a command. A repeated one changes nothing. */
+  /** Carries out a command. A repeated command changes nothing. */
   execute(command: CommandMessage): void {
     const key = keyOf(command.entry, command.try);
     const attempt = this.attempts.get(key);
@@ -186,12 +186,12 @@
     });
   }
 
-  /** Whether a task is still held and has not exited. */
+  /** Whether an attempt is still on the worker and has not exited. */
   private isCurrent(task: TaskAttempt): boolean {
     return this.attempts.get(keyOf(task.task, task.number)) === task && task.state !== 'exited';
   }
 
-  /** The task of a gang has its image: from now on it does what its gang does. */
+  /** Adds the task to its gang, which controls it from now on. */
   private joinGang(attempt: TaskAttempt, gang: GangRun): void {
     const applyLater = (change: () => void): void => {
       this.host.after(0, () => {
@@ -215,7 +215,7 @@
     gang.join(attempt.gangMember);
   }
 
-  /** Stops a task. The task of a gang saves first if there is enough time. */
+  /** Stops a task. A task of a gang saves a checkpoint first if there is enough time. */
   private stop(attempt: TaskAttempt, graceMs: number): void {
     const properties = this.host.environment.propertiesOf(attempt.task);
     const canSave = properties?.checkpointMs !== undefined && graceMs >= properties.checkpointMs;
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -1,17 +1,17 @@
-/** A worker, from the protocol: heartbeats, sessions, fencing tokens, its lease, and who may command it. */
+/** A simulated worker, as the protocol describes it: heartbeats, sessions, its lease, and fencing of commands. */
 import type { HttpClient, Outcome } from '../../src/net/http.js';
 import { Endpoint, ms, type Clock, type Random } from '../../src/units/index.js';
 import type { RentedMachine } from './cloud.js';
 import type { HostResponse } from './network.js';
 import { WorkerTasks, type CommandMessage, type TaskEnvironment } from './worker-tasks.js';
 
-/** A controller as workers know it. */
+/** The name and the address of a controller. */
 export interface ControllerAddress {
   readonly name: string;
   readonly address: string;
 }
 
-/** What a worker is made of. */
+/** The parameters and dependencies of a worker. */
 export interface WorkerOptions {
   readonly machine: RentedMachine;
   readonly cpus: number;
@@ -26,9 +26,9 @@
 const HEARTBEAT_TIMEOUT_MS = ms(4000);
 const LOOP_INTERVAL_MS = 80;
 const LEASE_CHECK_INTERVAL_MS = ms(100);
-/** What is due while the machine hangs is looked at again after so long. */
+/** How often a callback that is due is retried while the machine hangs. */
 const HUNG_RETRY_INTERVAL_MS = 50;
-/** Heartbeats that report a change, or follow a failed one, keep this distance. */
+/** The minimal interval before a heartbeat that reports a change or follows a failed one. */
 const MIN_HEARTBEAT_INTERVAL_MS = 500;
 
 /** The worker on one machine. */
@@ -37,21 +37,21 @@
   private sequence = 0;
   private fencingToken = 0;
   private readonly tasks: WorkerTasks;
-  /** Index of the controller that it reports to, counted on past the end. */
+  /** The index of the controller that gets its heartbeats, modulo the number of controllers. */
   private controllerIndex: number;
   private leaseRenewedAt: number;
   private lastHeartbeatAt = -Infinity;
   private isHeartbeatPending = false;
-  /** Whether something has changed that a heartbeat has yet to tell. */
+  /** Whether there is a change that no heartbeat has reported yet. */
   private hasUnreportedChange = false;
   private tokenReportedAt = -Infinity;
   private isDead = false;
   isHung = false;
-  /** Heartbeats sent so far. */
+  /** How many heartbeats it has sent so far. */
   heartbeatCount = 0;
-  /** Answers so far that renewed its lease. */
+  /** How many responses have renewed its lease so far. */
   renewalCount = 0;
-  /** When its machine will be reclaimed, once the cloud has said so. */
+  /** When its machine will be reclaimed; undefined without a reclaim notice. */
   reclaimedAt: number | undefined;
 
   constructor(private readonly options: WorkerOptions) {
@@ -71,23 +71,23 @@
     this.scheduleLeaseCheck();
   }
 
-  /** The names of the tasks that are on it, or for which it fetches the image. */
+  /** The names of the tasks that run on it or whose image it fetches. */
   taskNames(): string[] {
     return this.tasks.taskNames();
   }
 
-  /** The processors that its tasks leave. */
+  /** The processors that its tasks don't use. */
   freeCpus(): number {
     return this.tasks.freeCpus();
   }
 
-  /** Ends it for good, with its machine. */
+  /** Ends the worker permanently, together with its machine. */
   kill(): void {
     this.isDead = true;
     this.tasks.dropAllTasks();
   }
 
-  /** It is gone and back at once, with nothing of what it knew. */
+  /** Restarts the worker at once, without any of its state. */
   restart(): void {
     this.tasks.dropTasksAndImages();
     this.session = 1;
@@ -97,7 +97,7 @@
     this.hasUnreportedChange = true;
   }
 
-  /** Answers a request to the worker itself. */
+  /** Handles a request to the worker's own address. */
   handle(_method: string, path: string, body: unknown): HostResponse {
     if (path === '/status') return { status: 200, body: this.createHeartbeat() };
     const {
@@ -121,7 +121,7 @@
   private after(delay: number, run: () => void): void {
     this.options.clock.after(ms(delay), () => {
       if (this.isDead) return;
-      // A hanging machine does nothing; what was due happens when it goes on.
+      // A hung machine runs nothing; callbacks that are due run when it resumes.
       if (this.isHung) this.after(HUNG_RETRY_INTERVAL_MS, run);
       else run();
     });
@@ -129,7 +129,7 @@
 
   // --- heartbeats ---------------------------------------------------------------------------------
 
-  /** Runs while the machine hangs too: one that hangs may go on within its lease, and no later. */
+  /** Also runs while the machine hangs: a worker that resumes after its lease has expired has no tasks left. */
   private scheduleLeaseCheck(): void {
     const { clock, times } = this.options;
     clock.after(LEASE_CHECK_INTERVAL_MS, () => {
@@ -155,7 +155,7 @@
     });
   }
 
-  /** The next heartbeat, as it is sent. */
+  /** Creates the next heartbeat as the protocol encodes it. */
   private createHeartbeat(): Record<string, unknown> {
     const { machine, clock } = this.options;
     this.sequence++;
@@ -193,14 +193,14 @@
     });
     this.isHeartbeatPending = false;
     if (this.isDead) return;
-    // A machine that hangs takes no answer: it would be too old when it goes on.
+    // A hung machine ignores the response, which would be outdated when it resumes.
     if (this.isHung) this.hasUnreportedChange = true;
     else if (outcome.kind === 'answer' && outcome.status === 200) {
       this.acceptResponse(outcome.body, session, sentAt);
     } else this.changeController(outcome);
   }
 
-  /** Takes the answer to a heartbeat. It renews the lease from when the heartbeat was sent. */
+  /** Applies the response to a heartbeat. The lease is renewed from the time when the heartbeat was sent. */
   private acceptResponse(body: unknown, session: number, sentAt: number): void {
     const { baton, orders = [] } = body as { baton?: number; orders?: CommandMessage[] };
     if (session !== this.session || baton === undefined || baton < this.fencingToken) return;
@@ -210,7 +210,7 @@
     for (const command of orders) this.tasks.execute(command);
   }
 
-  /** Turns to the controller that a 421 names, or else to the next one after a pause. */
+  /** Switches to the controller that a 421 response names, otherwise to the next one after a pause. */
   private changeController(outcome: Outcome): void {
     const { clock, controllers, times } = this.options;
     this.hasUnreportedChange = true;
@@ -226,7 +226,7 @@
     this.lastHeartbeatAt = clock.steady() + MIN_HEARTBEAT_INTERVAL_MS - times.heartbeatMs;
   }
 
-  /** Remembers a higher fencing token. It is reported soon, unless the last one was just before. */
+  /** Records a higher fencing token, and reports it soon unless another one was reported within half a lease. */
   private recordToken(token: number): void {
     if (token <= this.fencingToken) return;
     this.fencingToken = token;
