--- a/test/standin/invariant-checker.ts
+++ b/test/standin/invariant-checker.ts
@@ -183,15 +183,15 @@
       }
     }
     const needed = job.gang ? spec.taskCount : 1;
-    const maxCpus = this.maxCpusOf(spec.team);
+    const quota = this.maxCpusOf(spec.team);
     return (
-      this.countFittingTasks(job) >= needed &&
-      (maxCpus <= 0 || used + needed * spec.cpus <= maxCpus)
+      this.countFitting(job) >= needed &&
+      (quota <= 0 || used + needed * spec.cpus <= quota)
     );
   }
 
   /** Counts the tasks of a job that fit on the machines; in the best zone for a gang that must stay in one zone. */
-  private countFittingTasks({ spec, gang }: UserJob): number {
+  private countFitting({ spec, gang }: UserJob): number {
     const byZone = new Map<string, number>();
     for (const { worker, machine } of this.cluster.workers.values()) {
       if (worker.reclaimedAt !== undefined || !isAllowedOn(spec, machine)) continue;
