--- a/src/leader/contact-history.ts
+++ b/src/leader/contact-history.ts
@@ -2,7 +2,7 @@
  * Records what this leader needs to know before it treats a silent machine as lost: since when it has responded to
  * heartbeats without interruption, and when each follower that relays heartbeats was last unreachable.
  */
-import type { Peer } from '../peer/channel.js';
+import type { Peer } from '../peer/peer.js';
 import type { NodeId, SteadyMs } from '../units/index.js';
 
 /** Updated by the periodic work of a term and read by the autoscaler. */
@@ -13,7 +13,7 @@
   private uninterruptedSince: SteadyMs;
 
   constructor(
-    private readonly peers: ReadonlyMap<NodeId, Pick<Peer, 'responsive'>>,
+    private readonly peers: ReadonlyMap<NodeId, Pick<Peer, 'isResponsive'>>,
     startedAt: SteadyMs,
   ) {
     this.uninterruptedSince = startedAt;
@@ -37,7 +37,7 @@
   /** Records which peers do not respond at the moment. */
   recordUnreachablePeers(now: SteadyMs): void {
     for (const [peerId, peer] of this.peers) {
-      if (!peer.responsive) this.unreachableAt.set(peerId, now);
+      if (!peer.isResponsive) this.unreachableAt.set(peerId, now);
     }
   }
 }
--- a/test/standin/build.ts
+++ b/test/standin/build.ts
@@ -4,7 +4,7 @@
  * format of any version.
  */
 import type { Logger } from 'pino';
-import type { Reply } from '../../src/api/reply.js';
+import type { ApiResponse } from '../../src/api/api-response.js';
 import type { HttpClient } from '../../src/net/http.js';
 import type { Clock, DurationMs, NodeId, Random } from '../../src/units/index.js';
 
@@ -40,13 +40,13 @@
   /** Stops its timers and loops, as the end of its process would. */
   stop(): void;
   /** The response to a load balancer's probe. */
-  health(): Reply;
+  health(): ApiResponse;
   /** Whether it is the leader now. */
   isLeader(): boolean;
-  handleUserRequest(method: string, path: string, body: Buffer): Promise<Reply>;
-  handleHeartbeat(body: Buffer): Promise<Reply>;
+  handleUserRequest(method: string, path: string, body: Buffer): Promise<ApiResponse>;
+  handleHeartbeat(body: Buffer): Promise<ApiResponse>;
   /** Handles a peer's request. The body of the result is the frame of the response. */
-  handlePeerFrame(frame: Buffer): Promise<Reply>;
+  handlePeerFrame(frame: Buffer): Promise<ApiResponse>;
 }
 
 /** One version of the service. */
