--- a/test/standin/invariant-checker.ts
+++ b/test/standin/invariant-checker.ts
@@ -184,10 +184,7 @@
     }
     const needed = job.gang ? spec.taskCount : 1;
     const quota = this.maxCpusOf(spec.team);
-    return (
-      this.countFitting(job) >= needed &&
-      (quota <= 0 || used + needed * spec.cpus <= quota)
-    );
+    return this.countFitting(job) >= needed && (quota <= 0 || used + needed * spec.cpus <= quota);
   }
 
   /** Counts the tasks of a job that fit on the machines; in the best zone for a gang that must stay in one zone. */
