--- a/test/sim/combined-faults.test.ts
+++ b/test/sim/combined-faults.test.ts
@@ -1,8 +1,7 @@
 /**
- * Several faults at the same time or in close sequence, each of which the service survives alone: changes of leader
- * during outages of the store, cancellations on machines that hang, requests that arrive late or twice. They guard
- * against lost jobs, tasks that run twice and cancelled tasks that go on running. `docs/meetings.md` lists what each
- * combination has revealed.
+ * Several faults at the same time or in close sequence: failovers during outages of the store, cancellations on
+ * machines that hang, requests that arrive late or twice. Guards against lost jobs, tasks that run twice and
+ * cancelled tasks that go on running. `docs/meetings.md` lists what each combination has revealed.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -12,7 +11,7 @@
 import { SimulatedCluster } from '../standin/simulated-cluster.js';
 
 /** A combination of faults. The invariants are checked while it runs and after all faults have ended. */
-interface Combination {
+interface FaultCombination {
   readonly name: string;
   readonly seeds: readonly number[];
   /** The quota of the team in processors; 24 by default, 0 for no limit. */
@@ -59,9 +58,9 @@
   schedule(cluster, outageAfterMs + outageMs, () => cluster.store.setOutage(false));
 }
 
-const combinations: readonly Combination[] = [
+const combinations: readonly FaultCombination[] = [
   // The times from the refusal to the outage: before, while and after the leader key expires.
-  ...[500, 2000, 3800, 4300, 5000, 8000, 12_000].map((outageAfterMs): Combination => ({
+  ...[500, 2000, 3800, 4300, 5000, 8000, 12_000].map((outageAfterMs): FaultCombination => ({
     name: `the store refuses the leader only, and all controllers ${outageAfterMs} ms later for longer than cancel_s`,
     seeds: [1, 2, 3, 4, 5],
     maxCpus: 0,
--- a/test/sim/fleet.test.ts
+++ b/test/sim/fleet.test.ts
@@ -32,7 +32,7 @@
   return { cluster, fleet };
 }
 
-void test('a failover keeps running machines that the new leader has no heartbeat of yet', async () => {
+void test('a failover keeps running machines from which the new leader has no heartbeat yet', async () => {
   const { cluster, fleet } = await createClusterWithFleet(11);
   const leader = cluster.leader() ?? 0;
   cluster.killController(leader);
@@ -52,7 +52,7 @@
   cluster.setMachineHung(slow, true);
   cluster.killController(leader);
   cluster.time.after(5000, () => cluster.startController(leader));
-  // Longer than a machine may send no heartbeats after its first one, but within its lease.
+  // Longer than a machine that has sent a heartbeat may be silent before it counts as lost, but within its lease.
   await cluster.run(17_000);
   cluster.setMachineHung(slow, false);
   await cluster.run(30_000);
--- a/test/sim/gangs.test.ts
+++ b/test/sim/gangs.test.ts
@@ -51,7 +51,7 @@
     cluster.users.submit({ ...GANG, singleZone: false, spreadZones: true, taskCount: 4 }, 8000),
   ];
   cluster.users.submit({ taskCount: 6 }, 6000);
-  await recoverAndVerify(cluster, 'quiet');
+  await recoverAndVerify(cluster, 'without faults');
   for (const id of ids) assert.equal(gangOf(cluster, id).startCount, 1, id);
 });
 
@@ -79,7 +79,7 @@
   // Detecting the loss takes about nine seconds, fetching twelve and booting ten; the gathering timeout is 45 seconds.
   await cluster.run(42_000);
   assert.equal(gang.startCount, 1);
-  await recoverAndVerify(cluster, 'lost before it ran');
+  await recoverAndVerify(cluster, 'machine lost before the gang ran');
 });
 
 void test('a gang saves a checkpoint as a whole when a machine of it gets a reclaim notice', async () => {
@@ -92,7 +92,7 @@
     gang.savedProgressMs > 10_000 && gang.savedProgressMs % 5000 !== 0,
     `saved ${gang.savedProgressMs}`,
   );
-  await recoverAndVerify(cluster, 'notice');
+  await recoverAndVerify(cluster, 'reclaim notice');
   assert.equal(gang.startCount, 2);
 });
 
@@ -137,11 +137,11 @@
 
 void test('jobs with many tasks and gangs finish although the store lowers its limits and the leader is killed', async () => {
   for (const seed of [71, 72, 73, 74]) {
-    const nextStateLimits = { value_kb: 2, txn_ops: 4, write_rps: 12 };
+    const announcedStoreLimits = { value_kb: 2, txn_ops: 4, write_rps: 12 };
     const cluster = new SimulatedCluster({
       seed,
       maxCpus: 0,
-      announcedStoreLimits: nextStateLimits,
+      announcedStoreLimits,
     });
     await cluster.run(2500);
     cluster.rentMachines(30);
--- a/test/sim/invariants.test.ts
+++ b/test/sim/invariants.test.ts
@@ -32,7 +32,7 @@
   cluster.users.submit({ taskCount: 4, singleZone: true }, 3000);
   cluster.users.submit({ taskCount: 6, cpus: 8 }, 20_000, 15_000);
   cluster.users.pollUnknownJob();
-  await recoverAndVerify(cluster, 'quiet');
+  await recoverAndVerify(cluster, 'without faults');
   assert.ok(cluster.startCount >= 30);
 });
 
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -22,7 +22,7 @@
   after(delay: number, run: () => void): Timer;
 }
 
-/** Time that passes only in `runUntil`. Timers of one instant fire in the order in which they were set. */
+/** Time that passes only in `run`. Timers of one instant fire in the order in which they were set. */
 export class VirtualTime implements TimeSource {
   now = 0;
   private nextSequence = 0;
@@ -33,11 +33,11 @@
     return a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
   }
 
-  after(delay: number, runUntil: () => void): Timer {
+  after(delay: number, run: () => void): Timer {
     const timer: ScheduledTimer = {
       at: this.now + Math.max(0, delay),
       sequence: this.nextSequence++,
-      run: runUntil,
+      run,
     };
     this.push(timer);
     return { cancel: () => (timer.run = undefined) };
--- a/test/standin/cluster-settings.ts
+++ b/test/standin/cluster-settings.ts
@@ -39,15 +39,11 @@
 
   /** The settings file of a controller. */
   fileOf(controller: number): object {
-    const {
-      maxCpus = DEFAULT_MAX_CPUS,
-      controllerCpu,
-      announcedStoreLimits: nextStateLimits,
-    } = this.options;
+    const { maxCpus = DEFAULT_MAX_CPUS, controllerCpu, announcedStoreLimits } = this.options;
     const file = settingsFile(controller, this.zones);
     const teams = file.params.teams.map((team) => ({ ...team, cpus_max: maxCpus }));
     const limits = { ...file.params.limits, cpu: controllerCpu ?? file.params.limits.cpu };
-    const state = { ...file.params.state, next: nextStateLimits };
+    const state = { ...file.params.state, next: announcedStoreLimits };
     return { ...file, params: { ...file.params, teams, limits, state } };
   }
 
--- a/test/standin/invariant-checker.ts
+++ b/test/standin/invariant-checker.ts
@@ -133,7 +133,7 @@
     for (const [task] of this.cluster.tasks.placements()) {
       const job = this.cluster.tasks.find(task)?.job;
       if (job && this.isCancellationOverdue(job))
-        this.reportViolation('ran_cancelled', `${task} is still there`);
+        this.reportViolation('ran_cancelled', `${task} still runs`);
     }
   }
 
@@ -148,12 +148,15 @@
         areMostPollsAnswered &&
         now - job.lastResponseAt > MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_MS
       ) {
-        this.reportViolation('forgotten', `${id}: unanswered while others are not`);
+        this.reportViolation('forgotten', `${id}: polls get no response while most others do`);
         job.lastResponseAt = now;
       }
       if (this.faultsEndedAt === undefined) continue;
       if (now - Math.max(job.lastResponseAt, this.faultsEndedAt) > MAX_UNANSWERED_AFTER_FAULTS_MS) {
-        this.reportViolation('forgotten', `${id}: unanswered though all faults are over`);
+        this.reportViolation(
+          'forgotten',
+          `${id}: polls get no response although all faults have ended`,
+        );
         job.lastResponseAt = now;
       }
     }
@@ -166,7 +169,7 @@
       if (!this.isPlaceable(id, job)) job.placeableSince = undefined;
       else job.placeableSince ??= now;
       if (now - (job.placeableSince ?? now) <= MAX_PLACEABLE_WAIT_MS) continue;
-      this.reportViolation('left_waiting', `${id} though some machine can take it`);
+      this.reportViolation('left_waiting', `${id} waits although a machine has room for it`);
       job.placeableSince = undefined;
     }
   }
@@ -191,7 +194,7 @@
   private countFitting({ spec, gang }: UserJob): number {
     const byZone = new Map<string, number>();
     for (const { worker, machine } of this.cluster.workers.values()) {
-      if (worker.reclaimedAt !== undefined || !isAllowedOn(spec, machine)) continue;
+      if (worker.reclaimAt !== undefined || !isAllowedOn(spec, machine)) continue;
       const zone = gang && spec.singleZone ? machine.zone : '';
       const count = Math.floor(worker.freeCpus() / spec.cpus);
       byZone.set(zone, (byZone.get(zone) ?? 0) + count);
--- a/test/standin/load-balancer.ts
+++ b/test/standin/load-balancer.ts
@@ -25,7 +25,10 @@
 const REMOVAL_WINDOW_MS = 120_000;
 /** How long after a controller became unhealthy the open connections to it are reset. */
 const RESET_DELAY_MS = 5000;
-/** A controller with more failures than this among its last `PROBE_WINDOW` probes is removed. */
+/**
+ * A controller with more failures than this among its last `PROBE_WINDOW` probes is removed, as is one with two
+ * failures in a row.
+ */
 const MAX_FAILED_PROBES = 2;
 const PROBE_WINDOW = 6;
 
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -163,16 +163,16 @@
     const { seconds, warm } = options;
     await sleep(systemClock, ms(warm * 1000));
     const before = {
-      cpuTicks: this.ticks(),
-      heartbeatsPerSecond: this.heartbeatCount(),
-      started: this.startedTaskCount,
+      cpuTicks: this.cpuTicks(),
+      heartbeats: this.heartbeatCount(),
+      startedTasks: this.startedTaskCount,
     };
     await sleep(systemClock, ms(seconds * 1000));
-    const cpuMsPerSecond = ((this.ticks() - before.cpuTicks) * MS_PER_CPU_TICK) / seconds;
-    const heartbeats = (this.heartbeatCount() - before.heartbeatsPerSecond) / seconds;
-    const startsPerSecond = (this.startedTaskCount - before.started) / seconds;
+    const cpuMsPerSecond = ((this.cpuTicks() - before.cpuTicks) * MS_PER_CPU_TICK) / seconds;
+    const heartbeatsPerSecond = (this.heartbeatCount() - before.heartbeats) / seconds;
+    const startsPerSecond = (this.startedTaskCount - before.startedTasks) / seconds;
     console.log(
-      `${this.buildPath}: ${this.services.workers.size} machines, ${heartbeats.toFixed(0)} heartbeats/s, ` +
+      `${this.buildPath}: ${this.services.workers.size} machines, ${heartbeatsPerSecond.toFixed(0)} heartbeats/s, ` +
         `${startsPerSecond.toFixed(1)} starts/s, ${cpuMsPerSecond.toFixed(0)} ms of processor time a second`,
     );
     return cpuMsPerSecond;
@@ -180,7 +180,7 @@
 
   /** Measures the cost of a restart: all workers send heartbeats at once until each has its lease renewed. */
   private async measureRestart(): Promise<void> {
-    const { workers: workers } = this.services;
+    const { workers } = this.services;
     this.child.kill('SIGKILL');
     await sleep(systemClock, ms(CONTROLLER_DOWN_MS));
     const before = new Map([...workers].map(([id, { worker }]) => [id, worker.renewalCount]));
@@ -194,7 +194,7 @@
     const seconds = (systemClock.steady() - startedAt) / 1000;
     console.log(
       `${this.buildPath}: after a restart all leases are renewed within ${seconds.toFixed(2)} s, ` +
-        `for ${this.ticks() * MS_PER_CPU_TICK} ms of processor time`,
+        `for ${this.cpuTicks() * MS_PER_CPU_TICK} ms of processor time`,
     );
   }
 
@@ -207,7 +207,7 @@
   }
 
   /** The processor time that the controller has used so far, in ticks. */
-  private ticks(): number {
+  private cpuTicks(): number {
     const stat = readFileSync(`/proc/${this.child.pid ?? 0}/stat`, 'utf8');
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     return Number(fields[11]) + Number(fields[12]);
@@ -274,9 +274,9 @@
 for (const [turn, main] of options.main.entries()) {
   cpuMsPerSecondByBuild.push(await new BenchmarkRun(main, turn).measure());
 }
-const [first = 0] = cpuMsPerSecondByBuild;
+const [baseline = 0] = cpuMsPerSecondByBuild;
 for (const [turn, time] of cpuMsPerSecondByBuild.entries()) {
   if (turn > 0)
-    console.log(`${options.main[turn] ?? ''}: ${(time / first).toFixed(2)} of the first`);
+    console.log(`${options.main[turn] ?? ''}: ${(time / baseline).toFixed(2)} of the first`);
 }
 process.exit(0);
--- a/test/standin/machine-fleet.ts
+++ b/test/standin/machine-fleet.ts
@@ -129,7 +129,7 @@
     const workerOnMachine = this.workers.get(id);
     if (!workerOnMachine) return;
     const { time } = this.dependencies;
-    workerOnMachine.worker.reclaimedAt = time.now + noticeMs;
+    workerOnMachine.worker.reclaimAt = time.now + noticeMs;
     time.after(noticeMs, () => this.cloud.end(id));
   }
 }
--- a/test/standin/network.ts
+++ b/test/standin/network.ts
@@ -93,7 +93,7 @@
    * request that is delivered normally.
    */
   lateDeliveryMs: ((path: string) => number | undefined) | undefined;
-  /** Whether a request is carried out but its response is lost. */
+  /** Returns whether the response to a request is lost although the request is carried out. */
   losesResponse: ((path: string) => boolean) | undefined;
   /** Called before each request is sent; a test may kill the sender here. */
   onSend: ((from: string, to: string, path: string) => void) | undefined;
@@ -149,7 +149,7 @@
     setMembership(this.refusing, address, isRefused);
   }
 
-  /** Holds back requests to a path. A call with undefined ends that and releases them. */
+  /** Holds back requests to a path, until it is called with another path, or with undefined to release them. */
   holdRequests(path: string | undefined): void {
     this.heldRequestPath = path;
     if (path === undefined) this.releaseHeldRequests();
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -22,7 +22,7 @@
 interface Watcher {
   readonly prefix: string;
   readonly from: number;
-  readonly resolve: (answer: HostResponse) => void;
+  readonly resolve: (response: HostResponse) => void;
 }
 
 interface Lease {
@@ -146,7 +146,7 @@
     if (this.isUnavailable || this.refusedControllers.has(from))
       return { status: 503, body: { error: 'out' } };
     if (!this.requestLimiter.take(1, this.limits.requestRate)) return RATE_LIMITED;
-    const { pathname, searchParams } = new URL(target, 'http://state');
+    const { pathname, searchParams } = new URL(target, 'http://store');
     if (pathname === '/multi') return this.transact(body as Transaction);
     if (pathname === '/follow') return this.watch(searchParams);
     if (pathname === '/store') return this.list(searchParams);
@@ -166,7 +166,7 @@
 
   private grantLease(ttlMs: number): HostResponse {
     const id = this.nextLeaseId++;
-    this.leases.set(id, { ttlMs: ttlMs, expiresAt: this.time.now + ttlMs });
+    this.leases.set(id, { ttlMs, expiresAt: this.time.now + ttlMs });
     return { status: 200, body: { tenure: id } };
   }
 
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -72,7 +72,7 @@
 
 /** Simulates all users. */
 export class Users {
-  /** The last polls: their times, and whether each got a response. */
+  /** The last polls: their times, and whether each got the response 200 or 404. */
   private polls: { readonly at: number; readonly isAnswered: boolean }[] = [];
   private jobCount = 0;
   private readonly clock: ProcessClock;
@@ -256,7 +256,7 @@
       (response) => {
         const isAnswered = response?.status === 200 || response?.status === 404;
         if (isAnswered) job.lastResponseAt = time.now;
-        this.polls.push({ at: time.now, isAnswered: isAnswered });
+        this.polls.push({ at: time.now, isAnswered });
         if (response?.status === 404) this.dependencies.onViolation('forgotten', id);
         if (response?.status === 200) this.recordStatus(job, response.body);
         // Polling goes on after the end of the job, since its status must not change any more.
--- a/test/standin/worker-tasks.ts
+++ b/test/standin/worker-tasks.ts
@@ -95,9 +95,9 @@
   /** The status of each task, as heartbeats contain it. */
   statuses(): object[] {
     return [...this.attempts.values()].map(
-      ({ task, number: attempt, state, cause, hasSavedCheckpoint }) => ({
+      ({ task, number, state, cause, hasSavedCheckpoint }) => ({
         entry: task,
-        try: attempt,
+        try: number,
         status: state,
         ...(cause === undefined ? {} : { cause }),
         ...(hasSavedCheckpoint ? { kept: true } : {}),
@@ -225,11 +225,11 @@
     else this.exit(attempt, 'halted');
   }
 
-  private exit(attempt: TaskAttempt, cause: string, isSaved = false): void {
+  private exit(attempt: TaskAttempt, cause: string, hasSavedCheckpoint = false): void {
     this.release(attempt);
     attempt.state = 'exited';
     attempt.cause = cause;
-    if (isSaved) attempt.hasSavedCheckpoint = true;
+    if (hasSavedCheckpoint) attempt.hasSavedCheckpoint = true;
     this.host.onChanged();
   }
 }
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -24,7 +24,7 @@
 }
 
 const HEARTBEAT_TIMEOUT_MS = ms(4000);
-const LOOP_INTERVAL_MS = 80;
+const HEARTBEAT_CHECK_INTERVAL_MS = 80;
 const LEASE_CHECK_INTERVAL_MS = ms(100);
 /** How often a callback that is due is retried while the machine hangs. */
 const HUNG_RETRY_INTERVAL_MS = 50;
@@ -52,7 +52,7 @@
   /** How many responses have renewed its lease so far. */
   renewalCount = 0;
   /** When its machine will be reclaimed; undefined without a reclaim notice. */
-  reclaimedAt: number | undefined;
+  reclaimAt: number | undefined;
 
   constructor(private readonly options: WorkerOptions) {
     this.controllerIndex = Math.floor(options.random() * options.controllers.length);
@@ -100,11 +100,7 @@
   /** Handles a request to the worker's own address. */
   handle(_method: string, path: string, body: unknown): HostResponse {
     if (path === '/status') return { status: 200, body: this.createHeartbeat() };
-    const {
-      baton: baton,
-      shift,
-      orders,
-    } = body as {
+    const { baton, shift, orders } = body as {
       baton?: number;
       shift?: number;
       orders: CommandMessage[];
@@ -146,7 +142,7 @@
 
   private scheduleHeartbeats(): void {
     const { clock, random, times } = this.options;
-    this.after(LOOP_INTERVAL_MS, () => {
+    this.after(HEARTBEAT_CHECK_INTERVAL_MS, () => {
       const sinceLast = clock.steady() - this.lastHeartbeatAt;
       const isDue = sinceLast >= times.heartbeatMs * (0.75 + 0.5 * random());
       const isChangeDue = this.hasUnreportedChange && sinceLast >= MIN_HEARTBEAT_INTERVAL_MS;
@@ -169,9 +165,7 @@
       tally: this.sequence,
       baton: this.fencingToken,
       recall_s:
-        this.reclaimedAt === undefined
-          ? null
-          : Math.max(0, (this.reclaimedAt - clock.steady()) / 1000),
+        this.reclaimAt === undefined ? null : Math.max(0, (this.reclaimAt - clock.steady()) / 1000),
       entries: this.tasks.statuses(),
     };
   }
