--- a/test/standin/present-build.ts
+++ b/test/standin/current-build.ts
@@ -1,4 +1,4 @@
-/** The version of the service that this repository holds, as a `Build`. */
+/** The version of the service in this repository, as a `Build`. */
 import { defaultOperatorSettings } from '../../src/config/operator-settings.js';
 import { parseSettings } from '../../src/config/settings.js';
 import { Controller } from '../../src/controller.js';
@@ -10,12 +10,12 @@
   encodeResponse,
 } from '../../src/peer/codec.js';
 import type { ControllerId } from '../../src/units/index.js';
-import type { Build, ControllerHost, PeerConnection, RunningController } from './build.js';
+import type { Build, ControllerEnvironment, PeerConnection, RunningController } from './build.js';
 
-/** On these connections nothing needs to be paired: each request has an exchange of its own. */
+/** Always the same, since each request has its own exchange and its response needs no matching by id. */
 const REQUEST_ID = 1;
 
-const peerOver = (connection: PeerConnection): Peer => ({
+const createPeer = (connection: PeerConnection): Peer => ({
   get isResponsive() {
     return connection.isResponsive;
   },
@@ -27,17 +27,19 @@
     ),
 });
 
-function createController(settingsFile: unknown, host: ControllerHost): RunningController {
+function createController(settingsFile: unknown, host: ControllerEnvironment): RunningController {
   const { peers, ...environment } = host;
   const controller = new Controller(parseSettings(settingsFile), defaultOperatorSettings, {
     ...environment,
-    peers: new Map<ControllerId, Peer>([...peers].map(([node, peer]) => [node, peerOver(peer)])),
+    peers: new Map<ControllerId, Peer>(
+      [...peers].map(([controllerId, peer]) => [controllerId, createPeer(peer)]),
+    ),
   });
   return {
     start: () => controller.start(),
     stop: () => controller.stop(),
     health: () => controller.health(),
-    hasAuthority: () => controller.election.authority() !== undefined,
+    isLeader: () => controller.election.authority() !== undefined,
     handleUserRequest: (method, path, body) => controller.userRequests.handle(method, path, body),
     handleHeartbeat: (body) => controller.workerHeartbeats.handle(body),
     handlePeerFrame: async (frame) => {
@@ -48,5 +50,5 @@
   };
 }
 
-/** This version. */
-export const presentBuild: Build = { createController };
+/** The version of the service in this repository. */
+export const currentBuild: Build = { createController };
--- a/test/standin/gang-run.ts
+++ b/test/standin/gang-run.ts
@@ -1,54 +1,57 @@
-/** The workers' side of one gang, from the protocol: its tasks find each other by the number of their attempt. */
+/**
+ * The simulated tasks of one gang, as the protocol describes them: tasks of the same attempt number form a group
+ * that starts, saves checkpoints and fails together.
+ */
 import type { TimeSource } from './clock.js';
 
-/** What a gang needs, and how long it takes. */
-export interface GangFacts {
+/** The size of a gang, its running time and its checkpoints. */
+export interface GangProperties {
   readonly taskCount: number;
   readonly runMs: number;
-  /** How much progress lies between two checkpoints; 0: it never saves by itself. */
+  /** The progress between two periodic checkpoints; 0 if it saves none. */
   readonly checkpointIntervalMs: number;
-  /** How long it takes to save when it is stopped. */
+  /** How long saving a checkpoint takes when the gang is stopped. */
   readonly checkpointMs: number;
 }
 
-/** The times of the protocol for gangs. */
-export interface GangTimes {
-  /** A task waits for so long until all others of its attempt are there. */
-  readonly gatherMs: number;
-  /** The tasks of a gang notice within so long that one of them is gone. */
-  readonly peerMs: number;
+/** The timeouts that the protocol sets for gangs. */
+export interface GangTimeouts {
+  /** How long a task waits for all other tasks of its attempt. */
+  readonly gatherTimeoutMs: number;
+  /** The time within which the tasks of a gang detect that one of them is lost. */
+  readonly peerLossTimeoutMs: number;
 }
 
-/** What is to be known of a gang outside. */
+/** Callbacks for what happens to a gang. */
 export interface GangEvents {
   onCompleted(): void;
-  /** Something happened that must not. */
+  /** An invariant of gangs was violated. */
   onViolation(detail: string): void;
 }
 
-/** A task of a gang on a worker, from when it has its image. */
+/** A task of a gang on a worker that has fetched the task's image. */
 export interface GangMember {
   readonly index: number;
   readonly attempt: number;
   /** Whether its machine hangs. */
   isHung(): boolean;
-  /** All tasks are there: it runs. */
-  run(): void;
-  /** It was stopped, and the gang writes a checkpoint. */
-  save(): void;
-  exit(cause: string, isSaved?: boolean): void;
+  /** Called when all tasks of the attempt have joined. */
+  startRunning(): void;
+  /** Called when the task was stopped with enough time to save a checkpoint. */
+  startCheckpoint(): void;
+  exit(cause: string, hasSavedCheckpoint?: boolean): void;
 }
 
-/** The tasks of one attempt, and what they do together. */
+/** The tasks of one attempt and their common state. */
 class GangAttempt {
   readonly members = new Map<number, GangMember>();
   readonly stopped = new Set<GangMember>();
   startedAt: number | undefined;
   stoppedAt: number | undefined;
-  isOver = false;
+  hasEnded = false;
 
   get isRunning(): boolean {
-    return this.startedAt !== undefined && !this.isOver;
+    return this.startedAt !== undefined && !this.hasEnded;
   }
 
   get hasHungMember(): boolean {
@@ -56,45 +59,45 @@
   }
 }
 
-/** One gang from its first task to its end. */
+/** One gang through all its attempts. */
 export class GangRun {
   private readonly attempts = new Map<number, GangAttempt>();
-  /** Progress in milliseconds that the next attempt goes on from. */
-  savedMs = 0;
-  private isDone = false;
-  /** How often all tasks began to run. */
-  starts = 0;
+  /** The progress that the next attempt resumes from. */
+  savedProgressMs = 0;
+  private isCompleted = false;
+  /** How many attempts have started to run. */
+  startCount = 0;
 
   constructor(
     private readonly time: TimeSource,
-    private readonly facts: GangFacts,
-    private readonly times: GangTimes,
+    private readonly properties: GangProperties,
+    private readonly timeouts: GangTimeouts,
     private readonly events: GangEvents,
   ) {}
 
-  /** A task has its image and is there. */
+  /** Adds a task that has its image to its attempt, and starts the attempt with the last one. */
   join(member: GangMember): void {
-    if (this.isDone) {
+    if (this.isCompleted) {
       member.exit('done');
       return;
     }
     const attempt = this.attempts.get(member.attempt) ?? new GangAttempt();
     this.attempts.set(member.attempt, attempt);
     if (attempt.startedAt !== undefined) {
-      // Its attempt has begun, and ended, without it.
-      this.time.after(this.times.peerMs / 2, () => member.exit('peers'));
+      // Its attempt has already started without it.
+      this.time.after(this.timeouts.peerLossTimeoutMs / 2, () => member.exit('peers'));
       return;
     }
     attempt.members.set(member.index, member);
-    this.time.after(this.times.gatherMs, () => {
+    this.time.after(this.timeouts.gatherTimeoutMs, () => {
       if (attempt.startedAt === undefined && attempt.members.get(member.index) === member) {
         member.exit('incomplete');
       }
     });
-    if (attempt.members.size === this.facts.taskCount) this.start(attempt);
+    if (attempt.members.size === this.properties.taskCount) this.start(attempt);
   }
 
-  /** A task was stopped or has vanished, or its machine has. */
+  /** Removes a task that was stopped or lost. A running attempt fails with it. */
   leave(member: GangMember): void {
     const attempt = this.attempts.get(member.attempt);
     if (attempt?.members.get(member.index) !== member) return;
@@ -102,7 +105,7 @@
     if (attempt.isRunning) this.fail(attempt);
   }
 
-  /** A task is stopped with enough time to save. The gang saves once all of its tasks are. */
+  /** Stops a task with enough time to save. The gang saves once all its tasks are stopped. */
   stop(member: GangMember): void {
     const attempt = this.attempts.get(member.attempt);
     if (!attempt?.isRunning) {
@@ -110,19 +113,19 @@
       return;
     }
     attempt.stopped.add(member);
-    member.save();
+    member.startCheckpoint();
     if (attempt.stoppedAt === undefined) {
       attempt.stoppedAt = this.time.now;
-      this.time.after(this.times.peerMs, () => {
-        if (!attempt.isOver) this.fail(attempt);
+      this.time.after(this.timeouts.peerLossTimeoutMs, () => {
+        if (!attempt.hasEnded) this.fail(attempt);
       });
     }
-    if (attempt.stopped.size < this.facts.taskCount) return;
-    this.time.after(this.facts.checkpointMs, () => {
-      if (attempt.isOver) return;
-      attempt.isOver = true;
-      this.savedMs = this.progressOf(attempt);
-      for (const other of attempt.members.values()) other.exit('halted', true);
+    if (attempt.stopped.size < this.properties.taskCount) return;
+    this.time.after(this.properties.checkpointMs, () => {
+      if (attempt.hasEnded) return;
+      attempt.hasEnded = true;
+      this.savedProgressMs = this.progressOf(attempt);
+      for (const otherMember of attempt.members.values()) otherMember.exit('halted', true);
     });
   }
 
@@ -133,39 +136,39 @@
       }
     }
     attempt.startedAt = this.time.now;
-    this.starts++;
-    for (const member of attempt.members.values()) member.run();
-    this.watch(attempt);
-    this.time.after(this.facts.runMs - this.savedMs, () => {
-      if (!attempt.isOver && attempt.stoppedAt === undefined) this.complete(attempt);
+    this.startCount++;
+    for (const member of attempt.members.values()) member.startRunning();
+    this.scheduleHangCheck(attempt);
+    this.time.after(this.properties.runMs - this.savedProgressMs, () => {
+      if (!attempt.hasEnded && attempt.stoppedAt === undefined) this.complete(attempt);
     });
   }
 
-  /** The others notice when the machine of one hangs. */
-  private watch(attempt: GangAttempt): void {
-    this.time.after(this.times.peerMs / 4, () => {
-      if (attempt.isOver) return;
+  /** Fails the attempt when the machine of one of its tasks hangs. */
+  private scheduleHangCheck(attempt: GangAttempt): void {
+    this.time.after(this.timeouts.peerLossTimeoutMs / 4, () => {
+      if (attempt.hasEnded) return;
       if (attempt.hasHungMember) this.fail(attempt);
-      else this.watch(attempt);
+      else this.scheduleHangCheck(attempt);
     });
   }
 
   private complete(attempt: GangAttempt): void {
     if (attempt.hasHungMember) return;
-    attempt.isOver = true;
-    this.isDone = true;
+    attempt.hasEnded = true;
+    this.isCompleted = true;
     this.events.onCompleted();
     for (const member of attempt.members.values()) member.exit('done');
   }
 
   private fail(attempt: GangAttempt): void {
-    attempt.isOver = true;
-    const { checkpointIntervalMs } = this.facts;
+    attempt.hasEnded = true;
+    const { checkpointIntervalMs } = this.properties;
     const progress = this.progressOf(attempt);
     if (checkpointIntervalMs > 0) {
-      this.savedMs = Math.floor(progress / checkpointIntervalMs) * checkpointIntervalMs;
+      this.savedProgressMs = Math.floor(progress / checkpointIntervalMs) * checkpointIntervalMs;
     }
-    this.time.after(this.times.peerMs / 2, () => {
+    this.time.after(this.timeouts.peerLossTimeoutMs / 2, () => {
       for (const member of attempt.members.values()) {
         member.exit(attempt.stopped.has(member) ? 'halted' : 'peers');
       }
@@ -173,6 +176,6 @@
   }
 
   private progressOf({ startedAt, stoppedAt }: GangAttempt): number {
-    return this.savedMs + (stoppedAt ?? this.time.now) - (startedAt ?? this.time.now);
+    return this.savedProgressMs + (stoppedAt ?? this.time.now) - (startedAt ?? this.time.now);
   }
 }
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -1,7 +1,7 @@
 /**
- * What a controller costs: one real process among the stand-ins on loopback, with a fleet and a stream of jobs
- * of a chosen size. Several builds run one after the other and are compared as a ratio, since the times
- * themselves belong to the machine that measured them.
+ * A load benchmark: measures the processor time of one real controller process that runs with the simulated
+ * services on loopback, with a fleet and streams of jobs of a chosen size. Several builds run one after the other
+ * and are compared as a ratio, since the times themselves depend on the machine that runs the benchmark.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
@@ -13,8 +13,8 @@
 import { systemClock } from '../../src/units/system-clock.js';
 import { encodeJobSpec, type MachineType, type JobSpec } from '../../src/wire/index.js';
 import { jobSpec } from '../support/job-spec.js';
-import { Loopback } from './loopback.js';
-import type { TaskFacts } from './worker-tasks.js';
+import { LoopbackServices } from './loopback-services.js';
+import type { TaskProperties } from './worker-tasks.js';
 
 const options = new Command()
   .option('--main <file...>', 'builds to run, one after the other', ['target/main.js'])
@@ -25,24 +25,24 @@
   .parse()
   .opts<{ main: string[]; machines: number; warm: number; seconds: number; node: string }>();
 
-const FOLDER = 'target/load';
+const OUTPUT_FOLDER = 'target/load';
 const SEED = 20261202;
-/** How long the controller is down, and how long its machines may take to be answered again. */
-const DOWN_MS = 5000;
+/** How long the controller is down, and the longest time to wait until all workers have their leases renewed. */
+const CONTROLLER_DOWN_MS = 5000;
 const MAX_RECOVERY_MS = 30_000;
 const FIRST_PORT = 21_000;
 const PORTS_PER_BUILD = 8000;
-/** The processors of a machine, on average, and the share of them that jobs are to keep busy. */
+/** The average number of processors of a machine, and the share of them that the jobs keep busy. */
 const CPUS_PER_MACHINE = 12;
-const BUSY_SHARE = 0.8;
+const BUSY_CPU_SHARE = 0.8;
 const FETCH_MS_PER_GB = 500;
 const SUBMIT_TIMEOUT = ms(5000);
 const SUBMIT_RETRY_INTERVAL = ms(1000);
 const POLL_INTERVAL = ms(5000);
 const POLL_TIMEOUT = ms(2000);
 const RECOVERY_CHECK_INTERVAL = ms(20);
-/** The system counts processor time in hundredths of a second. */
-const MS_PER_TICK = 10;
+/** Linux counts processor time in ticks of a hundredth of a second. */
+const MS_PER_CPU_TICK = 10;
 
 const machineType = (name: string, cpus: number, memoryGb: number, zone: string): MachineType => ({
   name,
@@ -57,7 +57,7 @@
   zones: [zone],
 });
 
-/** A kind of job: its share of the processors, and what each is like. */
+/** A stream of similar jobs: its share of the busy processors, and the jobs' runtime and specification. */
 interface JobStream {
   readonly share: number;
   readonly runMs: number;
@@ -104,155 +104,158 @@
   },
 ];
 
-/** One build among its stand-ins. */
-class LoadRun {
+/** The benchmark of one build. */
+class BenchmarkRun {
   private readonly random = xoroshiro128plus(SEED);
-  private readonly jobs = new Map<string, { readonly spec: JobSpec; readonly runMs: number }>();
-  private readonly completed = new Set<string>();
+  private readonly submittedJobs = new Map<
+    string,
+    { readonly spec: JobSpec; readonly runMs: number }
+  >();
+  private readonly completedTasks = new Set<string>();
   private readonly client = new PooledHttpClient(64, 64, 64);
   private readonly endpoint: Endpoint;
   private readonly settingsPath: string;
-  private readonly loopback: Loopback;
+  private readonly services: LoopbackServices;
   private child: ChildProcess;
-  private startedCount = 0;
-  private isOver = false;
+  private startedTaskCount = 0;
+  private hasEnded = false;
 
   constructor(
-    private readonly main: string,
+    private readonly buildPath: string,
     turn: number,
   ) {
-    const state = FIRST_PORT + turn * PORTS_PER_BUILD;
-    const ports = { state, cloud: state + 1, api: state + 2, cluster: state + 3 };
+    const store = FIRST_PORT + turn * PORTS_PER_BUILD;
+    const ports = { store, cloud: store + 1, api: store + 2, cluster: store + 3 };
     this.endpoint = Endpoint(`127.0.0.1:${ports.api}`);
-    this.settingsPath = `${FOLDER}/node-${turn}.json`;
-    this.loopback = new Loopback({
-      ports: { ...ports, workers: state + 10 },
+    this.settingsPath = `${OUTPUT_FOLDER}/node-${turn}.json`;
+    this.services = new LoopbackServices({
+      ports: { ...ports, workers: store + 10 },
       machineTypes: [machineType('small', 8, 32, 'a'), machineType('large', 32, 64, 'b')],
       capacity: options.machines,
-      state: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
-      cloudRate: 2,
-      tasks: {
-        facts: (task) => this.factsOf(task),
-        onTaskStarted: () => this.startedCount++,
+      storeLimits: { requestRate: 80, writeRate: 15, valueBytes: 8192, transactionOps: 8 },
+      cloudRequestRate: 2,
+      taskEnvironment: {
+        propertiesOf: (task) => this.propertiesOf(task),
+        onTaskStarted: () => this.startedTaskCount++,
         onTaskLeft: () => undefined,
-        onTaskCompleted: (task) => this.completed.add(task),
-        isCompleted: (task) => this.completed.has(task),
+        onTaskCompleted: (task) => this.completedTasks.add(task),
+        isCompleted: (task) => this.completedTasks.has(task),
       },
     });
-    mkdirSync(FOLDER, { recursive: true });
-    writeFileSync(this.settingsPath, JSON.stringify(this.loopback.settingsFile()));
+    mkdirSync(OUTPUT_FOLDER, { recursive: true });
+    writeFileSync(this.settingsPath, JSON.stringify(this.services.settingsFile()));
     this.child = this.startController();
   }
 
-  /** Measures the build. Resolves with the milliseconds of processor time that it took in a second. */
+  /** Measures the build. Resolves with the processor time in milliseconds that it used per second. */
   async measure(): Promise<number> {
-    const feeding = STREAMS.map((stream) => this.feed(stream));
-    const spent = await this.measureSteadyLoad();
+    const submissions = STREAMS.map((stream) => this.submitStream(stream));
+    const cpuMsPerSecond = await this.measureSteadyLoad();
     await this.measureRestart();
-    this.isOver = true;
+    this.hasEnded = true;
     this.child.kill('SIGKILL');
-    this.loopback.killWorkers();
-    await Promise.all(feeding);
-    return spent;
+    this.services.killWorkers();
+    await Promise.all(submissions);
+    return cpuMsPerSecond;
   }
 
   private async measureSteadyLoad(): Promise<number> {
     const { seconds, warm } = options;
     await sleep(systemClock, ms(warm * 1000));
     const before = {
-      ticks: this.ticks(),
+      cpuTicks: this.cpuTicks(),
       heartbeats: this.heartbeatCount(),
-      started: this.startedCount,
+      startedTasks: this.startedTaskCount,
     };
     await sleep(systemClock, ms(seconds * 1000));
-    const spent = ((this.ticks() - before.ticks) * MS_PER_TICK) / seconds;
-    const heartbeats = (this.heartbeatCount() - before.heartbeats) / seconds;
-    const starts = (this.startedCount - before.started) / seconds;
+    const cpuMsPerSecond = ((this.cpuTicks() - before.cpuTicks) * MS_PER_CPU_TICK) / seconds;
+    const heartbeatsPerSecond = (this.heartbeatCount() - before.heartbeats) / seconds;
+    const startsPerSecond = (this.startedTaskCount - before.startedTasks) / seconds;
     console.log(
-      `${this.main}: ${this.loopback.workers.size} machines, ${heartbeats.toFixed(0)} heartbeats/s, ` +
-        `${starts.toFixed(1)} starts/s, ${spent.toFixed(0)} ms of processor time a second`,
+      `${this.buildPath}: ${this.services.workers.size} machines, ${heartbeatsPerSecond.toFixed(0)} heartbeats/s, ` +
+        `${startsPerSecond.toFixed(1)} starts/s, ${cpuMsPerSecond.toFixed(0)} ms of processor time a second`,
     );
-    return spent;
+    return cpuMsPerSecond;
   }
 
-  /** All machines come back at once after a change of leader: what it costs until each is answered. */
+  /** Measures the cost of a restart: all workers send heartbeats at once until each has its lease renewed. */
   private async measureRestart(): Promise<void> {
-    const { workers } = this.loopback;
+    const { workers } = this.services;
     this.child.kill('SIGKILL');
-    await sleep(systemClock, ms(DOWN_MS));
+    await sleep(systemClock, ms(CONTROLLER_DOWN_MS));
     const before = new Map([...workers].map(([id, { worker }]) => [id, worker.renewalCount]));
     const startedAt = systemClock.steady();
     this.child = this.startController();
-    const areAllAnswered = (): boolean =>
+    const areAllRenewed = (): boolean =>
       [...workers].every(([id, { worker }]) => worker.renewalCount > (before.get(id) ?? 0));
-    while (!areAllAnswered() && systemClock.steady() - startedAt < MAX_RECOVERY_MS) {
+    while (!areAllRenewed() && systemClock.steady() - startedAt < MAX_RECOVERY_MS) {
       await sleep(systemClock, RECOVERY_CHECK_INTERVAL);
     }
     const seconds = (systemClock.steady() - startedAt) / 1000;
     console.log(
-      `${this.main}: after a restart all are answered within ${seconds.toFixed(2)} s, ` +
-        `for ${this.ticks() * MS_PER_TICK} ms of processor time`,
+      `${this.buildPath}: after a restart all leases are renewed within ${seconds.toFixed(2)} s, ` +
+        `for ${this.cpuTicks() * MS_PER_CPU_TICK} ms of processor time`,
     );
   }
 
   private startController(): ChildProcess {
     const flags = options.node.split(' ').filter(Boolean);
-    return spawn(process.execPath, [...flags, this.main, '--config', this.settingsPath], {
+    return spawn(process.execPath, [...flags, this.buildPath, '--config', this.settingsPath], {
       stdio: ['ignore', 'ignore', 'inherit'],
       env: { ...process.env, LOG_LEVEL: 'error' },
     });
   }
 
-  /** The processor time that the controller has taken, in ticks of the system. */
-  private ticks(): number {
+  /** The processor time that the controller has used so far, in ticks. */
+  private cpuTicks(): number {
     const stat = readFileSync(`/proc/${this.child.pid ?? 0}/stat`, 'utf8');
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     return Number(fields[11]) + Number(fields[12]);
   }
 
   private heartbeatCount(): number {
-    return [...this.loopback.workers.values()].reduce(
-      (sum, { worker }) => sum + worker.sentCount,
+    return [...this.services.workers.values()].reduce(
+      (sum, { worker }) => sum + worker.heartbeatCount,
       0,
     );
   }
 
-  private factsOf(task: string): TaskFacts | undefined {
-    const job = this.jobs.get(task.split('/')[0] ?? '');
+  private propertiesOf(task: string): TaskProperties | undefined {
+    const job = this.submittedJobs.get(task.split('/')[0] ?? '');
     if (!job) return undefined;
     const { cpus, image, imageSizeGb } = job.spec;
     return { cpus, runMs: job.runMs, fetchMs: imageSizeGb * FETCH_MS_PER_GB, image };
   }
 
-  /** Submits jobs of a stream as fast as its share of the processors runs them. */
-  private async feed(stream: JobStream): Promise<void> {
+  /** Submits jobs of a stream at the rate at which its share of the processors runs them. */
+  private async submitStream(stream: JobStream): Promise<void> {
     const { taskCount, cpus } = stream.spec;
     const cpuSecondsPerJob = (taskCount * cpus * stream.runMs) / 1000;
-    const busyCpus = options.machines * CPUS_PER_MACHINE * stream.share * BUSY_SHARE;
+    const busyCpus = options.machines * CPUS_PER_MACHINE * stream.share * BUSY_CPU_SHARE;
     const intervalMs = (1000 * cpuSecondsPerJob) / busyCpus;
-    while (!this.isOver) {
-      void this.follow(stream);
+    while (!this.hasEnded) {
+      void this.runJob(stream);
       await sleep(systemClock, ms(intervalMs * (0.5 + uniformFloat64(this.random))));
     }
   }
 
-  /** Submits a job and polls it to its end. */
-  private async follow(stream: JobStream): Promise<void> {
+  /** Submits a job and polls it until it finishes. */
+  private async runJob(stream: JobStream): Promise<void> {
     const { endpoint, client } = this;
-    const number = this.jobs.size + 1;
+    const number = this.submittedJobs.size + 1;
     const id = `run-${String(number).padStart(6, '0')}`;
     const image = `${stream.spec.jobClass}-${number % 4}`;
     const job = jobSpec({ ...stream.spec, id, image, imageSizeGb: 1 });
     const body = encodeJobSpec(job);
     const path = '/v1/jobs';
-    this.jobs.set(id, { spec: job, runMs: stream.runMs });
-    while (!this.isOver) {
+    this.submittedJobs.set(id, { spec: job, runMs: stream.runMs });
+    while (!this.hasEnded) {
       const submission = { endpoint, method: 'POST' as const, path, body, timeout: SUBMIT_TIMEOUT };
       const outcome = await client.send(submission);
       if (outcome.kind === 'response' && outcome.status < 300) break;
       await sleep(systemClock, SUBMIT_RETRY_INTERVAL);
     }
-    while (!this.isOver) {
+    while (!this.hasEnded) {
       await sleep(systemClock, POLL_INTERVAL);
       const poll = {
         endpoint,
@@ -267,13 +270,13 @@
   }
 }
 
-const spent: number[] = [];
+const cpuMsPerSecondByBuild: number[] = [];
 for (const [turn, main] of options.main.entries()) {
-  spent.push(await new LoadRun(main, turn).measure());
+  cpuMsPerSecondByBuild.push(await new BenchmarkRun(main, turn).measure());
 }
-const [first = 0] = spent;
-for (const [turn, time] of spent.entries()) {
+const [baseline = 0] = cpuMsPerSecondByBuild;
+for (const [turn, time] of cpuMsPerSecondByBuild.entries()) {
   if (turn > 0)
-    console.log(`${options.main[turn] ?? ''}: ${(time / first).toFixed(2)} of the first`);
+    console.log(`${options.main[turn] ?? ''}: ${(time / baseline).toFixed(2)} of the first`);
 }
 process.exit(0);
--- a/test/standin/network.ts
+++ b/test/standin/network.ts
@@ -1,98 +1,101 @@
 /**
- * The network between hosts: delays, cuts that hold messages back and deliver them late, lost requests and
- * answers. A message under way is delivered whatever becomes of its sender.
+ * A simulated network: delays, partitions that hold requests back and deliver them late, lost requests and lost
+ * responses. A request in flight is delivered even if its sender dies meanwhile.
  */
 import type { HttpClient, HttpOutcome, HttpRequest } from '../../src/net/http.js';
 import type { Random } from '../../src/units/index.js';
 import { decode, encode } from '../../src/wire/index.js';
 import type { ProcessClock, VirtualTime } from './clock.js';
 
-/** The zone of all that belongs to none: users, the balancer, the cloud, the state service. */
-export const REGION = '.region';
+/** The zone of hosts outside all zones: users, the load balancer, the cloud, the store. */
+export const NO_ZONE = '.region';
 
-/** What a host answers to a request. */
-export interface Answer {
+/** A host's response to a request. */
+export interface HostResponse {
   readonly status: number;
   readonly body?: unknown;
 }
 
-/** What a host does with a request; `from` names the sender. */
-export type Handler = (
+/** Handles the requests to a host; `from` names the sender. */
+export type RequestHandler = (
   method: string,
   path: string,
   body: unknown,
   from: string,
-) => Answer | Promise<Answer>;
+) => HostResponse | Promise<HostResponse>;
 
 interface Host {
   readonly zone: string;
-  readonly handler: Handler;
-  /** A host that hangs neither answers nor refuses: what is sent to it waits until it goes on. */
+  readonly handler: RequestHandler;
+  /** A hung host neither responds nor refuses connections: requests to it wait until it resumes. */
   isHung: boolean;
 }
 
-/** One request under way. */
-interface Call {
+/** A request that was sent and has no outcome yet. */
+interface InFlightRequest {
   readonly from: string;
   readonly fromZone: string;
   readonly to: string;
   readonly request: HttpRequest;
-  /** The body as it arrives. */
+  /** The body as the receiver decodes it. */
   readonly body: unknown;
-  /** Ends it for its sender; only the first outcome counts. */
+  /** Passes the outcome to the sender; only the first one counts. */
   readonly settle: (outcome: HttpOutcome) => void;
 }
 
-/** Where the further copy of a request goes, and after how many milliseconds. */
-export interface Duplicate {
+/** Where and after which delay a copy of a request arrives. */
+export interface DuplicateDelivery {
   readonly to: string;
-  readonly after: number;
+  readonly afterMs: number;
 }
 
 interface Isolation {
-  readonly isCutFrom: (address: string) => boolean;
-  /** Whether connections are refused, or else stay without an answer. */
-  readonly isRefused: boolean;
+  readonly isUnreachable: (address: string) => boolean;
+  /** Whether connections to these addresses are refused; otherwise they time out. */
+  readonly isRefusing: boolean;
 }
 
-/** The share of requests into a cut that find an open connection, and so are delivered after it. */
+/** The share of requests across a partition that use an open connection, and so are delivered once it heals. */
 const OPEN_CONNECTION_SHARE = 0.6;
 
-/** What arrives of a body: frames of bytes as they are, and all else by way of CBOR. */
-function transmitted(body: unknown): unknown {
+/** The body as it arrives: a copy of a buffer, and anything else encoded to CBOR and decoded again. */
+function serializedCopy(body: unknown): unknown {
   if (body === undefined) return undefined;
   return Buffer.isBuffer(body) ? Buffer.from(body) : decode(encode(body));
 }
 
 const undelivered = (reason: string): HttpOutcome => ({ kind: 'undelivered', reason });
 
-const setMember = (set: Set<string>, member: string, isIn: boolean): void => {
-  if (isIn) set.add(member);
+const setMembership = (set: Set<string>, member: string, isMember: boolean): void => {
+  if (isMember) set.add(member);
   else set.delete(member);
 };
 
-/** The network. */
+/** The simulated network between all hosts. */
 export class Network {
   private readonly hosts = new Map<string, Host>();
-  /** Pairs of zones, `from|to`. */
-  private readonly cuts = new Set<string>();
-  private held: { readonly call: Call; readonly deliver: () => void }[] = [];
-  private heldPath: string | undefined;
-  private readonly droppingIncoming = new Set<string>();
+  /** The partitioned pairs of zones, as `from|to`. */
+  private readonly partitions = new Set<string>();
+  private heldRequests: { readonly inFlight: InFlightRequest; readonly deliver: () => void }[] = [];
+  private heldRequestPath: string | undefined;
+  private readonly hostsDroppingIncoming = new Set<string>();
   private readonly isolations = new Map<string, Isolation>();
   private readonly refusing = new Set<string>();
 
-  /** The share of requests, and of answers, that are lost. */
+  /** The share of requests, and of responses, that are lost. */
   lossShare = 0;
-  /** Which requests arrive a second time; undefined: this one does not. */
-  duplicate: ((path: string, to: string) => Duplicate | undefined) | undefined;
-  /** By how many milliseconds requests to an address, and their answers, take longer. */
-  extraDelay: ((to: string) => number) | undefined;
-  /** Requests that get no answer and arrive so many milliseconds late, after newer ones; undefined: not this one. */
-  lateDelivery: ((path: string) => number | undefined) | undefined;
-  /** Requests that are carried out, but whose answer is lost. */
-  losesAnswer: ((path: string) => boolean) | undefined;
-  /** Called before each request leaves; a test may end the sender here. */
+  /** Returns the second delivery of a request, or undefined if it arrives only once. */
+  duplicateDelivery: ((path: string, to: string) => DuplicateDelivery | undefined) | undefined;
+  /** Returns the extra delay of a request to an address, and of its response. */
+  extraDelayMs: ((to: string) => number) | undefined;
+  /**
+   * Returns the delay of a request that arrives late, after newer ones, and gets no response; undefined for a
+   * request that is delivered normally.
+   */
+  lateDeliveryMs: ((path: string) => number | undefined) | undefined;
+  /** Returns whether the response to a request is lost although the request is carried out. */
+  losesResponse: ((path: string) => boolean) | undefined;
+  /** Called before each request is sent; a test may kill the sender here. */
   onSend: ((from: string, to: string, path: string) => void) | undefined;
 
   constructor(
@@ -100,7 +103,7 @@
     private readonly random: Random,
   ) {}
 
-  attach(address: string, zone: string, handler: Handler): void {
+  attach(address: string, zone: string, handler: RequestHandler): void {
     this.hosts.set(address, { zone, handler, isHung: false });
   }
 
@@ -108,58 +111,63 @@
     this.hosts.delete(address);
   }
 
-  hang(address: string, isHung: boolean): void {
+  setHung(address: string, isHung: boolean): void {
     const host = this.hosts.get(address);
     if (host) host.isHung = isHung;
-    if (!isHung) this.release();
+    if (!isHung) this.releaseHeldRequests();
   }
 
-  /** Cuts two zones off from each other, in both directions. */
-  cut(zone: string, other: string, isCut: boolean): void {
-    for (const key of [`${zone}|${other}`, `${other}|${zone}`]) setMember(this.cuts, key, isCut);
-    if (!isCut) this.release();
+  /** Partitions two zones from each other in both directions, or heals the partition. */
+  setPartitioned(zone: string, other: string, isPartitioned: boolean): void {
+    for (const key of [`${zone}|${other}`, `${other}|${zone}`])
+      setMembership(this.partitions, key, isPartitioned);
+    if (!isPartitioned) this.releaseHeldRequests();
   }
 
-  /** Drops all that is sent to a host, answers too, while what it sends arrives. */
-  dropIncoming(host: string, isDropped: boolean): void {
-    setMember(this.droppingIncoming, host, isDropped);
+  /** Drops all requests and responses to a host, while what it sends arrives. */
+  setIncomingDropped(host: string, isDropped: boolean): void {
+    setMembership(this.hostsDroppingIncoming, host, isDropped);
   }
 
-  /** Cuts a host off from some addresses. */
-  isolate(host: string, isCutFrom: (address: string) => boolean, isRefused: boolean): void {
-    this.isolations.set(host, { isCutFrom, isRefused });
+  /** Cuts a host off from the addresses for which `isUnreachable` is true. */
+  isolate(
+    host: string,
+    isUnreachable: (address: string) => boolean,
+    refusesConnections: boolean,
+  ): void {
+    this.isolations.set(host, { isUnreachable, isRefusing: refusesConnections });
   }
 
   /** Ends the isolation of a host. */
   reconnect(host: string): void {
     this.isolations.delete(host);
-    this.release();
+    this.releaseHeldRequests();
   }
 
   /** Refuses connections to an address, as a packet filter does. */
-  refuseConnections(address: string, isRefused: boolean): void {
-    setMember(this.refusing, address, isRefused);
+  setConnectionsRefused(address: string, isRefused: boolean): void {
+    setMembership(this.refusing, address, isRefused);
   }
 
-  /** Holds back requests to a path until it is called with another path or undefined. */
-  hold(path: string | undefined): void {
-    this.heldPath = path;
-    if (path === undefined) this.release();
+  /** Holds back requests to a path, until it is called with another path, or with undefined to release them. */
+  holdRequests(path: string | undefined): void {
+    this.heldRequestPath = path;
+    if (path === undefined) this.releaseHeldRequests();
   }
 
-  /** A client for one process. No outcome comes back to a process that is dead. */
+  /** Creates the HTTP client of one process. A dead process gets no outcomes. */
   client(from: string, zone: string, clock: ProcessClock): HttpClient {
     return {
       send: (request) =>
         new Promise((resolve) => {
           this.onSend?.(from, request.endpoint, request.path);
           if (clock.isDead) return;
-          this.send(from, zone, request, (outcome) => clock.deliver(() => resolve(outcome)));
+          this.send(from, zone, request, (outcome) => clock.deliverEvent(() => resolve(outcome)));
         }),
     };
   }
 
-  /** Sends a request. `resolve` is called once with its outcome, after the timeout at the latest. */
+  /** Sends a request. Calls `resolve` once with its outcome, after the timeout at the latest. */
   send(
     from: string,
     zone: string,
@@ -167,11 +175,11 @@
     resolve: (outcome: HttpOutcome) => void,
   ): void {
     const to = request.endpoint;
-    if (this.isRefused(from, to)) {
+    if (this.isConnectionRefused(from, to)) {
       this.time.after(1, () => resolve(undelivered('refused')));
       return;
     }
-    // A new connection into a cut is not made; what goes over an open one is delivered after the cut.
+    // Across a partition no new connection is made; requests over an open one arrive once the partition heals.
     const isConnectionOpen = this.random() < OPEN_CONNECTION_SHARE;
     let isSettled = false;
     let wasSent = false;
@@ -182,81 +190,89 @@
       resolve(outcome);
     };
     const timer = this.time.after(request.timeout, () =>
-      settle({ kind: wasSent ? 'unknown' : 'undelivered', reason: 'no answer in time' }),
+      settle({
+        kind: wasSent ? 'unknown' : 'undelivered',
+        reason: 'no response before the timeout',
+      }),
     );
     if (this.isBlocked(from, zone, to) && !isConnectionOpen) return;
     wasSent = true;
-    const body = transmitted(request.body);
+    const body = serializedCopy(request.body);
     this.dispatch({ from, fromZone: zone, to, request, body, settle });
   }
 
-  private dispatch(call: Call): void {
-    const { to, request } = call;
-    if (this.random() < this.lossShare || this.droppingIncoming.has(to)) return;
-    const lateness = this.lateDelivery?.(request.path);
-    if (lateness !== undefined) {
-      this.time.after(lateness, () => void this.handle(call, to));
+  private dispatch(inFlight: InFlightRequest): void {
+    const { to, request } = inFlight;
+    if (this.random() < this.lossShare || this.hostsDroppingIncoming.has(to)) return;
+    const delayMs = this.lateDeliveryMs?.(request.path);
+    if (delayMs !== undefined) {
+      this.time.after(delayMs, () => void this.handle(inFlight, to));
       return;
     }
-    const deliver = (): void => this.arrive(call);
-    const delay = this.extraDelay?.(to) ?? 0;
-    if (delay > 0) this.time.after(delay, () => this.forward(call, deliver));
-    else if (request.path === this.heldPath) this.held.push({ call, deliver });
-    else this.forward(call, deliver);
+    const deliver = (): void => this.deliverRequest(inFlight);
+    const extraDelayMs = this.extraDelayMs?.(to) ?? 0;
+    if (extraDelayMs > 0) this.time.after(extraDelayMs, () => this.forward(inFlight, deliver));
+    else if (request.path === this.heldRequestPath) this.heldRequests.push({ inFlight, deliver });
+    else this.forward(inFlight, deliver);
   }
 
-  private forward(call: Call, deliver: () => void): void {
-    if (this.isBlocked(call.from, call.fromZone, call.to)) this.held.push({ call, deliver });
+  private forward(inFlight: InFlightRequest, deliver: () => void): void {
+    if (this.isBlocked(inFlight.from, inFlight.fromZone, inFlight.to))
+      this.heldRequests.push({ inFlight, deliver });
     else this.time.after(1 + this.random() * 4, deliver);
   }
 
-  /** Sends on what was held back; what is still blocked is held again. */
-  private release(): void {
-    const { held } = this;
-    this.held = [];
-    for (const { call, deliver } of held) this.forward(call, deliver);
+  /** Forwards all held requests; those that are still blocked are held again. */
+  private releaseHeldRequests(): void {
+    const { heldRequests } = this;
+    this.heldRequests = [];
+    for (const { inFlight, deliver } of heldRequests) this.forward(inFlight, deliver);
   }
 
-  /** The answer of the host at an address to a call; undefined if none is there. */
-  private handle({ from, request, body }: Call, address: string): Promise<Answer> | undefined {
+  /** Passes a request to the host at an address; undefined if there is none. */
+  private handle(
+    { from, request, body }: InFlightRequest,
+    address: string,
+  ): Promise<HostResponse> | undefined {
     const handler = this.hosts.get(address)?.handler;
     return handler && Promise.resolve(handler(request.method, request.path, body, from));
   }
 
-  private arrive(call: Call): void {
-    const { from, to, request } = call;
-    const duplicate = this.duplicate?.(request.path, to);
-    if (duplicate) this.time.after(duplicate.after, () => void this.handle(call, duplicate.to));
-    const answered = this.handle(call, to);
-    if (!answered) {
-      call.settle(undelivered('refused'));
+  private deliverRequest(inFlight: InFlightRequest): void {
+    const { from, to, request } = inFlight;
+    const duplicate = this.duplicateDelivery?.(request.path, to);
+    if (duplicate)
+      this.time.after(duplicate.afterMs, () => void this.handle(inFlight, duplicate.to));
+    const response = this.handle(inFlight, to);
+    if (!response) {
+      inFlight.settle(undelivered('refused'));
       return;
     }
-    void answered.then((answer) => {
-      if (this.random() < this.lossShare || this.droppingIncoming.has(from)) return;
-      if (this.losesAnswer?.(request.path)) return;
-      this.sendBack(call, answer);
+    void response.then((hostResponse) => {
+      if (this.random() < this.lossShare || this.hostsDroppingIncoming.has(from)) return;
+      if (this.losesResponse?.(request.path)) return;
+      this.sendResponse(inFlight, hostResponse);
     });
   }
 
-  private sendBack(call: Call, { status, body }: Answer): void {
-    const arrived = transmitted(body);
-    const delay = 1 + this.random() * 4 + (this.extraDelay?.(call.to) ?? 0);
+  private sendResponse(inFlight: InFlightRequest, { status, body }: HostResponse): void {
+    const receivedBody = serializedCopy(body);
+    const delay = 1 + this.random() * 4 + (this.extraDelayMs?.(inFlight.to) ?? 0);
     this.time.after(delay, () => {
-      // A cut blocks answers as well: the sender has given up long before it is over.
-      if (this.isBlocked(call.from, call.fromZone, call.to)) return;
-      call.settle({ kind: 'response', status, body: arrived });
+      // A partition blocks responses too: the sender times out long before the partition heals.
+      if (this.isBlocked(inFlight.from, inFlight.fromZone, inFlight.to)) return;
+      inFlight.settle({ kind: 'response', status, body: receivedBody });
     });
   }
 
   private isBlocked(from: string, fromZone: string, to: string): boolean {
-    if (this.isolations.get(from)?.isCutFrom(to)) return true;
+    if (this.isolations.get(from)?.isUnreachable(to)) return true;
     const host = this.hosts.get(to);
-    return host !== undefined && (host.isHung || this.cuts.has(`${fromZone}|${host.zone}`));
+    return host !== undefined && (host.isHung || this.partitions.has(`${fromZone}|${host.zone}`));
   }
 
-  private isRefused(from: string, to: string): boolean {
+  private isConnectionRefused(from: string, to: string): boolean {
     const isolation = this.isolations.get(from);
-    return this.refusing.has(to) || (isolation?.isRefused === true && isolation.isCutFrom(to));
+    return this.refusing.has(to) || (isolation?.isRefusing === true && isolation.isUnreachable(to));
   }
 }
--- a/test/standin/older-build.ts
+++ b/test/standin/older-build.ts
@@ -1,6 +1,6 @@
 /**
- * Runs an older, compiled version of the service (commit 9324b84 and before) as a `Build`. Its classes and
- * fields have names of their own; what they are is stated here, as far as a world needs it.
+ * Runs an older, compiled version of the service (commit 9324b84 and before) as a `Build`. Its classes and fields
+ * have different names than the current ones; the types below declare those that the simulated cluster needs.
  */
 import { resolve } from 'node:path';
 import { pathToFileURL } from 'node:url';
@@ -8,9 +8,9 @@
 import type { ApiResponse } from '../../src/api/api-response.js';
 import type { HttpClient, HttpOutcome, HttpRequest } from '../../src/net/http.js';
 import type { Clock, DurationMs, ControllerId, Random } from '../../src/units/index.js';
-import type { Build, ControllerHost, PeerConnection, RunningController } from './build.js';
+import type { Build, ControllerEnvironment, PeerConnection, RunningController } from './build.js';
 
-/** Values that only the older version reads. */
+/** Opaque values that only the older version reads. */
 type OlderSettings = unknown;
 type OlderOperator = unknown;
 type OlderMessage = unknown;
@@ -24,7 +24,7 @@
 
 interface OlderPeer {
   readonly responsive: boolean;
-  /** Resolves with undefined if there was no response in time. */
+  /** Resolves with undefined if no response arrives before the timeout. */
   ask(request: OlderMessage, timeout: DurationMs): Promise<OlderMessage>;
 }
 
@@ -92,7 +92,7 @@
 function createController(
   { node, settings, operator, messages }: OlderModules,
   settingsFile: unknown,
-  host: ControllerHost,
+  host: ControllerEnvironment,
 ): RunningController {
   const controller = new node.Controller(
     settings.parseSettings(settingsFile),
@@ -110,7 +110,7 @@
     start: () => controller.start(),
     stop: () => controller.stop(),
     health: () => controller.health(),
-    hasAuthority: () => controller.election.authority() !== undefined,
+    isLeader: () => controller.election.authority() !== undefined,
     handleUserRequest: (method, path, body) => controller.users.handle(method, path, body),
     handleHeartbeat: (body) => controller.workers.handle(body),
     handlePeerFrame: async (frame) => {
@@ -121,7 +121,7 @@
   };
 }
 
-/** Loads the older version from the folder into which it was compiled. Rejects if a module is missing there. */
+/** Loads the older version from the folder of its compiled modules. Rejects if a module is missing there. */
 export async function loadOlderBuild(folder: string): Promise<Build> {
   const load = async <Module>(path: string): Promise<Module> =>
     (await import(pathToFileURL(resolve(folder, path)).href)) as Module;
--- a/test/standin/worker-tasks.ts
+++ b/test/standin/worker-tasks.ts
@@ -1,7 +1,7 @@
-/** The tasks on one worker, from the protocol: what commands start and stop, and how tasks end. */
+/** The tasks on one simulated worker, as the protocol describes them: start, stop, exit and checkpoints. */
 import type { GangMember, GangRun } from './gang-run.js';
 
-/** A command as it is sent. */
+/** A command as the protocol encodes it. */
 export interface CommandMessage {
   readonly verb: 'launch' | 'kill' | 'clear';
   readonly entry: string;
@@ -9,222 +9,227 @@
   readonly wind_down_s?: number;
 }
 
-/** One attempt of a task on this worker. */
-interface HeldTask {
+/** An attempt of a task on this worker. */
+interface TaskAttempt {
   readonly task: string;
-  readonly attempt: number;
+  readonly number: number;
   readonly cpus: number;
   /** As the protocol names it. */
   state: 'fetching' | 'gathering' | 'running' | 'flushing' | 'exited';
   /** Why it exited, as the protocol names it. */
   cause: string | undefined;
-  isSaved: boolean;
-  /** Its part in a gang, from when it has its image. */
-  member: GangMember | undefined;
+  hasSavedCheckpoint: boolean;
+  /** Its membership in a gang, once it has its image. */
+  gangMember: GangMember | undefined;
 }
 
-/** What a worker fetches of a task. */
-export interface TaskFacts {
+/** The properties of a task that a worker needs to run it. */
+export interface TaskProperties {
   readonly cpus: number;
   readonly runMs: number;
-  /** How long its image takes to fetch. */
+  /** How long fetching its image takes. */
   readonly fetchMs: number;
   readonly image: string;
-  /** How long it takes to save when it is stopped; undefined if it can't. */
+  /** How long saving a checkpoint takes when it is stopped; undefined if it can't save any. */
   readonly checkpointMs?: number | undefined;
   readonly gang?: GangRun | undefined;
 }
 
-/** What a worker shares with the world around it. Tasks are named `<job>/<index>`. */
-export interface WorkerWorld {
+/** Provides the properties of tasks and receives their events. Tasks are named `<job>/<index>`. */
+export interface TaskEnvironment {
   /** Undefined if the task was never submitted. */
-  facts(task: string): TaskFacts | undefined;
-  /** The task has its image and is on the machine from now on. */
+  propertiesOf(task: string): TaskProperties | undefined;
+  /** The task has its image and occupies the machine from now on. */
   onTaskStarted(machine: string, task: string): void;
-  /** It no longer is. */
+  /** The task no longer occupies the machine. */
   onTaskLeft(machine: string, task: string): void;
   onTaskCompleted(task: string): void;
   isCompleted(task: string): boolean;
 }
 
-/** What the tasks need of their worker. */
-export interface TasksWorker {
+/** The parts of a worker that its tasks use. */
+export interface TaskHost {
   /** The id of its machine. */
   readonly machine: string;
   readonly cpus: number;
-  readonly world: WorkerWorld;
+  readonly environment: TaskEnvironment;
   /** Whether its machine hangs. */
   isHung(): boolean;
-  /** Runs something later, unless the worker is dead by then, and no earlier than it goes on if it hangs. */
+  /** Runs a callback after a delay. Drops it if the worker is dead by then; delays it while the worker hangs. */
   after(delay: number, run: () => void): void;
-  /** Something has changed that the next heartbeat is to tell. */
+  /** Called for each change that the next heartbeat must report. */
   onChanged(): void;
 }
 
-const occupiesMachine = ({ state }: HeldTask): boolean =>
+const occupiesMachine = ({ state }: TaskAttempt): boolean =>
   state !== 'fetching' && state !== 'exited';
 
 const keyOf = (task: string, attempt: number): string => `${task}#${attempt}`;
 
-/** All tasks of a worker. */
+/** The tasks of one worker. */
 export class WorkerTasks {
-  private readonly held = new Map<string, HeldTask>();
+  private readonly attempts = new Map<string, TaskAttempt>();
   private readonly images = new Set<string>();
 
-  constructor(private readonly worker: TasksWorker) {}
+  constructor(private readonly host: TaskHost) {}
 
-  /** The tasks that are on it, or for which it fetches the image. */
-  names(): string[] {
-    return [...this.held.values()]
+  /** The names of the tasks that run on it or whose image it fetches. */
+  taskNames(): string[] {
+    return [...this.attempts.values()]
       .filter(({ state }) => state !== 'exited')
       .map(({ task }) => task);
   }
 
-  /** The processors that its tasks leave. */
+  /** The processors that its tasks don't use. */
   freeCpus(): number {
-    return this.worker.cpus - this.usedCpus(0);
+    return this.host.cpus - this.usedCpus(0);
   }
 
-  /** The processors that its tasks take beside `others`. */
-  private usedCpus(others: number): number {
-    let used = others;
-    for (const { state, cpus } of this.held.values()) if (state !== 'exited') used += cpus;
+  /** The processors that its tasks use, plus `otherCpus`. */
+  private usedCpus(otherCpus: number): number {
+    let used = otherCpus;
+    for (const { state, cpus } of this.attempts.values()) if (state !== 'exited') used += cpus;
     return used;
   }
 
-  /** The status of each task, as heartbeats hold it. */
+  /** The status of each task, as heartbeats contain it. */
   statuses(): object[] {
-    return [...this.held.values()].map(({ task, attempt, state, cause, isSaved }) => ({
-      entry: task,
-      try: attempt,
-      status: state,
-      ...(cause === undefined ? {} : { cause }),
-      ...(isSaved ? { kept: true } : {}),
-    }));
+    return [...this.attempts.values()].map(
+      ({ task, number, state, cause, hasSavedCheckpoint }) => ({
+        entry: task,
+        try: number,
+        status: state,
+        ...(cause === undefined ? {} : { cause }),
+        ...(hasSavedCheckpoint ? { kept: true } : {}),
+      }),
+    );
   }
 
-  /** Drops all tasks, as a worker does that ends or has lost its lease. */
-  dropAll(): void {
-    for (const held of this.held.values()) this.release(held);
-    this.held.clear();
+  /** Drops all tasks, when the worker ends or has lost its lease. */
+  dropAllTasks(): void {
+    for (const attempt of this.attempts.values()) this.release(attempt);
+    this.attempts.clear();
   }
 
-  /** A task is no longer on the machine, and no longer part of its gang. */
-  private release(held: HeldTask): void {
-    const { machine, world } = this.worker;
-    if (occupiesMachine(held)) world.onTaskLeft(machine, held.task);
-    if (held.member) world.facts(held.task)?.gang?.leave(held.member);
+  /** Removes a task from the machine and from its gang. */
+  private release(attempt: TaskAttempt): void {
+    const { machine, environment } = this.host;
+    if (occupiesMachine(attempt)) environment.onTaskLeft(machine, attempt.task);
+    if (attempt.gangMember) environment.propertiesOf(attempt.task)?.gang?.leave(attempt.gangMember);
   }
 
-  /** Drops the images too, as a worker does that begins from nothing. */
-  reset(): void {
-    this.dropAll();
+  /** Drops all tasks and images, when the worker restarts without any state. */
+  dropTasksAndImages(): void {
+    this.dropAllTasks();
     this.images.clear();
   }
 
-  /** Carries out a command. A repeated one changes nothing. */
+  /** Carries out a command. A repeated command changes nothing. */
   execute(command: CommandMessage): void {
     const key = keyOf(command.entry, command.try);
-    const held = this.held.get(key);
+    const attempt = this.attempts.get(key);
     if (command.verb === 'launch') {
-      if (!held) this.launch(command.entry, command.try);
+      if (!attempt) this.startAttempt(command.entry, command.try);
     } else if (command.verb === 'kill') {
-      if (held && held.state !== 'exited') this.stop(held, (command.wind_down_s ?? 0) * 1000);
-    } else if (held?.state === 'exited') this.held.delete(key);
+      if (attempt && attempt.state !== 'exited')
+        this.stop(attempt, (command.wind_down_s ?? 0) * 1000);
+    } else if (attempt?.state === 'exited') this.attempts.delete(key);
   }
 
-  private launch(task: string, attempt: number): void {
-    const facts = this.worker.world.facts(task);
-    const refusal = facts && this.refusalOf(task, facts);
-    const held: HeldTask = {
+  private startAttempt(task: string, attemptNumber: number): void {
+    const properties = this.host.environment.propertiesOf(task);
+    const refusal = properties && this.refusalReason(task, properties);
+    const attempt: TaskAttempt = {
       task,
-      attempt,
+      number: attemptNumber,
       state: 'fetching',
       cause: undefined,
-      isSaved: false,
-      member: undefined,
-      cpus: facts?.cpus ?? 0,
+      hasSavedCheckpoint: false,
+      gangMember: undefined,
+      cpus: properties?.cpus ?? 0,
     };
-    this.worker.onChanged();
-    this.held.set(keyOf(task, attempt), held);
-    if (!facts) this.exit(held, 'no_such');
-    else if (refusal !== undefined) this.exit(held, refusal);
-    else this.fetch(held, facts);
+    this.host.onChanged();
+    this.attempts.set(keyOf(task, attemptNumber), attempt);
+    if (!properties) this.exit(attempt, 'no_such');
+    else if (refusal !== undefined) this.exit(attempt, refusal);
+    else this.fetchImage(attempt, properties);
   }
 
   /** Why a start is refused, as the protocol names it; undefined if it is not. */
-  private refusalOf(task: string, { cpus }: TaskFacts): string | undefined {
-    if (this.names().includes(task)) return 'in_use';
-    return this.usedCpus(cpus) > this.worker.cpus ? 'full' : undefined;
+  private refusalReason(task: string, { cpus }: TaskProperties): string | undefined {
+    if (this.taskNames().includes(task)) return 'in_use';
+    return this.usedCpus(cpus) > this.host.cpus ? 'full' : undefined;
   }
 
-  private fetch(held: HeldTask, facts: TaskFacts): void {
-    const fetchMs = this.images.has(facts.image) ? 0 : facts.fetchMs;
-    this.worker.after(fetchMs, () => {
-      if (this.isCurrent(held)) this.start(held, facts);
+  private fetchImage(attempt: TaskAttempt, properties: TaskProperties): void {
+    const fetchMs = this.images.has(properties.image) ? 0 : properties.fetchMs;
+    this.host.after(fetchMs, () => {
+      if (this.isCurrent(attempt)) this.run(attempt, properties);
     });
   }
 
-  private start(held: HeldTask, facts: TaskFacts): void {
-    const { machine, world } = this.worker;
-    const { task } = held;
-    this.images.add(facts.image);
-    world.onTaskStarted(machine, task);
-    if (facts.gang) {
-      this.join(held, facts.gang);
+  private run(attempt: TaskAttempt, properties: TaskProperties): void {
+    const { machine, environment } = this.host;
+    const { task } = attempt;
+    this.images.add(properties.image);
+    environment.onTaskStarted(machine, task);
+    if (properties.gang) {
+      this.joinGang(attempt, properties.gang);
       return;
     }
-    held.state = 'running';
-    this.worker.onChanged();
-    this.worker.after(world.isCompleted(task) ? 0 : facts.runMs, () => {
-      if (!this.isCurrent(held)) return;
-      world.onTaskCompleted(task);
-      this.exit(held, 'done');
+    attempt.state = 'running';
+    this.host.onChanged();
+    this.host.after(environment.isCompleted(task) ? 0 : properties.runMs, () => {
+      if (!this.isCurrent(attempt)) return;
+      environment.onTaskCompleted(task);
+      this.exit(attempt, 'done');
     });
   }
 
-  /** Whether a task is still held and has not exited. */
-  private isCurrent(held: HeldTask): boolean {
-    return this.held.get(keyOf(held.task, held.attempt)) === held && held.state !== 'exited';
+  /** Whether an attempt is still on the worker and has not exited. */
+  private isCurrent(task: TaskAttempt): boolean {
+    return this.attempts.get(keyOf(task.task, task.number)) === task && task.state !== 'exited';
   }
 
-  /** The task of a gang has its image: from now on it does what its gang does. */
-  private join(held: HeldTask, gang: GangRun): void {
-    const changeLater = (change: () => void): void => {
-      this.worker.after(0, () => {
-        if (this.isCurrent(held)) change();
+  /** Adds the task to its gang, which controls it from now on. */
+  private joinGang(attempt: TaskAttempt, gang: GangRun): void {
+    const applyLater = (change: () => void): void => {
+      this.host.after(0, () => {
+        if (this.isCurrent(attempt)) change();
       });
     };
-    const setState = (state: HeldTask['state']): void => {
-      held.state = state;
-      this.worker.onChanged();
+    const setState = (state: TaskAttempt['state']): void => {
+      attempt.state = state;
+      this.host.onChanged();
     };
-    held.member = {
-      index: Number(held.task.split('/')[1]),
-      attempt: held.attempt,
-      isHung: () => this.worker.isHung(),
-      run: () => changeLater(() => setState('running')),
-      save: () => setState('flushing'),
-      exit: (cause, isSaved) => changeLater(() => this.exit(held, cause, isSaved)),
+    attempt.gangMember = {
+      index: Number(attempt.task.split('/')[1]),
+      attempt: attempt.number,
+      isHung: () => this.host.isHung(),
+      startRunning: () => applyLater(() => setState('running')),
+      startCheckpoint: () => setState('flushing'),
+      exit: (cause, hasSavedCheckpoint) =>
+        applyLater(() => this.exit(attempt, cause, hasSavedCheckpoint)),
     };
     setState('gathering');
-    gang.join(held.member);
+    gang.join(attempt.gangMember);
   }
 
-  /** Stops a task. The task of a gang saves first if there is enough time. */
-  private stop(held: HeldTask, graceMs: number): void {
-    const facts = this.worker.world.facts(held.task);
-    const canSave = facts?.checkpointMs !== undefined && graceMs >= facts.checkpointMs;
-    if (held.state === 'flushing' && graceMs > 0) return;
-    if (held.state === 'running' && held.member && canSave) facts.gang?.stop(held.member);
-    else this.exit(held, 'halted');
+  /** Stops a task. A task of a gang saves a checkpoint first if there is enough time. */
+  private stop(attempt: TaskAttempt, graceMs: number): void {
+    const properties = this.host.environment.propertiesOf(attempt.task);
+    const canSave = properties?.checkpointMs !== undefined && graceMs >= properties.checkpointMs;
+    if (attempt.state === 'flushing' && graceMs > 0) return;
+    if (attempt.state === 'running' && attempt.gangMember && canSave)
+      properties.gang?.stop(attempt.gangMember);
+    else this.exit(attempt, 'halted');
   }
 
-  private exit(held: HeldTask, cause: string, isSaved = false): void {
-    this.release(held);
-    held.state = 'exited';
-    held.cause = cause;
-    if (isSaved) held.isSaved = true;
-    this.worker.onChanged();
+  private exit(attempt: TaskAttempt, cause: string, hasSavedCheckpoint = false): void {
+    this.release(attempt);
+    attempt.state = 'exited';
+    attempt.cause = cause;
+    if (hasSavedCheckpoint) attempt.hasSavedCheckpoint = true;
+    this.host.onChanged();
   }
 }
--- a/test/unit/placement-loop.test.ts
+++ b/test/unit/placement-loop.test.ts
@@ -59,10 +59,10 @@
   const { time, clock, loop, startedAt } = createLoop(() => 0);
   loop.schedule();
   // The timer expires while the process is frozen, so it can no longer be cancelled.
-  clock.freeze(true);
+  clock.setFrozen(true);
   await time.run(50);
   loop.close();
-  clock.freeze(false);
+  clock.setFrozen(false);
   loop.schedule();
   await time.run(100);
   assert.deepEqual(startedAt, []);
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -26,7 +26,7 @@
 import { JobKind, type JobSpec } from '../../src/wire/index.js';
 import { ProcessClock, VirtualTime } from '../standin/clock.js';
 import { Network } from '../standin/network.js';
-import { StateService } from '../standin/state.js';
+import { Store } from '../standin/store.js';
 import { applyJobChanges, type PlacementRules } from '../support/job-changes.js';
 import { jobSpec } from '../support/job-spec.js';
 import { settingsFile } from '../support/settings-file.js';
@@ -187,7 +187,7 @@
   const time = new VirtualTime();
   const clock = new ProcessClock(time, 0, 0);
   const network = new Network(time, () => 0.5);
-  const storeService = new StateService(time, currentLimits);
+  const storeService = new Store(time, currentLimits);
   const endpoint = '10.2.0.1:2379';
   network.attach(endpoint, 'r', (method, path, body, from) =>
     storeService.handle(method, path, body, from),
@@ -250,19 +250,19 @@
       }));
       job.placeTasks(tasks, now);
     }
-    storeService.lower(loweredLimits);
+    storeService.setLimits(loweredLimits);
     await time.run(lowerAfter + 8000);
     assert.ok(limits.isLowered, `after ${lowerAfter} ms`);
     for (const job of jobs)
       assert.equal(job.committedVersion, job.version, `${job.id} ${lowerAfter} ms`);
     assert.ok(
-      storeService.tooLarge <= 3,
-      `${storeService.tooLarge} transactions refused as too large`,
+      storeService.tooLargeCount <= 3,
+      `${storeService.tooLargeCount} transactions refused as too large`,
     );
     for (const job of jobs) for (const index of [...job.placements.keys()]) job.completeTask(index);
     await time.run(lowerAfter + 16_000);
     assert.equal(committed.filter((entry) => entry.endsWith('finished')).length, 4);
-    assert.ok(storeService.tooLarge <= 3);
+    assert.ok(storeService.tooLargeCount <= 3);
   }
 });
 
@@ -274,7 +274,7 @@
   await time.run(2000);
   committed.length = 0;
   limits.onSizeRefusal();
-  storeService.lower(loweredLimits);
+  storeService.setLimits(loweredLimits);
   // The previous limit allowed such a record: the tasks are on many machines, and no two neighbours share one.
   const tasks = [...large.waitingTasks.indexes()].map((index) => ({
     index,
@@ -286,8 +286,8 @@
   for (const job of small) assert.ok(committed.includes(job.id), `${job.id} is not written`);
   assert.ok(!committed.includes(large.id));
   assert.ok(
-    storeService.tooLarge <= 5,
-    `${storeService.tooLarge} transactions refused in five seconds`,
+    storeService.tooLargeCount <= 5,
+    `${storeService.tooLargeCount} transactions refused in five seconds`,
   );
   for (const index of [...large.placements.keys()]) if (index >= 100) large.completeTask(index);
   await time.run(14_000);
