--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -394,7 +394,12 @@
       sendRequest: () => Promise.resolve(leaderResponses.shift()),
     };
     const leaderPeer = (): Peer | undefined => (time.now >= leaderKnownAfterMs ? peer : undefined);
-    const relay = new HeartbeatRelay({ controllerId: ControllerId('node-1'), clock, log, leaderPeer });
+    const relay = new HeartbeatRelay({
+      controllerId: ControllerId('node-1'),
+      clock,
+      log,
+      leaderPeer,
+    });
     let reply: WorkerHeartbeatResponse | 'none' | undefined;
     void relay.send(heartbeatOf('vm-1'), 200).then((received) => (reply = received ?? 'none'));
     await time.run(ms(3500));
--- a/test/unit/worker-heartbeat-handler.test.ts
+++ b/test/unit/worker-heartbeat-handler.test.ts
@@ -73,7 +73,9 @@
       },
     });
     const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-1', token) };
-    const response = await workerHeartbeatHandler.handleRelayed(ControllerId('node-1'), EPOCH, [full]);
+    const response = await workerHeartbeatHandler.handleRelayed(ControllerId('node-1'), EPOCH, [
+      full,
+    ]);
     assert.ok(response.type === 'heartbeatResponses');
     assert.equal(response.responses[0]?.outcome, outcome, name);
   }
@@ -121,9 +123,11 @@
     'back at once: the worker cannot reach the other controller',
   );
   const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-2') };
-  const relayedResponse = await workerHeartbeatHandler.handleRelayed(ControllerId('node-1'), EPOCH, [
-    full,
-  ]);
+  const relayedResponse = await workerHeartbeatHandler.handleRelayed(
+    ControllerId('node-1'),
+    EPOCH,
+    [full],
+  );
   assert.ok(relayedResponse.type === 'heartbeatResponses');
   assert.equal(relayedResponse.responses[0]?.outcome, 'accepted', 'relayed by another controller');
 });
