--- a/src/store/rate-budget.ts
+++ b/src/store/rate-budget.ts
@@ -19,7 +19,7 @@
 
 /**
  * The shares of all controllers in a role together. The leader does nearly all writes. Followers read for users
- * whom the leader does not answer, and occasionally admit a job. Without a leader, all controllers have equal shares.
+ * whom the leader does not respond to, and occasionally admit a job. Without a leader, all controllers have equal shares.
  */
 const RATE_SHARES: Record<Role, { readonly requests: number; readonly writes: number }> = {
   leading: { requests: 0.5, writes: 0.85 },
--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -358,7 +358,12 @@
     const clock = new ProcessClock(time, 0, 0);
     const peer: Peer = { isResponsive: true, sendRequest: () => Promise.resolve(answers.shift()) };
     const leaderPeer = (): Peer | undefined => (time.now >= leaderAfter ? peer : undefined);
-    const relay = new HeartbeatRelay({ controllerId: ControllerId('node-1'), clock, log, leaderPeer });
+    const relay = new HeartbeatRelay({
+      controllerId: ControllerId('node-1'),
+      clock,
+      log,
+      leaderPeer,
+    });
     let reply: WorkerHeartbeatResponse | 'none' | undefined;
     void relay.send(heartbeatOf('vm-1'), 200).then((received) => (reply = received ?? 'none'));
     await time.run(ms(3500));
