--- a/src/api/api-response.ts
+++ b/src/api/api-response.ts
@@ -12,10 +12,14 @@
   readonly shouldCloseConnection?: boolean;
 }
 
-/** The outcome is unknown: the client may repeat the request a second later. */
-export const TRY_AGAIN: ApiResponse = { status: 503, retryAfter: 1 };
+/** The request failed or its outcome is unknown: the client may repeat it a second later. */
+export const SERVICE_UNAVAILABLE: ApiResponse = { status: 503, retryAfter: 1 };
 /** This controller is isolated; another one may serve the request. */
-export const ISOLATED: ApiResponse = { status: 503, retryAfter: 1, shouldCloseConnection: true };
+export const CONTROLLER_ISOLATED: ApiResponse = {
+  status: 503,
+  retryAfter: 1,
+  shouldCloseConnection: true,
+};
 /** The store or the leader found no record of the job, and looked after the request arrived. */
 export const NO_SUCH_JOB: ApiResponse = { status: 404, body: { error: 'no such job' } };
 /** The service has no resource under this path. */
@@ -26,5 +30,5 @@
 export const BODY_TOO_LONG: ApiResponse = { status: 400, body: { error: 'body over 64 KiB' } };
 /** To a worker: its message is not a valid heartbeat. */
 export const INVALID_HEARTBEAT: ApiResponse = { status: 400, body: { error: 'not a report' } };
-/** To a worker: this controller has no authority to answer heartbeats at this moment. */
-export const CANNOT_ANSWER_HEARTBEAT: ApiResponse = { status: 503 };
+/** To a worker: this controller cannot handle heartbeats now, for example because it has no authority to respond. */
+export const CANNOT_HANDLE_HEARTBEAT: ApiResponse = { status: 503 };
--- a/src/api/app.ts
+++ b/src/api/app.ts
@@ -3,7 +3,12 @@
 import type { Logger } from 'pino';
 import { readBody } from '../net/body.js';
 import { CONTENT_TYPE, MAX_BODY, encode } from '../wire/index.js';
-import { BODY_TOO_LONG, METHOD_NOT_ALLOWED, TRY_AGAIN, type ApiResponse } from './api-response.js';
+import {
+  BODY_TOO_LONG,
+  METHOD_NOT_ALLOWED,
+  SERVICE_UNAVAILABLE,
+  type ApiResponse,
+} from './api-response.js';
 import type { UserRequestHandler } from './user-request-handler.js';
 import type { WorkerHeartbeatHandler } from './worker-heartbeat-handler.js';
 
@@ -53,6 +58,6 @@
     return await handlers.userRequests.handle(ctx.method, ctx.path, body);
   } catch (error) {
     log.error({ err: error }, 'handling an HTTP request failed; the client is told to retry');
-    return TRY_AGAIN;
+    return SERVICE_UNAVAILABLE;
   }
 }
--- a/src/api/job-handler.ts
+++ b/src/api/job-handler.ts
@@ -7,7 +7,7 @@
 import { STORE_RESPONSE_TTL, leaderJobResponse, storedJobResponse } from './job-responses.js';
 import { sendToLeader } from './leader-request.js';
 import type { LeaderView, RelayPolicy } from './leader-view.js';
-import { NO_SUCH_JOB, TRY_AGAIN, type ApiResponse } from './api-response.js';
+import { NO_SUCH_JOB, SERVICE_UNAVAILABLE, type ApiResponse } from './api-response.js';
 
 const READ_TIMEOUT = ms(1200);
 const CANCEL_TIMEOUT = ms(1500);
@@ -23,7 +23,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Returns the state of a job, or `TRY_AGAIN` if the state is not certain. */
+  /** Returns the state of a job, or `SERVICE_UNAVAILABLE` if the state is not certain. */
   async read(id: string, policy: RelayPolicy): Promise<ApiResponse> {
     if (!JOB_ID.test(id)) return NO_SUCH_JOB;
     const route = this.leadership.routeFor(policy);
@@ -44,10 +44,10 @@
     // A job that is not final may have changed while a late response was in transit, and the user may
     // already know the newer state.
     const isLate = durationBetween(requestedAt, this.clock.steady()) > STORE_RESPONSE_TTL;
-    return isLate && stored.kind !== 'final' ? TRY_AGAIN : storedJobResponse(id, stored);
+    return isLate && stored.kind !== 'final' ? SERVICE_UNAVAILABLE : storedJobResponse(id, stored);
   }
 
-  /** Cancels a job and returns its state once that is committed, or `TRY_AGAIN` if the outcome is unknown. */
+  /** Cancels a job and returns its state once that is committed, or `SERVICE_UNAVAILABLE` if the outcome is unknown. */
   async cancel(id: string, policy: RelayPolicy): Promise<ApiResponse> {
     if (!JOB_ID.test(id)) return NO_SUCH_JOB;
     const route = this.leadership.routeFor(policy);
@@ -69,7 +69,7 @@
     // A leader exists but can't be reached: the cancellation is requested through the store, where the
     // leader records the result.
     if (policy === 'handleLocally' || !(await this.jobRecords.requestCancellation(JobId(id)))) {
-      return TRY_AGAIN;
+      return SERVICE_UNAVAILABLE;
     }
     return this.awaitCancellation(id);
   }
@@ -83,7 +83,7 @@
         return storedJobResponse(id, stored);
       }
     }
-    return TRY_AGAIN;
+    return SERVICE_UNAVAILABLE;
   }
 
   /**
@@ -99,6 +99,6 @@
     // While this process waited or was suspended, a peer may have become the leader and have shown users a
     // later state than the one known here. A final state does not change.
     const isAuthorised = result.kind === 'final' || this.leadership.authorisedTerm() === term;
-    return isAuthorised ? leaderJobResponse(id, result, absent) : TRY_AGAIN;
+    return isAuthorised ? leaderJobResponse(id, result, absent) : SERVICE_UNAVAILABLE;
   }
 }
--- a/src/api/submission-handler.ts
+++ b/src/api/submission-handler.ts
@@ -14,7 +14,7 @@
 import { STORE_RESPONSE_TTL, busyResponse, createdResponse } from './job-responses.js';
 import { sendToLeader } from './leader-request.js';
 import type { LeaderView, RelayPolicy } from './leader-view.js';
-import { TRY_AGAIN, type ApiResponse } from './api-response.js';
+import { SERVICE_UNAVAILABLE, type ApiResponse } from './api-response.js';
 
 /**
  * A controller that gets no response in time writes the record itself, if none exists. That costs more than a
@@ -38,7 +38,7 @@
 /** Whether a submission may become a job. */
 type Admission =
   | { readonly kind: 'admitted'; readonly spec: JobSpec }
-  /** The machine types are not known yet: a repeated submission can be answered, a new job can't be checked. */
+  /** The machine types are not known yet: a repeated submission gets a response, but a new job can't be checked. */
   | { readonly kind: 'undecided'; readonly spec: JobSpec }
   | { readonly kind: 'refused'; readonly refusal: ApiResponse };
 
@@ -146,10 +146,11 @@
         detach(term.findJob(id), log, 'reading a job that this controller wrote to the store');
       return;
     }
-    const notice = leadership
+    const notification = leadership
       .leaderPeer()
       ?.sendRequest({ type: 'jobNotice', job: id }, LEADER_NOTIFICATION_TIMEOUT);
-    if (notice) detach(notice, log, 'notifying the leader of a job written to the store');
+    if (notification)
+      detach(notification, log, 'notifying the leader of a job written to the store');
   }
 
   private async respond(
@@ -168,12 +169,12 @@
         return outcome.isLate ? jobHandler.read(id, policy) : createdResponse(id);
       case 'exists': {
         const known = await jobHandler.read(id, policy);
-        return known.status === 404 ? TRY_AGAIN : known;
+        return known.status === 404 ? SERVICE_UNAVAILABLE : known;
       }
       case 'busy':
         return busyResponse(outcome.wait);
       case 'unknown':
-        return TRY_AGAIN;
+        return SERVICE_UNAVAILABLE;
     }
   }
 
@@ -184,7 +185,7 @@
       case 'busy':
         return busyResponse(outcome.wait);
       default:
-        return this.deps.jobHandler.responseIfAuthorised(term, id, outcome, TRY_AGAIN);
+        return this.deps.jobHandler.responseIfAuthorised(term, id, outcome, SERVICE_UNAVAILABLE);
     }
   }
 }
--- a/src/api/user-request-handler.ts
+++ b/src/api/user-request-handler.ts
@@ -11,15 +11,15 @@
 import { JobHandler } from './job-handler.js';
 import type { LeaderView } from './leader-view.js';
 import {
-  ISOLATED,
+  CONTROLLER_ISOLATED,
   METHOD_NOT_ALLOWED,
   NO_SUCH_PATH,
-  TRY_AGAIN,
+  SERVICE_UNAVAILABLE,
   type ApiResponse,
 } from './api-response.js';
 import { SubmissionHandler } from './submission-handler.js';
 
-/** A user's request that takes longer than this gets its final response, `TRY_AGAIN`. */
+/** A user's request that takes longer than this gets its final response, `SERVICE_UNAVAILABLE`. */
 const MAX_REQUEST_TIME = ms(2500);
 
 const JOBS_PATH = '/v1/jobs';
@@ -49,7 +49,7 @@
 
   /** Handles a request that a user sent to this controller over HTTP. */
   async handle(method: string, path: string, body: Buffer): Promise<ApiResponse> {
-    if (this.deps.isIsolated()) return ISOLATED;
+    if (this.deps.isIsolated()) return CONTROLLER_ISOLATED;
     if (path === JOBS_PATH) {
       if (method !== 'POST') return METHOD_NOT_ALLOWED;
       return this.withDeadline(this.submissionHandler.submit(body, 'relay'));
@@ -72,7 +72,7 @@
    * send it round in a loop.
    */
   async handleRelayed(request: UserPeerRequest): Promise<ApiResponse> {
-    if (!this.deps.leadership.authorisedTerm()?.isReady) return TRY_AGAIN;
+    if (!this.deps.leadership.authorisedTerm()?.isReady) return SERVICE_UNAVAILABLE;
     switch (request.type) {
       case 'submitJob':
         return this.withDeadline(this.submissionHandler.submit(request.body, 'handleLocally'));
@@ -83,10 +83,10 @@
     }
   }
 
-  /** Responds with `TRY_AGAIN` if the work takes longer than `MAX_REQUEST_TIME` or fails. */
+  /** Responds with `SERVICE_UNAVAILABLE` if the work takes longer than `MAX_REQUEST_TIME` or fails. */
   private withDeadline(work: Promise<ApiResponse>): Promise<ApiResponse> {
     return new Promise((resolve) => {
-      const timer = this.deps.clock.after(MAX_REQUEST_TIME, () => resolve(TRY_AGAIN));
+      const timer = this.deps.clock.after(MAX_REQUEST_TIME, () => resolve(SERVICE_UNAVAILABLE));
       work.then(
         (response) => {
           timer.cancel();
@@ -98,7 +98,7 @@
             { err: error },
             "handling a user's request failed; the user is told to retry",
           );
-          resolve(TRY_AGAIN);
+          resolve(SERVICE_UNAVAILABLE);
         },
       );
     });
--- a/src/api/worker-heartbeat-handler.ts
+++ b/src/api/worker-heartbeat-handler.ts
@@ -25,7 +25,7 @@
   type Heartbeat,
 } from '../wire/index.js';
 import type { LeaderView } from './leader-view.js';
-import { INVALID_HEARTBEAT, CANNOT_ANSWER_HEARTBEAT, type ApiResponse } from './api-response.js';
+import { INVALID_HEARTBEAT, CANNOT_HANDLE_HEARTBEAT, type ApiResponse } from './api-response.js';
 
 /**
  * A failed leader is replaced after about the duration of its lease. If the leader key still names a leader that
@@ -94,7 +94,7 @@
     const term = this.leadership.authorisedTerm();
     if (term) return this.respondAsLeader(heartbeat, term);
     // The controller that this one takes for the leader may have ended long ago.
-    if (this.deps.isIsolated()) return CANNOT_ANSWER_HEARTBEAT;
+    if (this.deps.isIsolated()) return CANNOT_HANDLE_HEARTBEAT;
     const leader = this.unreachableLeader();
     // The worker may be able to reach the leader even though this controller can't.
     if (leader !== undefined && !this.hasRedirectFailed(heartbeat.machine))
@@ -103,7 +103,7 @@
     if (response) return { status: 200, body: encodeHeartbeatReply(response) };
     // This controller may have become the leader while it waited for a response.
     const ownTerm = this.leadership.authorisedTerm();
-    return ownTerm ? this.respondAsLeader(heartbeat, ownTerm) : CANNOT_ANSWER_HEARTBEAT;
+    return ownTerm ? this.respondAsLeader(heartbeat, ownTerm) : CANNOT_HANDLE_HEARTBEAT;
   }
 
   /** The leader, if it is a peer that has been unresponsive for longer than a failover takes. */
@@ -122,17 +122,17 @@
 
   private async respondAsLeader(heartbeat: Heartbeat, term: Term): Promise<ApiResponse> {
     // The worker has seen a newer fencing token, so this term has been superseded.
-    if (heartbeat.fencingToken > term.epoch) return CANNOT_ANSWER_HEARTBEAT;
+    if (heartbeat.fencingToken > term.epoch) return CANNOT_HANDLE_HEARTBEAT;
     const follower = term.isRedirectingWorkers
       ? this.redirectTargetFor(heartbeat.machine)
       : undefined;
     if (follower !== undefined && !this.hasRedirectFailed(heartbeat.machine))
       return redirectTo(follower);
-    if (!(await this.waitUntilReady(term))) return CANNOT_ANSWER_HEARTBEAT;
+    if (!(await this.waitUntilReady(term))) return CANNOT_HANDLE_HEARTBEAT;
     const response = term.handleHeartbeat(heartbeat);
     return this.leadership.authorisedTerm() === term
       ? { status: 200, body: encodeHeartbeatReply(response) }
-      : CANNOT_ANSWER_HEARTBEAT;
+      : CANNOT_HANDLE_HEARTBEAT;
   }
 
   /**
@@ -141,7 +141,7 @@
    * end before they know would keep cancelled tasks running past their deadline.
    */
   private async waitUntilReady(term: Term): Promise<boolean> {
-    if (!term.isReady) await term.recoverySettled;
+    if (!term.isReady) await term.recoveryOrTimeout;
     return term.isReady && this.leadership.authorisedTerm() === term;
   }
 
--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -150,7 +150,7 @@
 
   /** Returns the most useful request that is due. */
   private nextRequest(now: SteadyMs): CloudRequest | undefined {
-    if (!this.deps.catalog.isKnown) return () => this.readMachineTypes(now);
+    if (!this.deps.catalog.isLoaded) return () => this.readMachineTypes(now);
     const lost = this.lostMachines(now);
     if (lost.length > 0) return () => this.deleteMachines(lost);
     const request = this.nextScaleOutRequest(now);
@@ -270,7 +270,7 @@
     for (const id of machines) {
       // A late response may name machines that have already gone again.
       if (fleet.isGone(id)) continue;
-      const machine = fleet.observe(id, offer, '');
+      const machine = fleet.upsertMachine(id, offer, '');
       machine.rentedAt ??= now;
       if (!machine.isUp) machine.bootingSince ??= now;
     }
--- a/src/capacity/cheapest-offer.ts
+++ b/src/capacity/cheapest-offer.ts
@@ -1,6 +1,6 @@
 /** Chooses the offer from which to rent a machine for a task: the one with the lowest cost. */
 import { fits, machineResources } from '../fleet/resources.js';
-import { isAllowed } from '../placer/placer.js';
+import { isMachineAllowed } from '../placer/placer.js';
 import { seconds } from '../units/index.js';
 import type { MachineType } from '../wire/index.js';
 import { countTaskSlots } from './bin-packing.js';
@@ -61,7 +61,7 @@
   { demand, hasLateTasks }: OfferRequest,
   { refusedOffers }: Market,
 ): boolean {
-  if (!isAllowed(demand, offer) || refusedOffers.has(offerKey(offer))) return false;
+  if (!isMachineAllowed(demand, offer) || refusedOffers.has(offerKey(offer))) return false;
   return offer.spot || !demand.allowSpot || hasLateTasks;
 }
 
--- a/src/capacity/machine-list.ts
+++ b/src/capacity/machine-list.ts
@@ -11,7 +11,7 @@
 } from '../units/index.js';
 import type { ListedMachine } from '../wire/index.js';
 
-/** What a machine list is applied to, and when it was requested. */
+/** The fleet that a machine list is applied to, the maximum lag of the list, and when it was requested. */
 export interface MachineListContext {
   readonly fleet: Fleet;
   /** The maximum lag of the cloud's list. */
@@ -29,37 +29,42 @@
   for (const entry of listed) {
     const id = MachineId(entry.id);
     listedIds.add(id);
-    if (!fleet.isGone(id)) recordListed(id, entry, fleet, now);
+    if (!fleet.isGone(id)) recordListedMachine(id, entry, fleet, now);
   }
   for (const machine of fleet.machines.values()) {
     if (listedIds.has(machine.id)) machine.missedListCount = 0;
-    else if (isAbsenceSignificant(machine, listLag, now)) machine.missedListCount++;
+    else if (shouldCountAbsence(machine, listLag, now)) machine.missedListCount++;
   }
 }
 
-/** Whether the absence of a machine from the list is significant. */
-function isAbsenceSignificant(machine: Machine, listLag: DurationMs, now: SteadyMs): boolean {
+/** Whether the absence of a machine from the list suggests that it is gone, and does not come from the list's lag. */
+function shouldCountAbsence(machine: Machine, listLag: DurationMs, now: SteadyMs): boolean {
   if (machine.listedAt === undefined) return machine.bootingSince === undefined && !machine.isUp;
-  // A list may be older than the one before, but not older than twice the lag.
+  // A list may show an older state than the list before it, but none older than twice the maximum lag.
   return durationBetween(machine.listedAt, now) > 2 * listLag;
 }
 
-function recordListed(id: MachineId, listed: ListedMachine, fleet: Fleet, now: SteadyMs): void {
+function recordListedMachine(
+  id: MachineId,
+  listed: ListedMachine,
+  fleet: Fleet,
+  now: SteadyMs,
+): void {
   const { machineType, zone, spot, address, status } = listed;
-  const machine = fleet.observe(id, { machineType, zone, spot }, address);
-  const requestedAt = later(now, ms(-listed.ageSeconds * 1000));
+  const machine = fleet.upsertMachine(id, { machineType, zone, spot }, address);
+  const rentedAt = later(now, ms(-listed.ageSeconds * 1000));
   machine.listedAt ??= now;
-  machine.rentedAt ??= requestedAt;
+  machine.rentedAt ??= rentedAt;
   if (status === 'failed') {
-    // The machine stopped on its own and its tasks are gone. The delete only removes it from the list.
+    // The machine stopped on its own and its tasks are gone. Deleting it only removes it from the list.
     machine.isDecommissioning = true;
     machine.isDeleteSent = true;
   } else if (!machine.isUp && machine.lastStatusAt === undefined) {
-    // A running machine has booted, and only this leader has not received a heartbeat from it yet. After a failover
-    // this applies to the whole fleet, and no machine may be given up because of a boot that took too long.
+    // A running machine has booted; it is only that this leader has not received a heartbeat from it yet. After a
+    // failover this applies to the whole fleet, and no machine may be given up because of a boot that took too long.
     if (status === 'running') {
       machine.bootingSince = undefined;
       machine.listedRunningSince ??= now;
-    } else machine.bootingSince ??= requestedAt;
+    } else machine.bootingSince ??= rentedAt;
   }
 }
--- a/src/capacity/offer-backoff.ts
+++ b/src/capacity/offer-backoff.ts
@@ -33,7 +33,7 @@
     this.refusals.delete(offerKey(offer));
   }
 
-  /** The keys of the offers whose backoff is not over. */
+  /** The keys of the offers whose backoff has not ended. */
   offersInBackoff(now: SteadyMs): ReadonlySet<string> {
     const paused = new Set<string>();
     for (const [key, { pausedUntil }] of this.refusals) if (pausedUntil > now) paused.add(key);
--- a/src/capacity/planner.ts
+++ b/src/capacity/planner.ts
@@ -4,7 +4,7 @@
  * up. For the rest, bins are opened, each for the offer with the lowest cost per task.
  */
 import { fits, machineResources } from '../fleet/resources.js';
-import { isAllowed } from '../placer/placer.js';
+import { isMachineAllowed } from '../placer/placer.js';
 import { createBin, packTasks, countTaskSlots, type Bin } from './bin-packing.js';
 import { findCheapestOffer, type Market } from './cheapest-offer.js';
 import {
@@ -12,7 +12,7 @@
   type AvailableCapacity,
   type Demand,
   type PlannedScaleOut,
-  type Turnover,
+  type BusyCapacity,
 } from './types.js';
 import { WaitEstimator } from './wait-estimator.js';
 
@@ -21,7 +21,7 @@
   /** In the order in which they get machines. */
   readonly demands: readonly Demand[];
   readonly available: readonly AvailableCapacity[];
-  readonly turnover: readonly Turnover[];
+  readonly busyCapacity: readonly BusyCapacity[];
   /** The maximum number of machines to rent. */
   readonly maxMachines: number;
 }
@@ -42,7 +42,7 @@
     input,
     bins: input.available.map((capacity) => createBin(capacity, capacity.free)),
     opened: [],
-    waits: new WaitEstimator(input.turnover),
+    waits: new WaitEstimator(input.busyCapacity),
   };
   for (const demand of input.demands) {
     for (const zoneDemand of splitByZone(demand, plan)) packDemand(zoneDemand, plan);
@@ -65,7 +65,7 @@
   let remaining = demand.taskCount;
   for (const bin of bins) {
     if (remaining === 0) break;
-    if (!isAllowed(demand, bin.offer)) continue;
+    if (!isMachineAllowed(demand, bin.offer)) continue;
     remaining -= packTasks(bin, demand.resources, remaining);
   }
   return remaining;
@@ -138,11 +138,11 @@
     if (!fits(demand.resources, machineResources(type))) continue;
     for (const zone of type.zones) {
       const offer = { machineType: type.name, zone, spot: false };
-      if (isAllowed(demand, offer)) slotsByZone.set(zone, 0);
+      if (isMachineAllowed(demand, offer)) slotsByZone.set(zone, 0);
     }
   }
   for (const bin of bins) {
-    if (!isAllowed(demand, bin.offer)) continue;
+    if (!isMachineAllowed(demand, bin.offer)) continue;
     const { zone } = bin.offer;
     const slots = Math.max(0, countTaskSlots(bin, demand.resources));
     slotsByZone.set(zone, (slotsByZone.get(zone) ?? 0) + slots);
--- a/src/capacity/supply.ts
+++ b/src/capacity/supply.ts
@@ -1,4 +1,4 @@
-/** The supply of machines: their free resources, now or after booting, and how soon their tasks end. */
+/** Computes the capacity of the rented machines: what is free now or after booting, and how soon running tasks end. */
 import type { MachineCatalog } from '../cloud/machine-catalog.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Machine } from '../fleet/machine.js';
@@ -6,10 +6,10 @@
 import { isUrgent } from '../ledger/placement-order.js';
 import { ms, durationBetween, type Epoch, type JobId, type SteadyMs } from '../units/index.js';
 import type { JobSpec, MachineType } from '../wire/index.js';
-import { offerKey, type AvailableCapacity, type Offer, type Turnover } from './types.js';
+import { offerKey, type AvailableCapacity, type Offer, type BusyCapacity } from './types.js';
 
-/** A booting machine counts as supply for this many times the usual boot time of its type. */
-const LATE_BOOT_FACTOR = 2;
+/** A booting machine counts as supply until this many times the usual boot time of its type has passed. */
+const BOOT_TIME_FACTOR = 2;
 
 /** What the supply is computed from. */
 export interface SupplyView {
@@ -23,13 +23,13 @@
 /** The capacity for waiting tasks without renting any machine. */
 export interface Supply {
   readonly available: readonly AvailableCapacity[];
-  readonly turnover: readonly Turnover[];
+  readonly busyCapacity: readonly BusyCapacity[];
 }
 
 /** Computes the supply of all machines that can take tasks now or once they are up. */
 export function currentSupply(view: SupplyView): Supply {
   const available: AvailableCapacity[] = [];
-  const turnover = new TurnoverByOffer(view);
+  const busyCapacity = new BusyCapacityByOffer(view);
   for (const machine of view.fleet.machines.values()) {
     const type = view.catalog.machineType(machine.kind.machineType);
     if (!type || !canTakeTasks(machine, view)) continue;
@@ -41,9 +41,9 @@
     const load = view.fleet.load(machine);
     if (load.hasUnknownTasks) continue;
     available.push({ ...machine.kind, free: subtractResources(capacity, load.used) });
-    turnover.add(machine, capacity);
+    busyCapacity.add(machine, capacity);
   }
-  return { available, turnover: turnover.list() };
+  return { available, busyCapacity: busyCapacity.list() };
 }
 
 const canTakeTasks = (machine: Machine, { epoch, now }: SupplyView): boolean =>
@@ -53,7 +53,7 @@
 
 function isBooting(machine: Machine, type: MachineType, now: SteadyMs): boolean {
   if (machine.bootingSince === undefined) return false;
-  return durationBetween(machine.bootingSince, now) < type.bootSeconds * 1000 * LATE_BOOT_FACTOR;
+  return durationBetween(machine.bootingSince, now) < type.bootSeconds * 1000 * BOOT_TIME_FACTOR;
 }
 
 /** Totals of the tasks on the machines of one offer. */
@@ -65,7 +65,7 @@
   cpuTime: number;
 }
 
-class TurnoverByOffer {
+class BusyCapacityByOffer {
   private readonly totals = new Map<string, TaskTotals>();
 
   constructor(private readonly view: Pick<SupplyView, 'specOf' | 'now'>) {}
@@ -77,7 +77,7 @@
     this.totals.set(key, totals);
     for (const { job, placedAt } of machine.assignments.values()) {
       const spec = this.view.specOf(job);
-      // Capacity that urgent tasks free is taken by other urgent tasks.
+      // The capacity that an urgent task frees goes to other urgent tasks, so it is not counted for waiting tasks.
       if (!spec || isUrgent(spec.priority)) continue;
       totals.busyCpus += spec.cpus;
       // A task that has run for longer than estimated shows that the estimate was too low.
@@ -86,7 +86,7 @@
     }
   }
 
-  list(): Turnover[] {
+  list(): BusyCapacity[] {
     return Array.from(this.totals.values(), ({ offer, capacity, busyCpus, cpuTime }) => ({
       ...offer,
       capacity,
--- a/src/capacity/types.ts
+++ b/src/capacity/types.ts
@@ -49,8 +49,8 @@
   readonly free: Resources;
 }
 
-/** The machines of one offer that run tasks, and how soon these free resources for waiting tasks. */
-export interface Turnover extends Offer {
+/** The tasks that run on the machines of one offer, and how soon these tasks free resources for waiting ones. */
+export interface BusyCapacity extends Offer {
   /** The resources of one machine. */
   readonly capacity: Resources;
   /** CPUs in use by tasks whose resources any waiting task may use afterwards. */
--- a/src/capacity/wait-estimator.ts
+++ b/src/capacity/wait-estimator.ts
@@ -1,15 +1,15 @@
 /** Estimates how many waiting tasks the machines that are up can start in time, without new machines. */
 import { fits } from '../fleet/resources.js';
-import { isAllowed } from '../placer/placer.js';
+import { isMachineAllowed } from '../placer/placer.js';
 import { seconds, type DurationMs } from '../units/index.js';
-import type { Demand, Turnover } from './types.js';
+import type { Demand, BusyCapacity } from './types.js';
 
 /** The usable share of freed CPUs. They become free in fragments, of which a large task can't use all. */
 const USABLE_FREED_CPU_SHARE = 0.8;
 
 /** The tasks that wait for machines of one offer. */
 interface WaitQueue {
-  readonly turnover: Turnover;
+  readonly busyCapacity: BusyCapacity;
   /** CPUs that become free per second. */
   readonly freedCpusPerSecond: number;
   /** CPUs that the tasks queued so far need. */
@@ -20,11 +20,11 @@
 export class WaitEstimator {
   private readonly queues: readonly WaitQueue[];
 
-  constructor(turnover: readonly Turnover[]) {
-    this.queues = turnover
+  constructor(busyCapacity: readonly BusyCapacity[]) {
+    this.queues = busyCapacity
       .filter(({ busyCpus }) => busyCpus > 0)
       .map((entry) => ({
-        turnover: entry,
+        busyCapacity: entry,
         freedCpusPerSecond:
           (entry.busyCpus * USABLE_FREED_CPU_SHARE) / Math.max(1, entry.meanRuntime / seconds(1)),
         queuedCpus: 0,
@@ -34,7 +34,8 @@
   /** Queues tasks; returns for each of `waits` how many of the tasks still wait after that time. */
   enqueue(demand: Demand, taskCount: number, waits: readonly DurationMs[]): number[] {
     const eligible = this.queues.filter(
-      ({ turnover }) => isAllowed(demand, turnover) && fits(demand.resources, turnover.capacity),
+      ({ busyCapacity }) =>
+        isMachineAllowed(demand, busyCapacity) && fits(demand.resources, busyCapacity.capacity),
     );
     let rate = 0;
     let queuedCpus = 0;
--- a/src/cloud/machine-catalog.ts
+++ b/src/cloud/machine-catalog.ts
@@ -1,4 +1,4 @@
-/** The catalog of the machine types that the cloud offers, with prices and zones. */
+/** Keeps the catalog of the machine types that the cloud offers, with prices and zones. */
 import type { Team } from '../config/settings.js';
 import {
   decodeMachineTypes,
@@ -15,8 +15,8 @@
 export class MachineCatalog {
   private types = new Map<string, MachineType>();
 
-  /** Whether any machine types have been read yet. */
-  get isKnown(): boolean {
+  /** Whether any machine types have been read, from the cloud or the state store. */
+  get isLoaded(): boolean {
     return this.types.size > 0;
   }
 
@@ -30,16 +30,16 @@
     return [...this.types.values()];
   }
 
-  /** Replaces all types. Returns true if more than prices changed, so that they should be stored again. */
+  /** Replaces all types. Returns whether anything but prices changed; the types should then be stored again. */
   update(machineTypes: readonly MachineType[]): boolean {
     const before = JSON.stringify(this.all().map(withoutPrices));
     this.types = new Map(machineTypes.map((type) => [type.name, type]));
     return JSON.stringify(this.all().map(withoutPrices)) !== before;
   }
 
-  /** Takes the types from the state store, unless types were already read; ignores unreadable data. */
+  /** Loads the types that were stored in the state store, unless types are already loaded. Ignores unreadable data. */
   restore(data: unknown): void {
-    if (this.isKnown) return;
+    if (this.isLoaded) return;
     const types = decodeMachineTypes(data);
     if (types) this.update(types);
   }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -2,7 +2,7 @@
 import type { Logger } from 'pino';
 import { LeaderView } from './api/leader-view.js';
 import { PeerRequestHandler } from './api/peer-request-handler.js';
-import { ISOLATED, TRY_AGAIN, type ApiResponse } from './api/api-response.js';
+import { CONTROLLER_ISOLATED, SERVICE_UNAVAILABLE, type ApiResponse } from './api/api-response.js';
 import { UserRequestHandler } from './api/user-request-handler.js';
 import { WorkerHeartbeatHandler } from './api/worker-heartbeat-handler.js';
 import { CloudClient } from './cloud/client.js';
@@ -218,8 +218,8 @@
    */
   health(): ApiResponse {
     this.hasSeenLeader ||= this.election.leader() !== undefined;
-    if (!this.hasSeenLeader) return TRY_AGAIN;
-    if (this.isIsolated()) return ISOLATED;
+    if (!this.hasSeenLeader) return SERVICE_UNAVAILABLE;
+    if (this.isIsolated()) return CONTROLLER_ISOLATED;
     return { status: 200, body: { node: this.settings.node } };
   }
 
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** The machines of one term, the machines that are gone, and attempts that no record accounts for. */
+/** Tracks the machines of one term, the machines that are gone, and attempts that no placement accounts for. */
 import {
   Endpoint,
   durationBetween,
@@ -13,7 +13,7 @@
 import { workerLeaseEnd } from './worker-lease.js';
 import { attemptKey, type WorkerStatus } from './worker-status.js';
 
-/** Names that end in a number take few bytes in a compact record. */
+/** Machine names that end in a number take few bytes in a compact record. */
 const NUMBERED_NAME_PATTERN = /\d$/;
 
 /** How long the fleet remembers a machine that is gone: ten minutes. */
@@ -42,7 +42,7 @@
   readonly machines = new Map<MachineId, Machine>();
   /** Machines that are certainly gone. Late heartbeats and stale lists must not add them again. */
   private readonly goneSince = new Map<MachineId, SteadyMs>();
-  /** Machines that run an attempt without a placement: it must end before its task is started again. */
+  /** By task, the machines that run an attempt without a placement, which must end before the task starts again. */
   private readonly orphans = new Map<TaskKey, Set<MachineId>>();
 
   private maxUnnumberedNameLength = 0;
@@ -63,7 +63,7 @@
    *
    * @param address empty if it was not reported
    */
-  observe(id: MachineId, kind: MachineKind, address: string): Machine {
+  upsertMachine(id: MachineId, kind: MachineKind, address: string): Machine {
     const cacheGb = this.deps.cacheSizeOf(kind.machineType);
     const machine = this.getOrCreate(id, kind);
     if (machine.kind.machineType === '') machine.kind = kind;
@@ -79,7 +79,7 @@
   private getOrCreate(id: MachineId, kind: MachineKind): Machine {
     const known = this.machines.get(id);
     if (known) return known;
-    // An earlier leader's authority, and so its last response to the worker, ended before this term began.
+    // An earlier leader lost its authority, and so sent its last response to the worker, before this term began.
     const leaseExpiresAt = workerLeaseEnd(this.deps.startedAt, this.deps.lease);
     const machine = new Machine(id, kind, 0, leaseExpiresAt);
     this.machines.set(id, machine);
@@ -94,7 +94,7 @@
   }
 
   /** Removes an attempt that is no longer on the machine. A later attempt of the task there stays. */
-  release(id: MachineId, key: TaskKey, attempt: number): void {
+  unassign(id: MachineId, key: TaskKey, attempt: number): void {
     const machine = this.machines.get(id);
     if (machine?.assignments.get(key)?.attempt === attempt) machine.unassign(key);
   }
@@ -147,7 +147,7 @@
   }
 }
 
-/** Whether a status shows a running attempt of the task other than the one assigned to the machine. */
+/** Whether a status shows an attempt of the task that has not exited, other than the one assigned to the machine. */
 function isRunningOrphan(
   machine: Machine,
   key: TaskKey,
--- a/src/fleet/worker-lease.ts
+++ b/src/fleet/worker-lease.ts
@@ -7,8 +7,9 @@
 /**
  * The time by which a worker's lease has expired on every clock.
  *
- * @param from when the last heartbeat that renewed the lease arrived, which is after the worker sent it
+ * @param latestRenewal a time at or after the last renewal of the lease, for example when the heartbeat arrived: the
+ *   worker renews the lease from the earlier time at which it sent the heartbeat
  * @param lease the length of the lease
  */
-export const workerLeaseEnd = (from: SteadyMs, lease: DurationMs): SteadyMs =>
-  later(from, ms(upperBoundUnderDrift(lease) + WORKER_TIMER_MARGIN));
+export const workerLeaseEnd = (latestRenewal: SteadyMs, lease: DurationMs): SteadyMs =>
+  later(latestRenewal, ms(upperBoundUnderDrift(lease) + WORKER_TIMER_MARGIN));
--- a/src/leader/catalog-sync.ts
+++ b/src/leader/catalog-sync.ts
@@ -31,7 +31,7 @@
   async run(): Promise<void> {
     const { catalog, clock, isLeader, store } = this.deps;
     while (!this.isStopped) {
-      const interval = catalog.isKnown ? READ_INTERVAL : INITIAL_READ_INTERVAL;
+      const interval = catalog.isLoaded ? READ_INTERVAL : INITIAL_READ_INTERVAL;
       if (!isLeader()) {
         const read = await store.get(CATALOG_KEY, STORE_TIMEOUT);
         // Checked again, because this controller may have become leader in the meantime.
--- a/src/leader/demand-forecast.ts
+++ b/src/leader/demand-forecast.ts
@@ -1,6 +1,6 @@
 /**
- * Forecasts demand by jobs that should start as soon as they are submitted, so that capacity for them can be kept free.
- * The forecast for each image is an exponential moving average of the CPUs that such submissions requested.
+ * Forecasts the demand of jobs that should start as soon as they are submitted, so that capacity for them can be kept
+ * free. The forecast for each image is an exponential moving average of the CPUs that such submissions requested.
  */
 import type { Objective } from '../config/settings.js';
 import { isGang } from '../ledger/job.js';
@@ -11,9 +11,9 @@
 
 /** Weight of the latest submission in the moving average. */
 const SMOOTHING_FACTOR = 0.2;
-/** Capacity kept free on running machines for an image, as a multiple of the average submission. */
-const RESERVED_SUBMISSIONS = 2;
-/** An image without an anticipated kind of submission for this long is dropped from the forecast. */
+/** Capacity is kept free on running machines for this many average submissions with an image. */
+const RESERVED_SUBMISSION_COUNT = 2;
+/** An image is dropped from the forecast if no job of an anticipated kind has used it for this long. */
 const MAX_SUBMISSION_AGE = seconds(180);
 /** Maximum share of the fleet's CPUs that is kept free for one image. */
 const MAX_RESERVED_FLEET_SHARE = 0.1;
@@ -33,15 +33,15 @@
 }
 
 /**
- * Tracks recent submissions by image. It counts those of urgent jobs, and of gangs in a job class with an objective on
- * the time until the start.
+ * Tracks recent submissions by image. Only submissions of urgent jobs, and of gangs in a job class with an objective
+ * on the time until the start, count.
  *
  * The first submission with an image sets the average of that image. Each later one moves it by `SMOOTHING_FACTOR` of
  * the difference. An image is dropped when no counted submission has used it for `MAX_SUBMISSION_AGE`.
  */
 export class DemandForecast {
   private readonly recentByImage = new Map<string, RecentSubmissions>();
-  /** Job classes with an objective on the time until the start. */
+  /** Job classes with an objective of the kind `wait`, which limits the time until the start. */
   private readonly waitJobClasses = new Set<string>();
 
   constructor(objectives: readonly Objective[]) {
@@ -51,7 +51,8 @@
 
   /**
    * Whether capacity is kept free for jobs of this kind: urgent ones, and gangs with an objective on the time until the
-   * start. Other array jobs start task by task in the available capacity, which costs less than keeping capacity free.
+   * start. The tasks of other jobs start one by one as capacity becomes available, which costs less than keeping it
+   * free.
    */
   isAnticipated(spec: JobSpec): boolean {
     return isUrgent(spec.priority) || (isGang(spec) && this.waitJobClasses.has(spec.jobClass));
@@ -78,7 +79,7 @@
     return new Map(
       [...this.recentByImage].map(([image, { averageCpus }]) => [
         image,
-        Math.min(averageCpus * RESERVED_SUBMISSIONS, maxCpus),
+        Math.min(averageCpus * RESERVED_SUBMISSION_COUNT, maxCpus),
       ]),
     );
   }
--- a/src/leader/direct-command-sender.ts
+++ b/src/leader/direct-command-sender.ts
@@ -25,7 +25,7 @@
 /** After a request without a response, commands go to the machine only in heartbeat responses for this long. */
 const DIRECT_COMMAND_PAUSE = seconds(8);
 
-/** Reconciles placements with the worker statuses that arrive in heartbeats and in responses to direct commands. */
+/** Receives the worker statuses from heartbeats and from responses to direct commands, and reconciles placements. */
 export interface StatusObserver {
   /** Called after the status has been recorded as the machine's latest one. */
   observe(machine: Machine, status: WorkerStatus, source: StatusSource): void;
@@ -43,8 +43,8 @@
   private readonly requestSender: WorkerRequestSender;
   private readonly prober: MachineProber;
   /**
-   * Set while this controller falls behind. Start commands then go in heartbeat responses only, where each costs less
-   * than in a direct request.
+   * Set while this controller falls behind with its work. Start commands then go in heartbeat responses only, where
+   * each costs less than in a direct request.
    */
   isControllerBusy = false;
 
@@ -91,7 +91,7 @@
     });
   }
 
-  /** Machines for which no socket is free stay pending; the responses to their heartbeats carry the commands too. */
+  /** If no socket is free, the other machines stay pending; their heartbeat responses carry the commands too. */
   private sendPending(): void {
     for (const machine of this.pendingMachines) {
       if (!this.requestSender.hasFreeSocket) return;
@@ -142,7 +142,7 @@
       this.requeueUnsentTasks(machine, startedAttempts);
   }
 
-  /** Requeues tasks whose start command was never sent: they need no proof of absence from the machine. */
+  /** Requeues tasks whose start command was never sent. No proof is needed that the machine does not run them. */
   private requeueUnsentTasks(machine: Machine, startedAttempts: readonly string[]): void {
     const unsentAttempts = new Set(startedAttempts);
     for (const [key, assigned] of [...machine.assignments]) {
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -103,7 +103,7 @@
   /**
    * Records a leader that a peer knows. What this controller read itself may be stale, or it may not reach the
    * store. A later epoch proves that this controller's key is gone, so a term whose authority has lapsed ends here.
-   * Workers that still report to this controller are then redirected at once; otherwise they would try one
+   * Workers that still send heartbeats to this controller are then redirected at once; otherwise they would try one
    * controller after another until their leases expire.
    */
   recordLeader(leader: NodeId, epoch: number): void {
--- a/src/leader/fleet-log.ts
+++ b/src/leader/fleet-log.ts
@@ -38,7 +38,7 @@
     const { ledger, log } = this.deps;
     const machines = this.machinesByType();
     log.info(
-      { machines, jobs: ledger.jobs.size, waiting: this.waitingTasksByClass() },
+      { machines, jobs: ledger.jobs.size, waiting: this.waitingTasksByJobClass() },
       'fleet summary',
     );
   }
@@ -61,7 +61,7 @@
     return summaries;
   }
 
-  private waitingTasksByClass(): Record<string, number> {
+  private waitingTasksByJobClass(): Record<string, number> {
     const waiting: Record<string, number> = {};
     for (const job of this.deps.ledger.jobs.values()) {
       if (job.isCancelled || job.waitingTasks.size === 0) continue;
--- a/src/leader/gang-lifecycle.ts
+++ b/src/leader/gang-lifecycle.ts
@@ -70,7 +70,7 @@
 export function nextGangAction(gang: GangState): GangAction {
   const phase = gangPhase(gang);
   if (phase === 'done') return gang.waitingCount + gang.tasks.length > 0 ? 'complete' : 'none';
-  // Without the lost task, the others would occupy their machines to no purpose until they notice the loss.
+  // Without the lost task, the others would occupy their machines without making progress until they detect the loss.
   if (phase === 'stopping' && gang.tasks.length < gang.taskCount) return 'stopAttempt';
   if (phase === 'running' && shouldCheckpoint(gang)) return 'checkpointAndStop';
   return 'none';
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -16,7 +16,7 @@
 }
 
 /** The dependencies of the heartbeat handler. */
-export interface HeartbeatHandlerOptions {
+export interface HeartbeatHandlerDependencies {
   readonly epoch: Epoch;
   readonly clock: Clock;
   /** The duration of a worker's lease. */
@@ -34,8 +34,8 @@
   private readonly emptyResponse: HeartbeatReply;
   private readonly deliveryCheck: ResponseDeliveryCheck;
 
-  constructor(private readonly options: HeartbeatHandlerOptions) {
-    const { epoch, placements, lease } = options;
+  constructor(private readonly deps: HeartbeatHandlerDependencies) {
+    const { epoch, placements, lease } = deps;
     this.emptyResponse = { fencingToken: epoch, commands: [] };
     this.deliveryCheck = new ResponseDeliveryCheck(epoch, placements.ledger.jobs, lease);
   }
@@ -45,7 +45,10 @@
     return this.acceptFull(heartbeat, toWorkerStatus(heartbeat), undefined);
   }
 
-  /** Handles a heartbeat that a follower relayed. The follower refers to its status by the returned baseline. */
+  /**
+   * Handles a heartbeat that a follower relayed. Later unchanged heartbeats of the worker refer to this one by the
+   * returned baseline.
+   */
   handleRelayed(
     heartbeat: Heartbeat,
     relayId: NodeId,
@@ -60,7 +63,7 @@
    * newest status of the machine; the heartbeat must then be sent in full.
    */
   handleUnchanged(heartbeat: UnchangedHeartbeat, relayId: NodeId): HeartbeatReply | undefined {
-    const machine = this.options.placements.fleet.machines.get(MachineId(heartbeat.machine));
+    const machine = this.deps.placements.fleet.machines.get(MachineId(heartbeat.machine));
     const last = machine?.status;
     if (!machine || last?.baseline !== heartbeat.unchangedSince) return undefined;
     if (last.session !== heartbeat.session) return undefined;
@@ -74,10 +77,10 @@
     relayId: NodeId | undefined,
   ): HeartbeatReply {
     const id = MachineId(heartbeat.machine);
-    const { fleet } = this.options.placements;
+    const { fleet } = this.deps.placements;
     if (fleet.isGone(id)) return this.emptyResponse;
     const { machineType, zone, spot } = heartbeat;
-    const machine = fleet.observe(id, { machineType, zone, spot }, heartbeat.address);
+    const machine = fleet.upsertMachine(id, { machineType, zone, spot }, heartbeat.address);
     return this.accept(machine, status, relayId);
   }
 
@@ -86,13 +89,13 @@
     status: WorkerStatus,
     relayId: NodeId | undefined,
   ): HeartbeatReply {
-    const { clock, epoch, lease, observer, onMachineUp, responseCommands } = this.options;
+    const { clock, epoch, lease, observer, onMachineUp, responseCommands } = this.deps;
     const now = clock.steady();
     const wasUp = machine.isUp;
     const last = machine.status;
     const isFresh = machine.recordStatus(status, now);
     if (isFresh && last) this.deliveryCheck.check(machine, status, last, now);
-    // A stale heartbeat gets a response too, and its worker then renews the lease from when the heartbeat was sent.
+    // A stale heartbeat also gets a response, with which the worker renews its lease from when it sent the heartbeat.
     machine.extendLease(workerLeaseEnd(now, lease));
     if (!isFresh) return this.emptyResponse;
     machine.relayControllerId = relayId;
--- a/src/leader/inbox-watcher.ts
+++ b/src/leader/inbox-watcher.ts
@@ -1,6 +1,6 @@
 /**
- * Processes inbox entries. Other controllers write them to the store while they cannot reach a leader: about jobs
- * that they have created, and to request cancellations.
+ * Processes inbox entries. Other controllers write them to the store while they cannot reach a leader: one for each
+ * job that they create, and one for each cancellation that a user requests.
  */
 import type { JobRecords } from '../ledger/job-records.js';
 import type { Ledger } from '../ledger/ledger.js';
@@ -9,7 +9,7 @@
 
 const RETRY_DELAY = seconds(1);
 
-/** Processes inbox entries as they appear, and deletes each entry whose outcome is known. */
+/** Processes inbox entries as they appear, and deletes each one once the outcome of its processing is known. */
 export class InboxWatcher {
   private isClosed = false;
 
@@ -26,11 +26,11 @@
       const listed = await this.jobRecords.readInbox();
       if (this.isClosed) return;
       if (listed) {
-        // All in one function, because another await for each entry would spread the deletions over more transactions.
+        // No helper is awaited here: a further await for each entry would spread the deletions over more transactions.
         for (const { key, id, isCancellation } of listed.entries) {
           const result = isCancellation ? await this.jobs.cancel(id) : await this.jobs.find(id);
           if (this.isClosed) return;
-          // If the entry is written again during its deletion, nothing is lost: what it asks for is already done.
+          // If the entry is written again during its deletion, nothing is lost: the work it requests is already done.
           if (result.kind !== 'unknown') this.ledger.deleteInboxEntry(key);
         }
         if (await this.jobRecords.watchInbox(listed.revision)) continue;
--- a/src/leader/job-recovery.ts
+++ b/src/leader/job-recovery.ts
@@ -20,11 +20,11 @@
   readonly log: Logger;
 }
 
-/** Reads the live records once and notifies waiting callers through `settled`. */
+/** Reads the live records once and ends the wait of heartbeats through `completionOrTimeout`. */
 export class JobRecovery {
   /** Resolves once the records have been read, recovery is closed, or `MAX_HEARTBEAT_WAIT` has passed. */
-  readonly settled: Promise<void>;
-  private settle: () => void = () => undefined;
+  readonly completionOrTimeout: Promise<void>;
+  private endWait: () => void = () => undefined;
   private readonly timer: Timer;
   private isClosed = false;
 
@@ -33,8 +33,8 @@
     /** Receives each job that was read. */
     private readonly onJobRead: (job: Job) => void,
   ) {
-    this.settled = new Promise((resolve) => (this.settle = resolve));
-    this.timer = deps.clock.after(MAX_HEARTBEAT_WAIT, () => this.settle());
+    this.completionOrTimeout = new Promise((resolve) => (this.endWait = resolve));
+    this.timer = deps.clock.after(MAX_HEARTBEAT_WAIT, () => this.endWait());
   }
 
   /** Retries until all records have been read. Resolves with true then, and with false if closed earlier. */
@@ -62,10 +62,10 @@
     return false;
   }
 
-  /** Stops recovery and resolves `settled`, whether or not the records have been read. */
+  /** Stops recovery and resolves `completionOrTimeout`, whether or not the records have been read. */
   close(): void {
     this.isClosed = true;
     this.timer.cancel();
-    this.settle();
+    this.endWait();
   }
 }
--- a/src/leader/placement-index.ts
+++ b/src/leader/placement-index.ts
@@ -82,7 +82,7 @@
     const placement = job.placements.get(index);
     if (!placement) return;
     const key = taskKey(job.id, index);
-    this.fleet.release(placement.machine, key, placement.attempt);
+    this.fleet.unassign(placement.machine, key, placement.attempt);
     this.stoppingCpus.delete(key);
     this.events.onCapacityChanged();
   }
--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -2,7 +2,7 @@
 import type { Machine } from '../fleet/machine.js';
 import type { Job } from '../ledger/job.js';
 import { isUrgent, priorityRankOf, type QueueEntry } from '../ledger/placement-order.js';
-import { isAllowed, type Assignment, type RemainingQuota } from '../placer/placer.js';
+import { isMachineAllowed, type Assignment, type RemainingQuota } from '../placer/placer.js';
 import { durationBetween, type DurationMs, type MachineId, type SteadyMs } from '../units/index.js';
 import { JobKind } from '../wire/index.js';
 import { RECENT_START_WINDOW, type PlacementIndex, type RecentStart } from './placement-index.js';
@@ -104,5 +104,5 @@
 function canRunOn({ spec }: Job, machine: Machine): boolean {
   if (!machine.isUp || machine.isDraining) return false;
   const { machineTypes, zone, allowSpot } = spec;
-  return isAllowed({ machineTypes, requiredZone: zone, allowSpot }, machine.kind);
+  return isMachineAllowed({ machineTypes, requiredZone: zone, allowSpot }, machine.kind);
 }
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -184,8 +184,8 @@
   }
 
   /** Resolves once the term is ready or closed, or recovery has exceeded its time limit. */
-  get recoverySettled(): Promise<void> {
-    return this.jobRecovery.settled;
+  get recoveryOrTimeout(): Promise<void> {
+    return this.jobRecovery.completionOrTimeout;
   }
 
   /** Whether workers that send heartbeats directly to this controller are redirected to followers. */
--- a/src/ledger/job-records.ts
+++ b/src/ledger/job-records.ts
@@ -136,7 +136,7 @@
     return job.isFinished ? { kind: 'final', final: job.finalState() } : found;
   }
 
-  /** Writes an inbox entry that asks the unreachable leader to cancel the job; false if the write failed. */
+  /** Writes an inbox entry that requests the cancellation from the unreachable leader; false if the write failed. */
   async requestCancellation(id: JobId): Promise<boolean> {
     const result = await this.transact(
       [{ key: finalKey(id), revision: 0 }],
--- a/src/ledger/placement-order.ts
+++ b/src/ledger/placement-order.ts
@@ -42,7 +42,7 @@
   readonly mustStart: boolean;
 }
 
-/** The deadline in milliseconds since 1970 that an objective sets for a job of its class, if any. */
+/** The deadline in milliseconds since 1970 that an objective sets for a job of its job class, if any. */
 function deadlineFromObjective(objective: Objective, job: Job): number | undefined {
   const { deadlineSeconds, expectedRuntimeSeconds } = job.spec;
   const { kind, within, times } = objective;
--- a/src/ledger/store-keys.ts
+++ b/src/ledger/store-keys.ts
@@ -21,7 +21,7 @@
 /** The key of the inbox entry with which another controller informs the leader that it created the job. */
 export const creationInboxKey = (id: JobId): string => `${INBOX_PREFIX}${id}`;
 
-/** The key of the inbox entry that asks the leader to cancel the job. */
+/** The key of the inbox entry that requests the cancellation of the job from the leader. */
 export const cancellationInboxKey = (id: JobId): string =>
   `${creationInboxKey(id)}${CANCELLATION_SUFFIX}`;
 
--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -19,7 +19,7 @@
   readonly message: Message;
 }
 
-/** Reports a message that this version can't read, or that is not allowed in the direction in which it was sent. */
+/** Thrown for a message that this version can't read, or that is not allowed in the direction in which it was sent. */
 export class MessageError extends Error {
   override readonly name = 'MessageError';
 }
--- a/src/peer/peer-client.ts
+++ b/src/peer/peer-client.ts
@@ -26,7 +26,7 @@
  */
 const UNRESPONSIVE_AFTER = ms(2500);
 
-type SettleRequest = (response: PeerResponse | undefined) => void;
+type CompleteRequest = (response: PeerResponse | undefined) => void;
 
 /** A persistent connection to a peer. A request opens it if it is not open, at most once per `RECONNECT_DELAY`. */
 export class PeerClient implements Peer {
@@ -34,7 +34,7 @@
   private frameEncoder: FrameEncoder | undefined;
   private isConnected = false;
   private nextRequestId = 1;
-  private readonly pendingRequests = new Map<number, SettleRequest>();
+  private readonly pendingRequests = new Map<number, CompleteRequest>();
   /** Since when requests have been pending without any response. */
   private waitingSince: SteadyMs | undefined;
   private reconnectAt = SteadyMs(0);
@@ -69,13 +69,13 @@
     const id = this.nextRequestId;
     this.nextRequestId = id >= MAX_REQUEST_ID ? 1 : id + 1;
     const response = await new Promise<PeerResponse | undefined>((resolve) => {
-      const timer = this.clock.after(timeout, () => settle(undefined));
-      const settle: SettleRequest = (received) => {
+      const timer = this.clock.after(timeout, () => complete(undefined));
+      const complete: CompleteRequest = (received) => {
         timer.cancel();
         this.pendingRequests.delete(id);
         resolve(received);
       };
-      this.pendingRequests.set(id, settle);
+      this.pendingRequests.set(id, complete);
       this.waitingSince ??= this.clock.steady();
       frameEncoder.write(encodeRequest(id, request));
     });
@@ -139,6 +139,6 @@
     this.waitingSince = undefined;
     this.reconnectAt = later(this.clock.steady(), RECONNECT_DELAY);
     socket?.destroy();
-    for (const settle of [...this.pendingRequests.values()]) settle(undefined);
+    for (const complete of [...this.pendingRequests.values()]) complete(undefined);
   }
 }
--- a/src/peer/peer-liveness.ts
+++ b/src/peer/peer-liveness.ts
@@ -15,7 +15,7 @@
 const HEARTBEAT_INTERVAL = ms(1000);
 const HEARTBEAT_TIMEOUT = ms(800);
 /** A controller without any response from the store or a peer for this long counts as isolated. */
-const ISOLATED_AFTER = seconds(5);
+const ISOLATION_TIMEOUT = seconds(5);
 /** How long a peer's statement that the store does not respond to it either remains valid. */
 const OUTAGE_REPORT_TTL = seconds(30);
 
@@ -34,12 +34,12 @@
   lastStoreResponseAt: SteadyMs,
   peers: readonly (ReceivedStatus | undefined)[],
 ): boolean {
-  if (peers.length === 0 || durationBetween(lastStoreResponseAt, now) < ISOLATED_AFTER)
+  if (peers.length === 0 || durationBetween(lastStoreResponseAt, now) < ISOLATION_TIMEOUT)
     return false;
   for (const peer of peers) {
     if (!peer) continue;
     const age = durationBetween(peer.receivedAt, now);
-    if (age < ISOLATED_AFTER) return false;
+    if (age < ISOLATION_TIMEOUT) return false;
     const isStoreOutage = !peer.status.storeReachable && peer.receivedAt > lastStoreResponseAt;
     if (isStoreOutage && age < OUTAGE_REPORT_TTL) return false;
   }
@@ -48,7 +48,7 @@
 
 /** Whether a response at that time is recent enough for its sender to count as reachable. */
 export const isRecentResponse = (at: SteadyMs, now: SteadyMs): boolean =>
-  durationBetween(at, now) < ISOLATED_AFTER;
+  durationBetween(at, now) < ISOLATION_TIMEOUT;
 
 /** The source and the receiver of the statuses that `PeerLiveness` exchanges. */
 export interface StatusExchange {
--- a/src/placer/cluster-capacity.ts
+++ b/src/placer/cluster-capacity.ts
@@ -1,4 +1,4 @@
-/** Tracks the free capacity of machines during one placing round and defines which machines a job prefers. */
+/** Tracks the free capacity of machines during one placement round and defines which machines a job prefers. */
 import { RESOURCE_TOLERANCE, fits, type Resources } from '../fleet/resources.js';
 import type { CandidateMachine, ImageReserve, TaskRequest } from './types.js';
 
@@ -40,7 +40,7 @@
 const CONSTRAINED_CPU_SHARE = 0.75;
 
 /** Whether a job accepts the type, zone and price model of a machine. */
-export function isAllowed(
+export function isMachineAllowed(
   request: Pick<TaskRequest, 'machineTypes' | 'requiredZone' | 'allowSpot'>,
   machine: Pick<CandidateMachine, 'machineType' | 'zone' | 'spot'>,
 ): boolean {
@@ -92,7 +92,7 @@
   /** The groups that a job may use and whose machines, when empty, can hold one of its tasks. */
   eligibleGroups(request: TaskRequest): MachineGroup[] {
     return this.groups.filter(
-      (group) => isAllowed(request, group) && fits(request.resources, group.capacity),
+      (group) => isMachineAllowed(request, group) && fits(request.resources, group.capacity),
     );
   }
 
--- a/src/placer/placer.ts
+++ b/src/placer/placer.ts
@@ -1,14 +1,15 @@
 /**
- * Decides which machines waiting tasks run on. The placer is pure and deterministic. Tasks that may be on a machine
- * count as being there. Jobs are placed by rank and then in the given order. Each task goes to a machine that holds
- * its image, otherwise to the one that will have it first, otherwise to the one with the most free CPUs.
+ * Decides which machines waiting tasks run on. The placer is pure and deterministic. A task that may be on a machine
+ * counts as being there. Jobs are placed by rank; at equal rank, constrained jobs come first, and then the given order
+ * applies. Each task goes to a machine that holds its image, otherwise to the one that will have it first, otherwise to
+ * the one with the most free CPUs.
  */
 import { ClusterCapacity } from './cluster-capacity.js';
 import { isWithinQuota, placeJob, type EligibleRequest } from './job-placement.js';
 import { reserveSlots } from './reservations.js';
 import type { Assignment, PlacementInput, TaskRequest } from './types.js';
 
-export { isAllowed } from './cluster-capacity.js';
+export { isMachineAllowed } from './cluster-capacity.js';
 export type {
   Assignment,
   CandidateMachine,
@@ -24,7 +25,7 @@
 }
 
 /**
- * Runs one placing round. Each task is assigned at most once. No assignment exceeds the free capacity of its machine
+ * Runs one placement round. Each task is assigned at most once. No assignment exceeds the free capacity of its machine
  * or the quota of its team, or violates the constraints of its job. Placements are subtracted from the values of
  * `quotas`.
  */
@@ -56,7 +57,7 @@
   return assignments;
 }
 
-/** Sorts by rank. At equal rank, constrained jobs come first, since other jobs have more machines to choose from. */
+/** Sorts by rank. At equal rank, constrained jobs come first, since they have fewer machines to choose from. */
 function sortQueue(requests: readonly TaskRequest[], capacity: ClusterCapacity): QueuedRequest[] {
   const queue = requests.map((request, position) => {
     const groups = capacity.eligibleGroups(request);
--- a/src/placer/reservations.ts
+++ b/src/placer/reservations.ts
@@ -1,5 +1,5 @@
 /**
- * Reserves machines for one placing round, so that jobs later in the queue can't use them. Large tasks need this
+ * Reserves machines for one placement round, so that jobs later in the queue can't use them. Large tasks need this
  * because small ones would fill each gap before it is large enough, and gangs because they need capacity for all
  * tasks at once.
  */
--- a/src/placer/types.ts
+++ b/src/placer/types.ts
@@ -2,7 +2,7 @@
 import type { Resources } from '../fleet/resources.js';
 import type { JobId, MachineId } from '../units/index.js';
 
-/** A machine that may take tasks in this placing round. */
+/** A machine that may take tasks in this placement round. */
 export interface CandidateMachine {
   readonly id: MachineId;
   readonly machineType: string;
@@ -53,14 +53,14 @@
   readonly avoidedMachines: ReadonlySet<MachineId>;
   /** Whether the tasks may use the capacity that `ImageReserve` keeps free. */
   readonly isUrgent: boolean;
-  /** Whether the reserve exists for jobs of this job class, so that the job may use the reserve of its own image. */
+  /** Whether the reserve is kept for jobs of this kind; if so, the job may use the reserve of its own image. */
   readonly canUseReserve: boolean;
   /**
    * Whether the job has waited for long without any placed task. Its first task, or the whole gang, may then use
    * the reserve and machines with a soft reservation.
    */
   readonly mustStart: boolean;
-  /** Priority in the queue, lowest first. Negative if the job is starved: its reservations are then hard. */
+  /** Rank in the queue; the lowest is placed first. Negative if the job is starved; its reservations are then hard. */
   readonly rank: number;
 }
 
@@ -70,20 +70,20 @@
  */
 export type ImageReserve = ReadonlyMap<string, number>;
 
-/** What a team may still start under its quota. The placer subtracts its placements. */
+/** The resources that a team may still use under its quota. The placer subtracts what it places. */
 export interface RemainingQuota {
   cpus: number;
   gpus: number;
 }
 
-/** The state of the cluster at the beginning of a placing round. */
+/** The state of the cluster at the beginning of a placement round. */
 export interface PlacementInput {
   /** Jobs with waiting tasks, in queue order. */
   readonly requests: readonly TaskRequest[];
   readonly machines: readonly CandidateMachine[];
   /** By team; a team without an entry has no limit. Placements are subtracted from the values. */
   readonly quotas: ReadonlyMap<string, RemainingQuota>;
-  /** Placing stops at this number of tasks, but a gang whose turn comes before that is placed whole. */
+  /** The round ends once this number of tasks has been placed. Only a gang may exceed it, since it is placed whole. */
   readonly maxAssignments: number;
   readonly reserve?: ImageReserve;
 }
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -28,7 +28,7 @@
 /** Less than the 4 s after which a worker stops waiting for a response. */
 const BATCH_TIMEOUT = ms(2500);
 /**
- * How long a heartbeat waits for a leader with the authority to respond. If a new leader takes over within this
+ * How long a heartbeat waits for a leader with the authority to respond. If a new leader is elected within this
  * time, it responds, and the worker need not try one controller after another to find it.
  */
 const MAX_LEADER_WAIT = ms(1500);
--- a/test/unit/command-sender.test.ts
+++ b/test/unit/command-sender.test.ts
@@ -36,7 +36,7 @@
 };
 
 const observeMachine = (fleet: Fleet): Machine =>
-  fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, heartbeat.address);
+  fleet.upsertMachine(id, { machineType: 'small', zone: 'a', spot: true }, heartbeat.address);
 
 void test('the reply to a command extends a lease only as the first message of a new session', async () => {
   const settings = parseSettings(settingsFile());
--- a/test/unit/failure-backoff.test.ts
+++ b/test/unit/failure-backoff.test.ts
@@ -27,7 +27,7 @@
   });
   for (let i = 0; i < 15; i++) {
     const id = MachineId(`vm-${i % 3}`);
-    const machine = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, '');
+    const machine = fleet.upsertMachine(id, { machineType: 'small', zone: 'a', spot: true }, '');
     job.placeTasks([{ index: 0, machine: id }], clock.steady());
     const attempt = job.placements.get(0)?.attempt ?? 0;
     const task = { task: `${job.id}/0`, attempt, state: 'exited', exitReason: 'error' };
--- a/test/unit/machine-catalog.test.ts
+++ b/test/unit/machine-catalog.test.ts
@@ -56,7 +56,7 @@
 
   const empty = new MachineCatalog();
   empty.restore({ builds: 'unreadable' });
-  assert.equal(empty.isKnown, false);
+  assert.equal(empty.isLoaded, false);
   empty.restore(stored);
   assert.deepEqual(empty.all(), [SMALL, LARGE]);
 
--- a/test/unit/placer.test.ts
+++ b/test/unit/placer.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import type { Resources } from '../../src/fleet/resources.js';
 import {
-  isAllowed,
+  isMachineAllowed,
   placeTasks,
   type Assignment,
   type CandidateMachine,
@@ -368,7 +368,7 @@
         const assigned = requests.find(({ id }) => id === assignment.job);
         const target = machines.find(({ id }) => id === assignment.machine);
         assert.ok(assigned && target);
-        assert.ok(isAllowed(assigned, target));
+        assert.ok(isMachineAllowed(assigned, target));
         return { index: assignment.index, request: assigned, machine: target };
       });
       const tasks = new Set(placed.map((p) => `${p.request.id}/${p.index}`));
--- a/test/unit/placing-loop.test.ts
+++ b/test/unit/placing-loop.test.ts
@@ -1,4 +1,4 @@
-/** When placing rounds run: batched, slower if they take long, and none after the loop is closed. */
+/** When placement rounds run: batched, slower if they take long, and none after the loop is closed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -17,7 +17,7 @@
   return { time, clock, loop, startedAt };
 }
 
-void test('events within the batch delay lead to one placing round', async () => {
+void test('events within the batch delay lead to one placement round', async () => {
   const { time, loop, startedAt } = loopOf(() => 0);
   loop.schedule();
   await time.run(4);
--- a/test/unit/planner.test.ts
+++ b/test/unit/planner.test.ts
@@ -9,7 +9,7 @@
   type AvailableCapacity,
   type Demand,
   type Offer,
-  type Turnover,
+  type BusyCapacity,
 } from '../../src/capacity/types.js';
 import { seconds } from '../../src/units/index.js';
 import type { MachineType } from '../../src/wire/index.js';
@@ -66,7 +66,7 @@
 });
 
 /** Eight CPUs whose tasks run for ten seconds. */
-const BUSY: Turnover = {
+const BUSY: BusyCapacity = {
   ...spotIn('a'),
   capacity: { cpus: 8, gpus: 0, memoryGb: 32 },
   busyCpus: 8,
@@ -77,7 +77,7 @@
   planScaleOut({
     demands,
     available: [],
-    turnover: [],
+    busyCapacity: [],
     machineTypes: [SMALL],
     refusedOffers: new Set(),
     maxMachines: 100,
@@ -120,10 +120,15 @@
   // 0.64 usable CPUs come free a second: those of two tasks in 6.25 seconds.
   const wait = (s: number): Demand => demand(2, { acceptableWait: seconds(s) });
   check([
-    ['both are served', [wait(6.5)], { turnover: [BUSY] }, []],
-    ['one is not', [wait(6)], { turnover: [BUSY] }, [[spotIn('a'), 1]]],
-    ['jobs wait one after the other', [wait(6.5), wait(13)], { turnover: [BUSY] }, []],
-    ['the second one too long', [wait(6.5), wait(12)], { turnover: [BUSY] }, [[spotIn('a'), 1]]],
+    ['both are served', [wait(6.5)], { busyCapacity: [BUSY] }, []],
+    ['one is not', [wait(6)], { busyCapacity: [BUSY] }, [[spotIn('a'), 1]]],
+    ['jobs wait one after the other', [wait(6.5), wait(13)], { busyCapacity: [BUSY] }, []],
+    [
+      'the second one too long',
+      [wait(6.5), wait(12)],
+      { busyCapacity: [BUSY] },
+      [[spotIn('a'), 1]],
+    ],
     ['nothing runs', [wait(6.5)], {}, [[spotIn('a'), 1]]],
   ]);
 });
--- a/test/unit/response-delivery-check.test.ts
+++ b/test/unit/response-delivery-check.test.ts
@@ -18,7 +18,7 @@
 /** Whether the machine counts as not receiving after these heartbeats. */
 function isNotReceiving(steps: readonly Step[], isStartSent: boolean): boolean {
   const fleet = emptyFleet(lease);
-  const machine = fleet.observe(id, { machineType: 'small', zone: 'a', spot: true }, '');
+  const machine = fleet.upsertMachine(id, { machineType: 'small', zone: 'a', spot: true }, '');
   const { job, placement, key } = placedTask(fleet, id, SteadyMs(0));
   if (isStartSent) placement.startSentInResponseTo = { session: 1, sequence: 0 };
   const check = new ResponseDeliveryCheck(epoch, new Map([[job.id, job]]), lease);
--- a/test/unit/scale-in.test.ts
+++ b/test/unit/scale-in.test.ts
@@ -35,7 +35,7 @@
   const fleet = emptyFleet(seconds(24));
   machines.forEach((idle, index) => {
     const kind = { machineType: idle.machineType ?? 'small', zone: 'a', spot: idle.spot ?? true };
-    const machine = fleet.observe(MachineId(`m${index}`), kind, '');
+    const machine = fleet.upsertMachine(MachineId(`m${index}`), kind, '');
     machine.isUp = true;
     machine.idleSince = ago(idle.idleFor ?? 100);
     machine.rentedAt = ago(idle.rentedFor ?? 500);
--- a/test/unit/worker-heartbeats.test.ts
+++ b/test/unit/worker-heartbeats.test.ts
@@ -28,7 +28,7 @@
       let settle = (): void => undefined;
       Object.assign(term, {
         isReady: false,
-        recoverySettled: new Promise<void>((resolve) => (settle = resolve)),
+        recoveryOrTimeout: new Promise<void>((resolve) => (settle = resolve)),
       });
       const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-1') };
       const accepted = relayed
