--- a/src/capacity/demand.ts
+++ b/src/capacity/demand.ts
@@ -21,7 +21,7 @@
 /** Tasks that may be submitted next, all with the same spec. */
 export interface AnticipatedTasks {
   readonly spec: JobSpec;
-  readonly count: number;
+  readonly taskCount: number;
 }
 
 /** What the demand of queued jobs is computed from. */
@@ -43,9 +43,9 @@
  * rented for tasks that may run on spot machines.
  */
 export function anticipatedDemand(anticipated: readonly AnticipatedTasks[]): Demand[] {
-  return anticipated.map(({ spec, count }) => ({
+  return anticipated.map(({ spec, taskCount }) => ({
     ...constraintsOf(spec),
-    taskCount: count,
+    taskCount,
     acceptableWait: NO_WAIT,
     maxWait: UNLIMITED_WAIT,
   }));
--- a/src/capacity/scale-in.ts
+++ b/src/capacity/scale-in.ts
@@ -62,9 +62,9 @@
   constructor(private readonly view: ScaleInView) {
     this.smallestCpus = Math.min(...view.catalog.all().map((type) => type.cpus));
     for (const machine of view.fleet.machines.values()) this.addFree(machine);
-    for (const { spec, count } of view.anticipatedWork) {
-      this.total -= spec.cpus * count;
-      if (!spec.allowSpot) this.onDemand -= spec.cpus * count;
+    for (const { spec, taskCount } of view.anticipatedWork) {
+      this.total -= spec.cpus * taskCount;
+      if (!spec.allowSpot) this.onDemand -= spec.cpus * taskCount;
     }
   }
 
--- a/src/leader/demand-forecast.ts
+++ b/src/leader/demand-forecast.ts
@@ -26,10 +26,10 @@
   readonly lastSubmittedAt: SteadyMs;
 }
 
-/** An expected submission: `count` tasks like those of `spec`. */
+/** An expected submission: `taskCount` tasks like those of `spec`. */
 export interface AnticipatedSubmission {
   readonly spec: JobSpec;
-  readonly count: number;
+  readonly taskCount: number;
 }
 
 /**
@@ -90,7 +90,7 @@
     const maxCpus = fleetCpus * MAX_RESERVED_FLEET_SHARE;
     return [...this.recentByImage.values()].map(({ spec, averageCpus }) => ({
       spec,
-      count: Math.ceil(Math.min(averageCpus, maxCpus) / spec.cpus),
+      taskCount: Math.ceil(Math.min(averageCpus, maxCpus) / spec.cpus),
     }));
   }
 
--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -27,7 +27,7 @@
 
 interface PreemptionCandidate extends RecentStart {
   /** Whether the machine has the image of the job that would run there instead. */
-  readonly machineHasImage: boolean;
+  readonly isImageOnMachine: boolean;
   /** How long the task has run: the work that stopping it loses. */
   readonly lostRunTime: DurationMs;
 }
@@ -74,12 +74,12 @@
       const machine = this.placements.fleet.machines.get(start.placement.machine);
       if (!machine || lostRunTime > RECENT_START_WINDOW || !canRunOn(job, machine)) continue;
       if (!this.isStillPlaced(start)) continue;
-      const machineHasImage = machine.images.has(job.spec.image);
-      candidates.push({ ...start, lostRunTime, machineHasImage });
+      const isImageOnMachine = machine.images.has(job.spec.image);
+      candidates.push({ ...start, lostRunTime, isImageOnMachine });
     }
     return candidates.sort(
       (a, b) =>
-        Number(b.machineHasImage) - Number(a.machineHasImage) || a.lostRunTime - b.lostRunTime,
+        Number(b.isImageOnMachine) - Number(a.isImageOnMachine) || a.lostRunTime - b.lostRunTime,
     );
   }
 
--- a/test/unit/anticipated-work.test.ts
+++ b/test/unit/anticipated-work.test.ts
@@ -24,7 +24,7 @@
     // The forecast is read before the reserve, which is not read while nothing waits: it drops old images itself.
     const forecast = work.anticipatedSubmissions(1000, at(askedAt));
     assert.deepEqual(
-      forecast.map((submission) => submission.count),
+      forecast.map((submission) => submission.taskCount),
       isExpected ? [4] : [],
       name,
     );
--- a/test/unit/scale-in.test.ts
+++ b/test/unit/scale-in.test.ts
@@ -46,7 +46,7 @@
     catalog,
     // Of a boot of 10 seconds.
     idleBootTimes: 1.5,
-    anticipatedWork: anticipated.map(([of, count]) => ({ spec: of, count })),
+    anticipatedWork: anticipated.map(([of, count]) => ({ spec: of, taskCount: count })),
     now: NOW,
   });
   return found.map(({ id }) => id);
