--- a/src/leader/preemption.ts
+++ b/src/leader/preemption.ts
@@ -2,7 +2,7 @@
 import type { Machine } from '../fleet/machine.js';
 import type { Job } from '../ledger/job.js';
 import { isUrgent, priorityRankOf, type QueueEntry } from '../ledger/placement-order.js';
-import { isAllowed, type Assignment, type RemainingQuota } from '../placer/placer.js';
+import { isMachineAllowed, type Assignment, type RemainingQuota } from '../placer/placer.js';
 import { durationBetween, type DurationMs, type MachineId, type SteadyMs } from '../units/index.js';
 import { JobKind } from '../wire/index.js';
 import { RECENT_START_WINDOW, type PlacementIndex, type RecentStart } from './placement-index.js';
@@ -27,7 +27,7 @@
 
 interface PreemptionCandidate extends RecentStart {
   /** Whether the machine has the image of the job that would run there instead. */
-  readonly machineHasImage: boolean;
+  readonly isImageOnMachine: boolean;
   /** How long the task has run: the work that stopping it loses. */
   readonly lostRunTime: DurationMs;
 }
@@ -74,12 +74,12 @@
       const machine = this.placements.fleet.machines.get(start.placement.machine);
       if (!machine || lostRunTime > RECENT_START_WINDOW || !canRunOn(job, machine)) continue;
       if (!this.isStillPlaced(start)) continue;
-      const machineHasImage = machine.images.has(job.spec.image);
-      candidates.push({ ...start, lostRunTime, machineHasImage });
+      const isImageOnMachine = machine.images.has(job.spec.image);
+      candidates.push({ ...start, lostRunTime, isImageOnMachine });
     }
     return candidates.sort(
       (a, b) =>
-        Number(b.machineHasImage) - Number(a.machineHasImage) || a.lostRunTime - b.lostRunTime,
+        Number(b.isImageOnMachine) - Number(a.isImageOnMachine) || a.lostRunTime - b.lostRunTime,
     );
   }
 
@@ -104,5 +104,5 @@
 function canRunOn({ spec }: Job, machine: Machine): boolean {
   if (!machine.isUp || machine.isDraining) return false;
   const { machineTypes, zone, allowSpot } = spec;
-  return isAllowed({ machineTypes, requiredZone: zone, allowSpot }, machine.kind);
+  return isMachineAllowed({ machineTypes, requiredZone: zone, allowSpot }, machine.kind);
 }
--- a/test/unit/demand-forecast.test.ts
+++ b/test/unit/demand-forecast.test.ts
@@ -27,7 +27,7 @@
     // The reserve is not read while no task waits, so the forecast must drop old images itself: it is read first.
     const submissions = forecast.anticipatedSubmissions(1000, atSecond(readAt));
     assert.deepEqual(
-      submissions.map((submission) => submission.count),
+      submissions.map((submission) => submission.taskCount),
       isExpected ? [4] : [],
       name,
     );
--- a/test/unit/direct-command-sender.test.ts
+++ b/test/unit/direct-command-sender.test.ts
@@ -40,7 +40,11 @@
 };
 
 const observeMachine = (fleet: Fleet): Machine =>
-  fleet.observe(machineId, { machineType: 'small', zone: 'a', spot: true }, heartbeat.address);
+  fleet.upsertMachine(
+    machineId,
+    { machineType: 'small', zone: 'a', spot: true },
+    heartbeat.address,
+  );
 
 void test('the response to direct commands extends a lease only if it is the first message of a new session', async () => {
   const settings = parseSettings(settingsFile());
--- a/test/unit/failure-backoff.test.ts
+++ b/test/unit/failure-backoff.test.ts
@@ -31,7 +31,11 @@
   });
   for (let i = 0; i < 15; i++) {
     const machineId = MachineId(`vm-${i % 3}`);
-    const machine = fleet.observe(machineId, { machineType: 'small', zone: 'a', spot: true }, '');
+    const machine = fleet.upsertMachine(
+      machineId,
+      { machineType: 'small', zone: 'a', spot: true },
+      '',
+    );
     job.placeTasks([{ index: 0, machine: machineId }], clock.steady());
     const attempt = job.placements.get(0)?.attempt ?? 0;
     const task = { task: `${job.id}/0`, attempt, state: 'exited', exitReason: 'error' };
--- a/test/unit/machine-catalog.test.ts
+++ b/test/unit/machine-catalog.test.ts
@@ -60,7 +60,7 @@
 
   const empty = new MachineCatalog();
   empty.restore({ builds: 'unreadable' });
-  assert.equal(empty.isKnown, false);
+  assert.equal(empty.isLoaded, false);
   empty.restore(stored);
   assert.deepEqual(empty.all(), [SMALL, LARGE]);
 
--- a/test/unit/placer.test.ts
+++ b/test/unit/placer.test.ts
@@ -8,7 +8,7 @@
 import fc from 'fast-check';
 import type { Resources } from '../../src/fleet/resources.js';
 import {
-  isAllowed,
+  isMachineAllowed,
   placeTasks,
   type Assignment,
   type CandidateMachine,
@@ -399,7 +399,7 @@
           const assigned = requests.find(({ id }) => id === assignment.job);
           const target = machines.find(({ id }) => id === assignment.machine);
           assert.ok(assigned && target);
-          assert.ok(isAllowed(assigned, target));
+          assert.ok(isMachineAllowed(assigned, target));
           return { index: assignment.index, request: assigned, machine: target };
         });
         const tasks = new Set(placed.map((p) => `${p.request.id}/${p.index}`));
--- a/test/unit/planner.test.ts
+++ b/test/unit/planner.test.ts
@@ -13,7 +13,7 @@
   type AvailableCapacity,
   type Demand,
   type Offer,
-  type Turnover,
+  type BusyCapacity,
 } from '../../src/capacity/types.js';
 import { seconds } from '../../src/units/index.js';
 import type { MachineType } from '../../src/wire/index.js';
@@ -70,7 +70,7 @@
 });
 
 /** The turnover of eight busy CPUs whose tasks run for ten seconds. */
-const BUSY_TURNOVER: Turnover = {
+const BUSY_TURNOVER: BusyCapacity = {
   ...spotIn('a'),
   capacity: { cpus: 8, gpus: 0, memoryGb: 32 },
   busyCpus: 8,
@@ -81,7 +81,7 @@
   planScaleOut({
     demands,
     available: [],
-    turnover: [],
+    busyCapacity: [],
     machineTypes: [SMALL],
     refusedOffers: new Set(),
     maxMachines: 100,
@@ -139,18 +139,18 @@
   // Ending tasks free 0.64 usable CPUs per second: enough for two tasks in 6.25 seconds.
   const waitingUpTo = (s: number): Demand => createDemand(2, { acceptableWait: seconds(s) });
   checkPlans([
-    ['both tasks get capacity in time', [waitingUpTo(6.5)], { turnover: [BUSY_TURNOVER] }, []],
-    ['one task does not', [waitingUpTo(6)], { turnover: [BUSY_TURNOVER] }, [[spotIn('a'), 1]]],
+    ['both tasks get capacity in time', [waitingUpTo(6.5)], { busyCapacity: [BUSY_TURNOVER] }, []],
+    ['one task does not', [waitingUpTo(6)], { busyCapacity: [BUSY_TURNOVER] }, [[spotIn('a'), 1]]],
     [
       'jobs get the freed capacity one after the other',
       [waitingUpTo(6.5), waitingUpTo(13)],
-      { turnover: [BUSY_TURNOVER] },
+      { busyCapacity: [BUSY_TURNOVER] },
       [],
     ],
     [
       'the second job would wait too long',
       [waitingUpTo(6.5), waitingUpTo(12)],
-      { turnover: [BUSY_TURNOVER] },
+      { busyCapacity: [BUSY_TURNOVER] },
       [[spotIn('a'), 1]],
     ],
     ['no task runs', [waitingUpTo(6.5)], {}, [[spotIn('a'), 1]]],
--- a/test/unit/response-delivery-check.test.ts
+++ b/test/unit/response-delivery-check.test.ts
@@ -27,7 +27,11 @@
 /** Whether the machine counts as not receiving after the heartbeats. */
 function isNotReceiving(steps: readonly HeartbeatStep[], isStartSent: boolean): boolean {
   const fleet = emptyFleet(lease);
-  const machine = fleet.observe(machineId, { machineType: 'small', zone: 'a', spot: true }, '');
+  const machine = fleet.upsertMachine(
+    machineId,
+    { machineType: 'small', zone: 'a', spot: true },
+    '',
+  );
   const { job, placement, key } = createPlacedTask(fleet, machineId, SteadyMs(0));
   if (isStartSent) placement.startSentInResponseTo = { session: 1, sequence: 0 };
   const check = new ResponseDeliveryCheck(epoch, new Map([[job.id, job]]), lease);
--- a/test/unit/scale-in.test.ts
+++ b/test/unit/scale-in.test.ts
@@ -38,7 +38,7 @@
   const fleet = emptyFleet(seconds(24));
   machines.forEach((idle, index) => {
     const kind = { machineType: idle.machineType ?? 'small', zone: 'a', spot: idle.spot ?? true };
-    const machine = fleet.observe(MachineId(`m${index}`), kind, '');
+    const machine = fleet.upsertMachine(MachineId(`m${index}`), kind, '');
     machine.isUp = true;
     machine.idleSince = secondsAgo(idle.idleFor ?? 100);
     machine.rentedAt = secondsAgo(idle.rentedFor ?? 500);
@@ -49,7 +49,7 @@
     catalog,
     // A boot takes 10 seconds.
     idleBootTimes: 1.5,
-    anticipatedWork: anticipated.map(([of, count]) => ({ spec: of, count })),
+    anticipatedWork: anticipated.map(([of, count]) => ({ spec: of, taskCount: count })),
     now: NOW,
   });
   return found.map(({ id }) => id);
--- a/test/unit/worker-heartbeat-handler.test.ts
+++ b/test/unit/worker-heartbeat-handler.test.ts
@@ -33,7 +33,7 @@
       let settleRecovery = (): void => undefined;
       Object.assign(term, {
         isReady: false,
-        recoverySettled: new Promise<void>((resolve) => (settleRecovery = resolve)),
+        recoveryOrTimeout: new Promise<void>((resolve) => (settleRecovery = resolve)),
       });
       const full = { kind: 'full' as const, heartbeat: heartbeatOf('vm-1') };
       const accepted = isRelayed
