--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -178,7 +178,7 @@
     return cpuMsPerSecond;
   }
 
-  /** Measures the cost of a restart: all workers send heartbeats at once until each has its lease renewed. */
+  /** Measures a restart: all workers send heartbeats at once, until each has its lease renewed. */
   private async measureRestart(): Promise<void> {
     const { workers } = this.services;
     this.child.kill('SIGKILL');
--- a/test/standin/random-faults.ts
+++ b/test/standin/random-faults.ts
@@ -37,9 +37,9 @@
     return this.cluster.random() < probability;
   }
 
-  /** Draws a time between `minMs` and `minMs + rangeMs`. */
-  randomTime(minMs: number, rangeMs: number): number {
-    return minMs + this.cluster.random() * rangeMs;
+  /** Draws a number between `min` and `min + range`. */
+  randomValue(min: number, range: number): number {
+    return min + this.cluster.random() * range;
   }
 
   after(delay: number, run: () => void): void {
@@ -85,7 +85,7 @@
   inject: (cluster, step) => {
     for (const controller of CONTROLLERS) cluster.killController(controller);
     for (const controller of CONTROLLERS)
-      step.after(step.randomTime(1000, 6000), () => cluster.startController(controller));
+      step.after(step.randomValue(1000, 6000), () => cluster.startController(controller));
   },
 };
 
@@ -94,7 +94,7 @@
   inject: (cluster, step) => {
     const [zone, other] = step.zones;
     cluster.network.setPartitioned(zone, other, true);
-    step.after(step.randomTime(3000, 40_000), () =>
+    step.after(step.randomValue(3000, 40_000), () =>
       cluster.network.setPartitioned(zone, other, false),
     );
   },
@@ -104,7 +104,7 @@
   weight: 1,
   inject: (cluster, step) => {
     cluster.store.setOutage(true);
-    step.after(step.randomTime(2000, 20_000), () => cluster.store.setOutage(false));
+    step.after(step.randomValue(2000, 20_000), () => cluster.store.setOutage(false));
   },
 };
 
@@ -113,7 +113,7 @@
   inject: (cluster, step) => {
     const controllerId = `node-${step.anyController()}`;
     cluster.store.setOutageFor(controllerId, true);
-    step.after(step.randomTime(4000, 20_000), () =>
+    step.after(step.randomValue(4000, 20_000), () =>
       cluster.store.setOutageFor(controllerId, false),
     );
   },
@@ -123,7 +123,7 @@
   weight: 1,
   inject: (cluster, step) => {
     cluster.cloud.isUnavailable = true;
-    step.after(step.randomTime(2000, 20_000), () => (cluster.cloud.isUnavailable = false));
+    step.after(step.randomValue(2000, 20_000), () => (cluster.cloud.isUnavailable = false));
   },
 };
 
@@ -132,7 +132,7 @@
   inject: (cluster, step) =>
     step.withRandomMachine((id) => {
       cluster.setMachineHung(id, true);
-      step.after(step.randomTime(0, 30_000), () => cluster.setMachineHung(id, false));
+      step.after(step.randomValue(0, 30_000), () => cluster.setMachineHung(id, false));
     }),
 };
 
@@ -144,7 +144,7 @@
 const reclaimMachine: RandomFault = {
   weight: 1,
   inject: (cluster, step) =>
-    step.withRandomMachine((id) => cluster.reclaimMachine(id, step.randomTime(0, 20_000))),
+    step.withRandomMachine((id) => cluster.reclaimMachine(id, step.randomValue(0, 20_000))),
 };
 
 const failManyMachines: RandomFault = {
@@ -159,7 +159,7 @@
   inject: (cluster, step) =>
     step.withRandomMachine((id) => {
       cluster.setIncomingDropped(id, true);
-      step.after(step.randomTime(5000, 60_000), () => cluster.setIncomingDropped(id, false));
+      step.after(step.randomValue(5000, 60_000), () => cluster.setIncomingDropped(id, false));
     }),
 };
 
@@ -167,7 +167,7 @@
   weight: 1,
   inject: (cluster, step) => {
     cluster.isolateController(step.leaderOrAnyController(0.6), step.chance(0.5));
-    step.after(step.randomTime(3000, 50_000), () => cluster.reconnectControllers());
+    step.after(step.randomValue(3000, 50_000), () => cluster.reconnectControllers());
   },
 };
 
@@ -175,7 +175,7 @@
   weight: 1,
   inject: (cluster, step) => {
     cluster.setPeerConnectionsRefused(true);
-    step.after(step.randomTime(3000, 40_000), () => cluster.setPeerConnectionsRefused(false));
+    step.after(step.randomValue(3000, 40_000), () => cluster.setPeerConnectionsRefused(false));
   },
 };
 
@@ -185,9 +185,9 @@
   inject: (cluster, step) => {
     for (const controller of CONTROLLERS) cluster.killController(controller);
     for (const controller of CONTROLLERS) {
-      step.after(step.randomTime(50, 450), () => cluster.startController(controller));
-      step.after(step.randomTime(500, 700), () => cluster.killController(controller));
-      step.after(step.randomTime(1200, 500), () => cluster.startController(controller));
+      step.after(step.randomValue(50, 450), () => cluster.startController(controller));
+      step.after(step.randomValue(500, 700), () => cluster.killController(controller));
+      step.after(step.randomValue(1200, 500), () => cluster.startController(controller));
     }
   },
 };
@@ -197,7 +197,7 @@
   inject: (cluster, step) => {
     const controller = step.leaderOrAnyController(0.7);
     cluster.setControllerFrozen(controller, true);
-    step.after(step.randomTime(200, 15_000), () => cluster.setControllerFrozen(controller, false));
+    step.after(step.randomValue(200, 15_000), () => cluster.setControllerFrozen(controller, false));
   },
 };
 
@@ -206,15 +206,15 @@
   inject: (cluster, step) =>
     step.withRandomMachine((id) => {
       cluster.setHeartbeatsBlocked(id, true);
-      step.after(step.randomTime(5000, 60_000), () => cluster.setHeartbeatsBlocked(id, false));
+      step.after(step.randomValue(5000, 60_000), () => cluster.setHeartbeatsBlocked(id, false));
     }),
 };
 
 const delayWrites: RandomFault = {
   weight: 2,
   inject: (cluster, step) => {
-    cluster.setDelayedWriteShare(step.randomTime(0, 0.3));
-    step.after(step.randomTime(5000, 40_000), () => cluster.setDelayedWriteShare(0));
+    cluster.setDelayedWriteShare(step.randomValue(0, 0.3));
+    step.after(step.randomValue(5000, 40_000), () => cluster.setDelayedWriteShare(0));
   },
 };
 
@@ -222,7 +222,7 @@
   weight: 1,
   inject: (cluster, step) => {
     cluster.setDuplicateShare(0.3);
-    step.after(step.randomTime(5000, 40_000), () =>
+    step.after(step.randomValue(5000, 40_000), () =>
       cluster.setDuplicateShare(BASE_DUPLICATE_SHARE),
     );
   },
@@ -231,14 +231,14 @@
 const cancelJobs: RandomFault = {
   weight: 2,
   inject: (cluster, step) =>
-    cluster.cancelRunningJobs(6, step.chance(0.5) ? step.randomTime(1000, 30_000) : 0),
+    cluster.cancelRunningJobs(6, step.chance(0.5) ? step.randomValue(1000, 30_000) : 0),
 };
 
 const cancelJobsOnCompletion: RandomFault = {
   weight: 2,
   inject: (cluster, step) => {
     cluster.cancelOnCompletionShare = cluster.random();
-    step.after(step.randomTime(5000, 40_000), () => (cluster.cancelOnCompletionShare = 0));
+    step.after(step.randomValue(5000, 40_000), () => (cluster.cancelOnCompletionShare = 0));
   },
 };
 
@@ -248,15 +248,15 @@
   inject: (cluster, step) => {
     const controllerId = `node-${cluster.leader() ?? step.anyController()}`;
     cluster.store.setOutageFor(controllerId, true);
-    step.after(step.randomTime(0, 7000), () =>
+    step.after(step.randomValue(0, 7000), () =>
       cluster.cancelRunningJobs(6, step.chance(0.3) ? 20_000 : 0),
     );
-    step.after(step.randomTime(500, 11_500), () => {
+    step.after(step.randomValue(500, 11_500), () => {
       if (cluster.haveFaultsEnded) return;
       cluster.store.setOutage(true);
-      step.after(step.randomTime(24_000, 30_000), () => cluster.store.setOutage(false));
+      step.after(step.randomValue(24_000, 30_000), () => cluster.store.setOutage(false));
     });
-    step.after(step.randomTime(4000, 20_000), () =>
+    step.after(step.randomValue(4000, 20_000), () =>
       cluster.store.setOutageFor(controllerId, false),
     );
   },
