--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -240,7 +240,7 @@
     const { time, storeService, limits, ledger, committed } = createLedgerOnStore();
     const jobs = [1, 2, 3, 4].map((n) => createJob(n, n === 2 ? 3 : 120));
     for (const job of jobs) ledger.insert(job);
-    // As the requests that submitted the jobs do.
+    // The requests that submit jobs wait in the same way.
     for (const job of jobs) void ledger.whenCommitted(job);
     await time.run(lowerAfter);
     for (const job of jobs) {
@@ -275,7 +275,7 @@
   committed.length = 0;
   limits.onSizeRefusal();
   storeService.lower(loweredLimits);
-  // The previous limit allowed such a record: the tasks are on many machines, and no two neighbours share one.
+  // The previous limit allowed a record like this: the tasks are on many machines, and no two neighbours share one.
   const tasks = [...large.waitingTasks.indexes()].map((index) => ({
     index,
     machine: MachineId(`vm-${String((index * 7919) % 16_000).padStart(6, '0')}`),
