--- a/src/api/app.ts
+++ b/src/api/app.ts
@@ -17,8 +17,8 @@
 
 /** The handler for each kind of request. */
 export interface RequestHandlers {
-  readonly userRequests: Pick<UserRequestHandler, 'handle'>;
-  readonly workerHeartbeats: Pick<WorkerHeartbeatHandler, 'handle'>;
+  readonly userRequestHandler: Pick<UserRequestHandler, 'handle'>;
+  readonly workerHeartbeatHandler: Pick<WorkerHeartbeatHandler, 'handle'>;
   health(): ApiResponse;
 }
 
@@ -52,10 +52,10 @@
     if (!body) return BODY_TOO_LONG;
     if (ctx.path === HEARTBEAT_PATH) {
       return ctx.method === 'POST'
-        ? await handlers.workerHeartbeats.handle(body)
+        ? await handlers.workerHeartbeatHandler.handle(body)
         : METHOD_NOT_ALLOWED;
     }
-    return await handlers.userRequests.handle(ctx.method, ctx.path, body);
+    return await handlers.userRequestHandler.handle(ctx.method, ctx.path, body);
   } catch (error) {
     log.error({ err: error }, 'handling an HTTP request failed; the client is told to retry');
     return SERVICE_UNAVAILABLE;
--- a/src/api/peer-request-handler.ts
+++ b/src/api/peer-request-handler.ts
@@ -19,8 +19,8 @@
 /** The parts of the controller that handling peers' requests depends on. */
 export interface PeerRequestDependencies {
   readonly leadership: LeaderView;
-  readonly userRequests: UserRequestHandler;
-  readonly workerHeartbeats: WorkerHeartbeatHandler;
+  readonly userRequestHandler: UserRequestHandler;
+  readonly workerHeartbeatHandler: WorkerHeartbeatHandler;
   readonly http: HttpClient;
   readonly events: PeerEvents;
 }
@@ -31,7 +31,7 @@
 
   /** Handles a request according to its type. */
   async handle(request: PeerRequest): Promise<PeerResponse> {
-    const { events, http, userRequests, workerHeartbeats } = this.deps;
+    const { events, http, userRequestHandler, workerHeartbeatHandler } = this.deps;
     switch (request.type) {
       case 'peerHeartbeat':
         return { type: 'peerStatus', status: events.onHeartbeat(request.status) };
@@ -41,13 +41,17 @@
       case 'jobNotice':
         return { type: 'acknowledged', ok: await this.loadJob(JobId(request.job)) };
       case 'workerHeartbeats':
-        return workerHeartbeats.handleRelayed(request.node, request.epoch, request.heartbeats);
+        return workerHeartbeatHandler.handleRelayed(
+          request.node,
+          request.epoch,
+          request.heartbeats,
+        );
       case 'sendCommands':
         return sendCommandsToWorker(http, request);
       case 'submitJob':
       case 'readJob':
       case 'cancelJob':
-        return toUserResponse(await userRequests.handleRelayed(request));
+        return toUserResponse(await userRequestHandler.handleRelayed(request));
     }
   }
 
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -40,9 +40,9 @@
 
 /** Takes part in the election, leads terms, and handles requests from users, workers and the other controllers. */
 export class Controller {
-  readonly userRequests: UserRequestHandler;
-  readonly workerHeartbeats: WorkerHeartbeatHandler;
-  readonly peerRequests: PeerRequestHandler;
+  readonly userRequestHandler: UserRequestHandler;
+  readonly workerHeartbeatHandler: WorkerHeartbeatHandler;
+  readonly peerRequestHandler: PeerRequestHandler;
   readonly election: Election;
   private readonly store: StoreClient;
   private readonly recordLimits: RecordLimits;
@@ -91,9 +91,9 @@
         if (leader !== '') this.election.recordLeader(ControllerId(leader), epoch);
       },
     });
-    this.userRequests = this.createUserRequests();
-    this.workerHeartbeats = this.createWorkerHeartbeats();
-    this.peerRequests = this.createPeerRequests();
+    this.userRequestHandler = this.createUserRequestHandler();
+    this.workerHeartbeatHandler = this.createWorkerHeartbeatHandler();
+    this.peerRequestHandler = this.createPeerRequestHandler();
   }
 
   private createElection(): Election {
@@ -113,7 +113,7 @@
     });
   }
 
-  private createUserRequests(): UserRequestHandler {
+  private createUserRequestHandler(): UserRequestHandler {
     const { catalog, jobRecords, leadership, recordLimits } = this;
     const { clock, log } = this.environment;
     return new UserRequestHandler({
@@ -126,7 +126,7 @@
     });
   }
 
-  private createWorkerHeartbeats(): WorkerHeartbeatHandler {
+  private createWorkerHeartbeatHandler(): WorkerHeartbeatHandler {
     const { leadership } = this;
     const { controllerId } = this.settings;
     const { clock, log } = this.environment;
@@ -144,12 +144,12 @@
     });
   }
 
-  private createPeerRequests(): PeerRequestHandler {
+  private createPeerRequestHandler(): PeerRequestHandler {
     const { clock, http } = this.environment;
     return new PeerRequestHandler({
       leadership: this.leadership,
-      userRequests: this.userRequests,
-      workerHeartbeats: this.workerHeartbeats,
+      userRequestHandler: this.userRequestHandler,
+      workerHeartbeatHandler: this.workerHeartbeatHandler,
       http,
       events: {
         onImageHints: (machines) => this.imageHints.recordHints(machines, clock.steady()),
--- a/src/servers.ts
+++ b/src/servers.ts
@@ -34,7 +34,7 @@
 ): void {
   const api = createApiServer(controller, settings, log);
   api.maxConnections = maxApiConnections;
-  const peers = createPeerServer((request) => controller.peerRequests.handle(request), log);
+  const peers = createPeerServer((request) => controller.peerRequestHandler.handle(request), log);
   listenWithRetries(
     [
       { server: api, endpoint: settings.apiEndpoint, clients: 'users and workers' },
--- a/test/standin/current-build.ts
+++ b/test/standin/current-build.ts
@@ -40,11 +40,12 @@
     stop: () => controller.stop(),
     health: () => controller.health(),
     isLeader: () => controller.election.authority() !== undefined,
-    handleUserRequest: (method, path, body) => controller.userRequests.handle(method, path, body),
-    handleHeartbeat: (body) => controller.workerHeartbeats.handle(body),
+    handleUserRequest: (method, path, body) =>
+      controller.userRequestHandler.handle(method, path, body),
+    handleHeartbeat: (body) => controller.workerHeartbeatHandler.handle(body),
     handlePeerFrame: async (frame) => {
       const { id, message } = decodeRequest(frame);
-      const response = await controller.peerRequests.handle(message);
+      const response = await controller.peerRequestHandler.handle(message);
       return { status: 200, body: encodeResponse(id, response) };
     },
   };
