--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -75,11 +75,13 @@
 
 const createCommand = (): Command =>
   new Command('topazpin')
-    .description('A cluster scheduler: rents machines, commands workers, answers for every job')
+    .description(
+      'A cluster scheduler: accepts jobs, rents machines and runs tasks on their workers',
+    )
     .usage('--config FILE [--operator FILE] [--check]')
-    .option('--config <file>', 'settings that the platform hands over (JSON)')
+    .option('--config <file>', 'settings from the platform (JSON)')
     .option('--operator <file>', "operators' own settings (XML)")
-    .option('--check', 'check the settings and end')
+    .option('--check', 'check the settings and exit')
     .version(VERSION, '--version', 'print the version')
     .helpOption('--help', 'print this help')
     .allowExcessArguments(false)
--- a/src/config/settings-file.ts
+++ b/src/config/settings-file.ts
@@ -96,7 +96,7 @@
 }: SettingsFile): string | undefined {
   const names = [node, ...others.map((other) => other.node)];
   if (new Set(names).size !== names.length) {
-    return 'others: a node is named twice, or names this node';
+    return 'others: a controller is listed twice, or is this controller itself';
   }
   if (params.nodes !== names.length) {
     return `params.nodes: says ${params.nodes}, but node and others name ${names.length}`;
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -27,7 +27,7 @@
 
 const IMAGE_HINTS_TIMEOUT = ms(1000);
 
-/** What a controller receives from its process: clock, random numbers, network and log. */
+/** What a controller receives from its process: clock, random numbers, HTTP client, log and connections to its peers. */
 export interface ControllerEnvironment {
   readonly clock: Clock;
   readonly random: Random;
@@ -107,7 +107,7 @@
       random,
       log,
       events: {
-        onTermStarted: (epoch) => this.beginTerm(epoch),
+        onTermStarted: (epoch) => this.startTerm(epoch),
         onTermEnded: () => this.endTerm(),
       },
     });
@@ -158,7 +158,7 @@
     });
   }
 
-  private beginTerm(epoch: Epoch): void {
+  private startTerm(epoch: Epoch): void {
     const { clock, random, http, log, peers } = this.environment;
     const { catalog, cloud, imageHints, jobRecords, operator, recordLimits, settings, store } =
       this;
@@ -183,7 +183,7 @@
       peers,
     });
     this.leadership.term = term;
-    runInBackground(term.start(), log, 'recovery of the state at the start of the term');
+    runInBackground(term.start(), log, 'recovery of jobs and machines at the start of the term');
   }
 
   private endTerm(): void {
@@ -214,10 +214,11 @@
   }
 
   /**
-   * The response to a health check. The controller is healthy once it has learned of a leader, from the store or a peer, and stays healthy while the
-   * store is unavailable to all controllers: a quick response to try again serves users better than removal from the
-   * load balancer, which resets connections and readmits the controller only after a delay. A controller that alone is
-   * cut off reports this, since another controller could serve its users.
+   * The response to a health check. The controller is healthy once it has learned of a leader, from the store or a
+   * peer, and stays healthy while the store is unavailable to all controllers: a quick response that tells users to
+   * retry serves them better than removal from the load balancer, which resets connections and readmits the controller
+   * only after a delay. If only this controller is isolated, it responds as unhealthy, since another controller could
+   * serve its users.
    */
   health(): ApiResponse {
     this.hasSeenLeader ||= this.election.leader() !== undefined;
@@ -226,7 +227,7 @@
     return { status: 200, body: { node: this.settings.controllerId } };
   }
 
-  /** Starts to take part in the election. Requests are handled as far as possible even before that. */
+  /** Joins the election and starts periodic work. Requests are handled as far as possible even before that. */
   start(): void {
     this.election.start();
     runInBackground(
--- a/src/net/exchange.ts
+++ b/src/net/exchange.ts
@@ -8,7 +8,7 @@
 /** The response to a watch holds all changes and has no size limit of its own; this limits the memory it can use. */
 const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** Sends a request on construction, and reports its outcome exactly once. */
+/** Sends a request on construction, and passes its outcome to a callback exactly once. */
 export class Exchange {
   private readonly clientRequest: http.ClientRequest;
   private readonly timer: NodeJS.Timeout;
--- a/src/process-log.ts
+++ b/src/process-log.ts
@@ -4,7 +4,7 @@
 const LEVELS = ['error', 'warn', 'info', 'debug'];
 const DEFAULT_LEVEL = 'info';
 
-/** Creates a logger with this level, or the default level if it is unknown. Each line names the controller. */
+/** Creates a logger with this level, or the default level if this one is unknown. Each line names the controller. */
 export function createLog(controllerId: string, level = DEFAULT_LEVEL): Logger {
   return pino(
     {
@@ -18,7 +18,7 @@
   );
 }
 
-/** Logs uncaught errors. They must not end the process, whose state can be rebuilt from records. */
+/** Logs uncaught errors and lets the process continue, since its state can be rebuilt from records. */
 export function logUncaughtErrors(log: Logger): void {
   process.on('uncaughtException', (error) =>
     log.error({ err: error }, 'uncaught error; the controller continues'),
--- a/src/store/backoff.ts
+++ b/src/store/backoff.ts
@@ -8,7 +8,10 @@
   type Random,
 } from '../units/index.js';
 
-/** A delay that doubles with each failure. It varies at random by a quarter either way, so that controllers do not retry in step. */
+/**
+ * A delay that doubles with each failure. Each delay is randomly shortened or lengthened by up to a quarter, so that
+ * controllers do not retry at the same moments.
+ */
 export class Backoff {
   private nextDelay: DurationMs;
   private delayedUntil: SteadyMs = SteadyMs(0);
--- a/src/store/rate-budget.ts
+++ b/src/store/rate-budget.ts
@@ -69,7 +69,7 @@
     this.writes = this.newBucket(this.rates.writeRate, 'writes');
   }
 
-  /** Adapts the shares to a new role: the controller that writes most changes with the leader. */
+  /** Adapts the shares to a new role, since most writes come from the leader. */
   setRole(role: Role): void {
     if (role === this.role) return;
     this.role = role;
--- a/src/store/request-queue.ts
+++ b/src/store/request-queue.ts
@@ -9,7 +9,7 @@
 } from '../units/index.js';
 import type { RateBudget } from './rate-budget.js';
 
-/** The largest random delay before the queue is checked again, so that controllers do not send requests in step. */
+/** The largest random delay before the queue is checked again, so that controllers do not send at the same moments. */
 const MAX_DRAIN_JITTER_MS = 5;
 
 interface QueuedRequest {
--- a/src/units/expiring-map.ts
+++ b/src/units/expiring-map.ts
@@ -7,12 +7,13 @@
 }
 
 /**
- * A map that keeps each entry for at least `ttl` after it was last set. `set` removes expired entries, at most once
- * per `ttl`: each entry is examined once in that time, however many there are. Until then `get` still returns them.
+ * A map that keeps each entry for at least `ttl` after it was last set. `set` removes all expired entries, but at most
+ * once per `ttl`, so that each entry is examined only once in that time. Until it is removed, `get` still returns an
+ * expired entry.
  */
 export class ExpiringMap<K, V> {
   private readonly entries = new Map<K, Entry<V>>();
-  private lastSweepAt: SteadyMs | undefined;
+  private lastRemovalAt: SteadyMs | undefined;
 
   constructor(private readonly ttl: DurationMs) {}
 
@@ -26,8 +27,8 @@
 
   set(key: K, value: V, now: SteadyMs): void {
     this.entries.set(key, { value, setAt: now });
-    this.lastSweepAt ??= now;
-    if (durationBetween(this.lastSweepAt, now) > this.ttl) this.removeExpired(now);
+    this.lastRemovalAt ??= now;
+    if (durationBetween(this.lastRemovalAt, now) > this.ttl) this.removeExpired(now);
   }
 
   delete(key: K): void {
@@ -35,7 +36,7 @@
   }
 
   private removeExpired(now: SteadyMs): void {
-    this.lastSweepAt = now;
+    this.lastRemovalAt = now;
     for (const [key, { setAt }] of this.entries) {
       if (durationBetween(setAt, now) > this.ttl) this.entries.delete(key);
     }
--- a/src/units/index.ts
+++ b/src/units/index.ts
@@ -14,7 +14,7 @@
 export type ControllerId = Brand<string, 'ControllerId'>;
 /** An IPv4 address with a port, such as `10.0.0.1:8080`. */
 export type Endpoint = Brand<string, 'Endpoint'>;
-/** The name of one task: `<job>/<index>`. */
+/** The key of a task: `<job>/<index>`. */
 export type TaskKey = Brand<string, 'TaskKey'>;
 /** A revision of the state store, which rises with each transaction. */
 export type Revision = Brand<number, 'Revision'>;
@@ -24,14 +24,14 @@
 export type Attempt = Brand<number, 'Attempt'>;
 /** Milliseconds on this process's monotonic clock. */
 export type SteadyMs = Brand<number, 'SteadyMs'>;
-/** Milliseconds since 1970 on the wall clock, which is accurate within the platform's bound. */
+/** Milliseconds since 1970 on the wall clock, whose error the platform limits. */
 export type WallMs = Brand<number, 'WallMs'>;
 /** A duration in milliseconds. */
 export type DurationMs = Brand<number, 'DurationMs'>;
 
 export const JobId = (id: string): JobId => id as JobId;
 export const MachineId = (id: string): MachineId => id as MachineId;
-export const ControllerId = (name: string): ControllerId => name as ControllerId;
+export const ControllerId = (id: string): ControllerId => id as ControllerId;
 export const Endpoint = (address: string): Endpoint => address as Endpoint;
 export const Revision = (value: number): Revision => value as Revision;
 export const Epoch = (value: number): Epoch => value as Epoch;
@@ -51,7 +51,7 @@
 export const durationBetween = (from: SteadyMs, to: SteadyMs): DurationMs =>
   (to - from) as DurationMs;
 
-/** The name of one task. */
+/** The key of a task. */
 export const taskKey = (job: JobId, index: number): TaskKey => `${job}/${index}` as TaskKey;
 
 /** One task of a job. */
@@ -60,7 +60,7 @@
   readonly index: number;
 }
 
-/** Splits the name of a task; undefined if the text is not one, since workers may report anything. */
+/** Parses the key of a task; undefined if the text is not one, since workers may send any text. */
 export function parseTaskKey(key: string): TaskRef | undefined {
   const slash = key.lastIndexOf('/');
   if (slash <= 0) return undefined;
@@ -75,7 +75,7 @@
 /** Lengthens a duration: once the result has passed on this clock, the original duration has passed on every clock. */
 export const upperBoundUnderDrift = (duration: DurationMs): DurationMs =>
   ms(duration * (1 + 2 * MAX_CLOCK_DRIFT_RATIO));
-/** Shortens a duration: until the result has passed on this clock, the original duration has passed on no clock. */
+/** Shortens a duration: as long as the result has not passed on this clock, the original has not passed on any clock. */
 export const lowerBoundUnderDrift = (duration: DurationMs): DurationMs =>
   ms(duration * (1 - 2 * MAX_CLOCK_DRIFT_RATIO));
 
@@ -89,7 +89,7 @@
 export interface Clock {
   steady(): SteadyMs;
   wall(): WallMs;
-  after(delay: DurationMs, run: () => void): Timer;
+  after(delay: DurationMs, callback: () => void): Timer;
 }
 
 /** Returns a promise that is fulfilled after a delay. */
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -59,7 +59,7 @@
   readonly revision: number;
 }
 
-/** A change in a compare-and-swap transaction. A put attaches its key to the lease, if it names one. */
+/** A change in a compare-and-swap transaction. A put with a lease id attaches its key to that lease. */
 export type StoreWrite =
   | { readonly put: string; readonly data: unknown; readonly leaseId?: number }
   | { readonly delete: string };
@@ -118,7 +118,7 @@
   ),
 });
 
-/** The changes under a prefix while it was watched. */
+/** The changes to keys with a given prefix during a watch. */
 export interface WatchedChanges {
   /** The revision from which to continue watching. */
   readonly revision: number;
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -143,7 +143,7 @@
   readonly commands: readonly Command[];
 }
 
-/** Direct commands: a request to a worker's own address, which it rejects unless fencing token and session match. */
+/** A request with direct commands. A worker rejects it unless the fencing token and the session match its own. */
 export interface CommandRequest extends WorkerHeartbeatResponse {
   readonly session: number;
 }
--- a/test/standin/controller-processes.ts
+++ b/test/standin/controller-processes.ts
@@ -23,7 +23,7 @@
   readonly controller: RunningController;
 }
 
-const MAX_CLOCK_DRIFT = 0.00025;
+const MAX_CLOCK_DRIFT_RATIO = 0.00025;
 const MAX_WALL_CLOCK_OFFSET_MS = 200;
 /** How long a peer counts as unresponsive after a request without a response. */
 const UNRESPONSIVE_MS = 2000;
@@ -37,10 +37,10 @@
 ): Promise<HostResponse> {
   const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
   if (path === '/up') return controller.health();
-  const reply = await (path === '/agent/beat'
+  const response = await (path === '/agent/beat'
     ? controller.handleHeartbeat(bytes)
     : controller.handleUserRequest(method, path, bytes));
-  return Buffer.isBuffer(reply.body) ? { ...reply, body: decode(reply.body) } : reply;
+  return Buffer.isBuffer(response.body) ? { ...response, body: decode(response.body) } : response;
 }
 
 function connectPeer(http: HttpClient, clock: ProcessClock, endpoint: Endpoint): PeerConnection {
@@ -74,7 +74,7 @@
     private readonly dependencies: ControllerProcessesDependencies,
     build: Build,
   ) {
-    for (const controller of CONTROLLERS) this.builds.set(controller, build);
+    for (const controllerIndex of CONTROLLERS) this.builds.set(controllerIndex, build);
   }
 
   /** Starts a controller unless it is already running. */
@@ -84,7 +84,7 @@
     const controllerSettings = settings.of(controllerIndex);
     const clock = new ProcessClock(
       time,
-      (random() - 0.5) * 2 * MAX_CLOCK_DRIFT,
+      (random() - 0.5) * 2 * MAX_CLOCK_DRIFT_RATIO,
       (random() - 0.5) * 2 * MAX_WALL_CLOCK_OFFSET_MS,
     );
     const http = network.client(controllerSettings.controllerId, controllerSettings.zone, clock);
@@ -114,30 +114,31 @@
     controller.start();
   }
 
-  /** Kills a process without a signal: it runs nothing more, but requests that it sent may still arrive. */
-  kill(controller: number): void {
-    const process = this.processes.get(controller);
+  /** Kills a process without warning: it runs no more code, but requests that it has sent may still arrive. */
+  kill(controllerIndex: number): void {
+    const process = this.processes.get(controllerIndex);
     if (!process) return;
     process.clock.isDead = true;
     process.controller.stop();
-    this.processes.delete(controller);
-    for (const endpoint of this.endpointsOf(controller)) this.dependencies.network.detach(endpoint);
+    this.processes.delete(controllerIndex);
+    for (const endpoint of this.endpointsOf(controllerIndex))
+      this.dependencies.network.detach(endpoint);
   }
 
-  /** Freezes a process or resumes it. A frozen process does nothing, while its clocks go on. */
-  setFrozen(controller: number, isFrozen: boolean): void {
-    const process = this.processes.get(controller);
+  /** Freezes a process or resumes it. A frozen process runs no code, but its clocks advance. */
+  setFrozen(controllerIndex: number, isFrozen: boolean): void {
+    const process = this.processes.get(controllerIndex);
     if (!process) return;
     process.clock.setFrozen(isFrozen);
-    for (const endpoint of this.endpointsOf(controller))
+    for (const endpoint of this.endpointsOf(controllerIndex))
       this.dependencies.network.setHung(endpoint, isFrozen);
   }
 
   /** Kills a process and starts it with the current version after `downMs`. */
-  upgrade(controller: number, downMs: number): void {
-    this.kill(controller);
-    this.builds.set(controller, currentBuild);
-    this.dependencies.time.after(downMs, () => this.start(controller));
+  upgrade(controllerIndex: number, downMs: number): void {
+    this.kill(controllerIndex);
+    this.builds.set(controllerIndex, currentBuild);
+    this.dependencies.time.after(downMs, () => this.start(controllerIndex));
   }
 
   /** The index of the controller that leads now. */
@@ -149,12 +150,12 @@
   }
 
   /** The running process of a controller: a different object after each start. */
-  processOf(controller: number): object | undefined {
-    return this.processes.get(controller);
+  processOf(controllerIndex: number): object | undefined {
+    return this.processes.get(controllerIndex);
   }
 
-  private endpointsOf(controller: number): readonly Endpoint[] {
-    const { apiEndpoint, clusterEndpoint } = this.dependencies.settings.of(controller);
+  private endpointsOf(controllerIndex: number): readonly Endpoint[] {
+    const { apiEndpoint, clusterEndpoint } = this.dependencies.settings.of(controllerIndex);
     return [apiEndpoint, clusterEndpoint];
   }
 }
--- a/test/standin/invariant-checker.ts
+++ b/test/standin/invariant-checker.ts
@@ -24,9 +24,9 @@
 /** The longest time that a job may wait after all faults have ended, while machines have room for it. */
 const MAX_PLACEABLE_WAIT_MS = 90_000;
 /** The longest time that polls of one job may fail while most other polls succeed. */
-const MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_MS = 90_000;
+const MAX_POLL_FAILURE_WHILE_OTHERS_SUCCEED_MS = 90_000;
 /** The longest time that polls of a job may fail after all faults have ended. */
-const MAX_UNANSWERED_AFTER_FAULTS_MS = 75_000;
+const MAX_POLL_FAILURE_AFTER_FAULTS_MS = 75_000;
 
 const CANCELLATION_CHECK_INTERVAL_MS = 500;
 const CHECK_INTERVAL_MS = 1000;
@@ -139,20 +139,23 @@
 
   private checkPollResponses(): void {
     const { now } = this.cluster.time;
-    const areMostPollsAnswered = this.cluster.users.areMostPollsAnswered(
-      MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_MS,
+    const areMostPollsSuccessful = this.cluster.users.areMostPollsSuccessful(
+      MAX_POLL_FAILURE_WHILE_OTHERS_SUCCEED_MS,
     );
     for (const [id, job] of this.cluster.jobs) {
       if (!job.isAccepted) continue;
       if (
-        areMostPollsAnswered &&
-        now - job.lastResponseAt > MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_MS
+        areMostPollsSuccessful &&
+        now - job.lastResponseAt > MAX_POLL_FAILURE_WHILE_OTHERS_SUCCEED_MS
       ) {
         this.reportViolation('forgotten', `${id}: polls get no response while most others do`);
         job.lastResponseAt = now;
       }
       if (this.faultsEndedAt === undefined) continue;
-      if (now - Math.max(job.lastResponseAt, this.faultsEndedAt) > MAX_UNANSWERED_AFTER_FAULTS_MS) {
+      if (
+        now - Math.max(job.lastResponseAt, this.faultsEndedAt) >
+        MAX_POLL_FAILURE_AFTER_FAULTS_MS
+      ) {
         this.reportViolation(
           'forgotten',
           `${id}: polls get no response although all faults have ended`,
--- a/test/standin/load.ts
+++ b/test/standin/load.ts
@@ -18,10 +18,10 @@
 
 const options = new Command()
   .option('--main <file...>', 'builds to run, one after the other', ['target/main.js'])
-  .option('--machines <n>', 'about how many machines the jobs keep busy', Number, 300)
-  .option('--warm <s>', 'seconds before it is measured', Number, 60)
-  .option('--seconds <s>', 'seconds that are measured', Number, 60)
-  .option('--node <flags>', 'flags for node, such as --import FILE', '--max-semi-space-size=8')
+  .option('--machines <n>', 'approximate number of machines that the jobs keep busy', Number, 300)
+  .option('--warm <s>', 'seconds before the measurement', Number, 60)
+  .option('--seconds <s>', 'seconds of the measurement', Number, 60)
+  .option('--node <flags>', 'flags for Node.js, such as --import FILE', '--max-semi-space-size=8')
   .parse()
   .opts<{ main: string[]; machines: number; warm: number; seconds: number; node: string }>();
 
@@ -122,12 +122,12 @@
 
   constructor(
     private readonly buildPath: string,
-    turn: number,
+    buildIndex: number,
   ) {
-    const store = FIRST_PORT + turn * PORTS_PER_BUILD;
+    const store = FIRST_PORT + buildIndex * PORTS_PER_BUILD;
     const ports = { store, cloud: store + 1, api: store + 2, cluster: store + 3 };
     this.endpoint = Endpoint(`127.0.0.1:${ports.api}`);
-    this.settingsPath = `${OUTPUT_FOLDER}/node-${turn}.json`;
+    this.settingsPath = `${OUTPUT_FOLDER}/node-${buildIndex}.json`;
     this.services = new LoopbackServices({
       ports: { ...ports, workers: store + 10 },
       machineTypes: [machineType('small', 8, 32, 'a'), machineType('large', 32, 64, 'b')],
@@ -178,7 +178,7 @@
     return cpuMsPerSecond;
   }
 
-  /** Measures a restart: all workers send heartbeats at once, until each has its lease renewed. */
+  /** Measures how long a restarted controller takes to renew the leases of all workers, which send heartbeats at once. */
   private async measureRestart(): Promise<void> {
     const { workers } = this.services;
     this.child.kill('SIGKILL');
@@ -271,12 +271,14 @@
 }
 
 const cpuMsPerSecondByBuild: number[] = [];
-for (const [turn, main] of options.main.entries()) {
-  cpuMsPerSecondByBuild.push(await new BenchmarkRun(main, turn).measure());
+for (const [buildIndex, main] of options.main.entries()) {
+  cpuMsPerSecondByBuild.push(await new BenchmarkRun(main, buildIndex).measure());
 }
 const [baseline = 0] = cpuMsPerSecondByBuild;
-for (const [turn, time] of cpuMsPerSecondByBuild.entries()) {
-  if (turn > 0)
-    console.log(`${options.main[turn] ?? ''}: ${(time / baseline).toFixed(2)} of the first`);
+for (const [buildIndex, cpuMsPerSecond] of cpuMsPerSecondByBuild.entries()) {
+  if (buildIndex > 0)
+    console.log(
+      `${options.main[buildIndex] ?? ''}: ${(cpuMsPerSecond / baseline).toFixed(2)} of the first`,
+    );
 }
 process.exit(0);
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -72,8 +72,8 @@
 
 /** Simulates all users. */
 export class Users {
-  /** The last polls: their times, and whether each got the response 200 or 404. */
-  private polls: { readonly at: number; readonly isAnswered: boolean }[] = [];
+  /** The last polls: their times, and whether each was successful, that is, got the response 200 or 404. */
+  private polls: { readonly at: number; readonly isSuccessful: boolean }[] = [];
   private jobCount = 0;
   private readonly clock: ProcessClock;
 
@@ -120,11 +120,11 @@
       .map(([id, job]) => `${id} ${job.lastStatus}`);
   }
 
-  /** Whether most polls within the last `withinMs` got a response. Discards older ones. */
-  areMostPollsAnswered(withinMs: number): boolean {
+  /** Whether most polls within the last `withinMs` were successful. Discards older ones. */
+  areMostPollsSuccessful(withinMs: number): boolean {
     const { now } = this.dependencies.time;
     this.polls = this.polls.filter(({ at }) => now - at < withinMs);
-    return this.polls.filter(({ isAnswered }) => isAnswered).length * 2 > this.polls.length;
+    return this.polls.filter(({ isSuccessful }) => isSuccessful).length * 2 > this.polls.length;
   }
 
   /**
@@ -254,9 +254,9 @@
     const { id } = job.spec;
     void this.sendRequest('GET', `/v1/jobs/${id}`, undefined, POLL_TIMEOUT_MS, job).then(
       (response) => {
-        const isAnswered = response?.status === 200 || response?.status === 404;
-        if (isAnswered) job.lastResponseAt = time.now;
-        this.polls.push({ at: time.now, isAnswered });
+        const isSuccessful = response?.status === 200 || response?.status === 404;
+        if (isSuccessful) job.lastResponseAt = time.now;
+        this.polls.push({ at: time.now, isSuccessful });
         if (response?.status === 404) this.dependencies.onViolation('forgotten', id);
         if (response?.status === 200) this.recordStatus(job, response.body);
         // Polling goes on after the end of the job, since its status must not change any more.
--- a/test/standin/worker-tasks.ts
+++ b/test/standin/worker-tasks.ts
@@ -57,7 +57,7 @@
   isHung(): boolean;
   /** Runs a callback after a delay. Drops it if the worker is dead by then; delays it while the worker hangs. */
   after(delay: number, run: () => void): void;
-  /** Called for each change that the next heartbeat must report. */
+  /** Called for each change that the next heartbeat must contain. */
   onChanged(): void;
 }
 
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -28,7 +28,7 @@
 const LEASE_CHECK_INTERVAL_MS = ms(100);
 /** How often a callback that is due is retried while the machine hangs. */
 const HUNG_RETRY_INTERVAL_MS = 50;
-/** The minimal interval before a heartbeat that reports a change or follows a failed one. */
+/** The minimal interval before a heartbeat that contains a change or follows a failed one. */
 const MIN_HEARTBEAT_INTERVAL_MS = 500;
 
 /** The worker on one machine. */
@@ -220,7 +220,7 @@
     this.lastHeartbeatAt = clock.steady() + MIN_HEARTBEAT_INTERVAL_MS - times.heartbeatMs;
   }
 
-  /** Records a higher fencing token, and reports it soon unless another one was reported within half a lease. */
+  /** Records a higher fencing token, and soon sends a heartbeat with it unless one did so within the last half of a lease. */
   private recordToken(token: number): void {
     if (token <= this.fencingToken) return;
     this.fencingToken = token;
--- a/test/unit/autoscaler.test.ts
+++ b/test/unit/autoscaler.test.ts
@@ -32,7 +32,7 @@
 
 const okResponse = (body: unknown): HttpOutcome => ({ kind: 'response', status: 200, body });
 const NO_CAPACITY: HttpOutcome = { kind: 'response', status: 503, body: { error: 'no capacity' } };
-const NO_RESPONSE: HttpOutcome = { kind: 'unknown', reason: 'no answer in time' };
+const NO_RESPONSE: HttpOutcome = { kind: 'unknown', reason: 'no response in time' };
 
 /**
  * Creates an autoscaler that is ticked every 500 ms, with one queued job of 8 CPUs, for which one machine is enough.
--- a/test/unit/failure-backoff.test.ts
+++ b/test/unit/failure-backoff.test.ts
@@ -1,5 +1,5 @@
 /**
- * Checks the backoff of jobs and machines after failed tasks, as the statuses of machines report them. A job that
+ * Checks the backoff of jobs and machines after failed tasks, which the statuses of machines contain. A job that
  * keeps failing on every machine must not grow a backoff or a quarantine that outlasts a minute, during which it and
  * other jobs would wait although resources are free.
  */
--- a/test/unit/heartbeat-relay.test.ts
+++ b/test/unit/heartbeat-relay.test.ts
@@ -180,12 +180,16 @@
       return { outcome: 'accepted', baseline, commands: response.commands };
     }
     const isKnown = epoch === this.relayed.epoch;
-    const reply = isKnown
+    const unchangedResponse = isKnown
       ? this.relayed.handler.handleUnchanged(relayed, relayControllerId)
       : undefined;
-    if (!reply) return { outcome: 'baselineUnknown', baseline: 0, commands: [] };
+    if (!unchangedResponse) return { outcome: 'baselineUnknown', baseline: 0, commands: [] };
     this.unchanged++;
-    return { outcome: 'accepted', baseline: relayed.unchangedSince, commands: reply.commands };
+    return {
+      outcome: 'accepted',
+      baseline: relayed.unchangedSince,
+      commands: unchangedResponse.commands,
+    };
   }
 }
 
@@ -361,7 +365,7 @@
     name: string,
     leaderKnownAfterMs: number,
     leaderResponses: LeaderResponses,
-    hasReply: boolean,
+    hasResponse: boolean,
   ][] = [
     ['the leader is known', 0, [leaderResponse('accepted')], true],
     ['a leader becomes known', 1000, [leaderResponse('accepted')], true],
@@ -386,7 +390,7 @@
     ],
     ['the leader does not respond', 0, [undefined], false],
   ];
-  for (const [name, leaderKnownAfterMs, leaderResponses, hasReply] of cases) {
+  for (const [name, leaderKnownAfterMs, leaderResponses, hasResponse] of cases) {
     const time = new VirtualTime();
     const clock = new ProcessClock(time, 0, 0);
     const peer: Peer = {
@@ -400,10 +404,10 @@
       log,
       leaderPeer,
     });
-    let reply: WorkerHeartbeatResponse | 'none' | undefined;
-    void relay.send(heartbeatOf('vm-1'), 200).then((received) => (reply = received ?? 'none'));
+    let response: WorkerHeartbeatResponse | 'none' | undefined;
+    void relay.send(heartbeatOf('vm-1'), 200).then((received) => (response = received ?? 'none'));
     await time.run(ms(3500));
-    assert.equal(reply !== 'none', hasReply, name);
-    assert.ok(reply !== undefined, `${name}: settled before the worker gives up`);
+    assert.equal(response !== 'none', hasResponse, name);
+    assert.ok(response !== undefined, `${name}: settled before the worker gives up`);
   }
 });
--- a/test/unit/peer.test.ts
+++ b/test/unit/peer.test.ts
@@ -89,7 +89,7 @@
     responses: [{ outcome: 'accepted', baseline: 7, commands }],
   },
   { type: 'commandResult', outcome: 'answered', reason: '', heartbeat },
-  { type: 'commandResult', outcome: 'unknown', reason: 'no answer in time', heartbeat: null },
+  { type: 'commandResult', outcome: 'unknown', reason: 'no response in time', heartbeat: null },
 ];
 
 /** Converts a value to plain objects, without the classes of decoded records. */
--- a/test/unit/pooled-http-client.test.ts
+++ b/test/unit/pooled-http-client.test.ts
@@ -37,8 +37,8 @@
   const store = http.createServer((_request, response) => response.end(encode({})));
   const storeEndpoint = await listen(store);
   const client = new PooledHttpClient(maxSockets, 2, 1);
-  const sendRequest = (endpoint: Endpoint, timeout: number, lane: 'worker' | 'lease' = 'worker') =>
-    client.send({ endpoint, pool: lane, method: 'GET', path: '/', timeout: ms(timeout) });
+  const sendRequest = (endpoint: Endpoint, timeout: number, pool: 'worker' | 'lease' = 'worker') =>
+    client.send({ endpoint, pool, method: 'GET', path: '/', timeout: ms(timeout) });
   try {
     for (const { workerEndpoint } of servers)
       assert.equal((await sendRequest(workerEndpoint, 5000)).kind, 'response');
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the compact record format, and the records, jobs and ledger when the store lowers its size limits, as it
- * may do without notice of the time. Guards against records that the store then refuses, against one large record
+ * Checks the compact record format, and the records, jobs and ledger when the store lowers its size limits, which
+ * it may do at any time. Guards against records that the store then refuses, against one large record
  * that blocks all others, and against a format that an older controller can't read.
  */
 import assert from 'node:assert/strict';
@@ -192,9 +192,9 @@
   network.attach(endpoint, 'r', (method, path, body, from) =>
     storeService.handle(method, path, body, from),
   );
-  const { controllerId: node } = parseSettings(settingsFile());
+  const { controllerId } = parseSettings(settingsFile());
   const store = new StoreClient({
-    http: network.client(node, 'r', clock),
+    http: network.client(controllerId, 'r', clock),
     endpoint: Endpoint(endpoint),
     clock,
     random: () => 0.5,
@@ -211,7 +211,7 @@
     onLeadershipLost: () => assert.fail('leadership lost'),
   };
   const put = { writes: [{ put: 'leader', data: {} }] };
-  const written = storeService.handle('POST', '/multi', put, node) as {
+  const written = storeService.handle('POST', '/multi', put, controllerId) as {
     body: { ledger_rev: number };
   };
   const epoch = Epoch(written.body.ledger_rev);
--- a/test/unit/user-request-handler.test.ts
+++ b/test/unit/user-request-handler.test.ts
@@ -65,12 +65,12 @@
       0,
     ],
     [
-      'an array job spread over zones but bound to one zone: its tasks run one part after the other',
+      'an array job spread over zones but bound to one zone: its tasks run in several batches',
       submission({ spreadZones: true, zone: 'a', taskCount: 5 }),
       0,
     ],
     [
-      'an array job spread over zones and in a single zone: its tasks run one part after the other',
+      'an array job spread over zones and in a single zone: its tasks run in several batches',
       submission({ spreadZones: true, singleZone: true, taskCount: 5 }),
       0,
     ],
@@ -123,9 +123,11 @@
   ];
   for (const [name, body, status] of cases) {
     const parsed = parseSubmission(encode(body));
-    const verdict = parsed.ok ? catalog.checkFeasibility(parsed.value, settings.teams) : undefined;
-    const refusal = !parsed.ok ? 400 : verdict?.kind === 'infeasible' ? 422 : 0;
-    assert.equal(refusal, status, name);
+    const feasibility = parsed.ok
+      ? catalog.checkFeasibility(parsed.value, settings.teams)
+      : undefined;
+    const refusalStatus = !parsed.ok ? 400 : feasibility?.kind === 'infeasible' ? 422 : 0;
+    assert.equal(refusalStatus, status, name);
   }
   const gang = parseSubmission(encode(submission({ kind: 'ensemble', spreadZones: true })));
   assert.ok(
@@ -133,7 +135,7 @@
   );
 });
 
-void test('a follower without a leader responds with a late read of the store only if the state is final', async () => {
+void test('a follower without a leader responds with a job that it read late from the store only if its state is final', async () => {
   const job = new Job(JOB_ID, jobSpec({}), WallMs(0), Revision(5));
   const final: FinalState = {
     status: 'done',
@@ -166,7 +168,7 @@
   }
 });
 
-void test('a submission that the leader does not handle is written by the follower itself if no record has the job', async () => {
+void test('a submission that the leader does not handle is written by the follower itself if no record of the job exists', async () => {
   const job = new Job(JOB_ID, jobSpec({}), WallMs(0), Revision(5));
   const live: StoredJob = { kind: 'live', job };
   interface Case {
@@ -174,7 +176,7 @@
     /** The status of the leader's response; undefined if it does not respond. */
     readonly leaderStatus?: number;
     readonly creationWaitMs?: number;
-    readonly create?: 'created' | 'exists' | 'unknown';
+    readonly creationResult?: 'created' | 'exists' | 'unknown';
     readonly writeMs?: number;
     readonly stored?: StoredJob;
     readonly status: number;
@@ -183,31 +185,36 @@
   const cases: Case[] = [
     { name: 'the leader created it', leaderStatus: 201, status: 201 },
     { name: 'the leader refuses it for now', leaderStatus: 429, status: 429 },
-    { name: 'the leader is not ready', leaderStatus: 503, create: 'created', status: 201 },
-    { name: 'written in time', create: 'created', status: 201 },
-    { name: 'written late', create: 'created', writeMs: 400, stored: live, status: 200 },
+    { name: 'the leader is not ready', leaderStatus: 503, creationResult: 'created', status: 201 },
+    { name: 'written in time', creationResult: 'created', status: 201 },
+    { name: 'written late', creationResult: 'created', writeMs: 400, stored: live, status: 200 },
     {
       name: 'written late, and then unreadable',
-      create: 'created',
+      creationResult: 'created',
       writeMs: 400,
       stored: { kind: 'unknown' },
       status: 503,
     },
-    { name: 'a repeated submission', create: 'exists', stored: live, status: 200 },
+    { name: 'a repeated submission', creationResult: 'exists', stored: live, status: 200 },
     {
       name: 'an existing record that is gone when it is read',
-      create: 'exists',
+      creationResult: 'exists',
       stored: { kind: 'absent' },
       status: 503,
     },
-    { name: 'the outcome of the write is unknown', create: 'unknown', status: 503, retryAfter: 1 },
+    {
+      name: 'the outcome of the write is unknown',
+      creationResult: 'unknown',
+      status: 503,
+      retryAfter: 1,
+    },
     { name: 'too many writes wait', creationWaitMs: 1500, status: 429, retryAfter: 2 },
   ];
   for (const {
     name,
     leaderStatus,
     creationWaitMs = 0,
-    create,
+    creationResult,
     writeMs = 0,
     stored,
     status,
@@ -230,7 +237,7 @@
     follower.jobRecords.create = async () => {
       creationCount++;
       await sleep(follower.clock, ms(writeMs));
-      return create ?? 'unknown';
+      return creationResult ?? 'unknown';
     };
     follower.jobRecords.lookUp = () => Promise.resolve(stored ?? { kind: 'unknown' });
     const responses: ApiResponse[] = [];
@@ -242,6 +249,6 @@
     const [response] = responses;
     assert.equal(response?.status, status, name);
     if (retryAfter !== undefined) assert.equal(response.retryAfter, retryAfter, name);
-    assert.equal(creationCount, create === undefined ? 0 : 1, name);
+    assert.equal(creationCount, creationResult === undefined ? 0 : 1, name);
   }
 });
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -212,10 +212,10 @@
     attempt: 1,
     gracePeriodSeconds: 10,
   });
-  const reply = { fencingToken: 41, commands };
-  assert.deepEqual(encodeWorkerHeartbeatResponse(reply), { baton: 41, orders });
-  assert.deepEqual(decodeWorkerHeartbeatResponse({ baton: 41, orders }), reply);
-  const request = encodeCommandRequest({ ...reply, session: 3 });
+  const response = { fencingToken: 41, commands };
+  assert.deepEqual(encodeWorkerHeartbeatResponse(response), { baton: 41, orders });
+  assert.deepEqual(decodeWorkerHeartbeatResponse({ baton: 41, orders }), response);
+  const request = encodeCommandRequest({ ...response, session: 3 });
   assert.deepEqual(request, { baton: 41, shift: 3, orders });
 });
 
