--- a/src/api/job-handler.ts
+++ b/src/api/job-handler.ts
@@ -18,7 +18,7 @@
 /** Reads and cancels existing jobs. */
 export class JobHandler {
   constructor(
-    private readonly leadership: LeaderView,
+    private readonly leaderView: LeaderView,
     private readonly jobRecords: JobRecords,
     private readonly clock: Clock,
   ) {}
@@ -26,7 +26,7 @@
   /** Returns the state of a job, or `SERVICE_UNAVAILABLE` if the state is not certain. */
   async read(id: string, policy: RelayPolicy): Promise<ApiResponse> {
     if (!JOB_ID_PATTERN.test(id)) return NO_SUCH_JOB;
-    const route = this.leadership.routeFor(policy);
+    const route = this.leaderView.routeFor(policy);
     if (route.kind === 'term') {
       const { term } = route;
       return this.responseIfAuthorised(term, id, await term.findJob(JobId(id)), NO_SUCH_JOB);
@@ -50,7 +50,7 @@
   /** Cancels a job and returns its state once that is committed, or `SERVICE_UNAVAILABLE` if the outcome is unknown. */
   async cancel(id: string, policy: RelayPolicy): Promise<ApiResponse> {
     if (!JOB_ID_PATTERN.test(id)) return NO_SUCH_JOB;
-    const route = this.leadership.routeFor(policy);
+    const route = this.leaderView.routeFor(policy);
     if (route.kind === 'term') {
       const { term } = route;
       return this.responseIfAuthorised(term, id, await term.cancelJob(JobId(id)), NO_SUCH_JOB);
@@ -98,7 +98,7 @@
   ): ApiResponse {
     // While this process waited or was suspended, a peer may have become the leader and have shown users a
     // later state than the one known here. A final state does not change.
-    const isAuthorised = result.kind === 'final' || this.leadership.authorisedTerm() === term;
+    const isAuthorised = result.kind === 'final' || this.leaderView.authorisedTerm() === term;
     return isAuthorised ? leaderJobResponse(id, result, absent) : SERVICE_UNAVAILABLE;
   }
 }
--- a/src/api/peer-request-handler.ts
+++ b/src/api/peer-request-handler.ts
@@ -18,7 +18,7 @@
 
 /** The parts of the controller that handling peers' requests depends on. */
 export interface PeerRequestDependencies {
-  readonly leadership: LeaderView;
+  readonly leaderView: LeaderView;
   readonly userRequestHandler: UserRequestHandler;
   readonly workerHeartbeatHandler: WorkerHeartbeatHandler;
   readonly http: HttpClient;
@@ -57,7 +57,7 @@
 
   /** Loads a job that a peer wrote to the store; false if this controller does not lead or is not ready. */
   private async loadJob(id: JobId): Promise<boolean> {
-    const term = this.deps.leadership.authorisedTerm();
+    const term = this.deps.leaderView.authorisedTerm();
     if (!term?.isReady) return false;
     await term.findJob(id);
     return true;
--- a/src/api/submission-handler.ts
+++ b/src/api/submission-handler.ts
@@ -33,7 +33,7 @@
 /** The parts of the controller that handling submissions depends on. */
 export interface SubmissionDependencies {
   readonly admission: AdmissionControl;
-  readonly leadership: LeaderView;
+  readonly leaderView: LeaderView;
   readonly jobRecords: JobRecords;
   readonly jobHandler: Pick<JobHandler, 'read' | 'responseIfAuthorised'>;
   readonly clock: Clock;
@@ -108,7 +108,7 @@
     policy: RelayPolicy,
   ): Promise<CommitOutcome> {
     const isUndecided = kind === 'undecided';
-    const route = this.deps.leadership.routeFor(policy);
+    const route = this.deps.leaderView.routeFor(policy);
     if (route.kind === 'term') {
       const { term } = route;
       const outcome = isUndecided ? await term.findJob(JobId(spec.id)) : await term.submitJob(spec);
@@ -144,8 +144,8 @@
 
   /** Tells the leader of a job that this controller wrote. This only saves time: it also watches the inbox entries. */
   private notifyLeader(id: JobId): void {
-    const { leadership, log } = this.deps;
-    const term = leadership.authorisedTerm();
+    const { leaderView, log } = this.deps;
+    const term = leaderView.authorisedTerm();
     if (term) {
       if (term.isReady)
         runInBackground(
@@ -155,7 +155,7 @@
         );
       return;
     }
-    const notification = leadership
+    const notification = leaderView
       .leaderPeer()
       ?.sendRequest({ type: 'jobNotice', job: id }, LEADER_NOTIFICATION_TIMEOUT);
     if (notification)
--- a/src/api/user-request-handler.ts
+++ b/src/api/user-request-handler.ts
@@ -29,7 +29,7 @@
 /** The parts of the controller that handling users' requests depends on. */
 export interface UserRequestDependencies {
   readonly admission: AdmissionControl;
-  readonly leadership: LeaderView;
+  readonly leaderView: LeaderView;
   readonly jobRecords: JobRecords;
   readonly clock: Clock;
   readonly log: Logger;
@@ -43,7 +43,7 @@
   private readonly submissionHandler: SubmissionHandler;
 
   constructor(private readonly deps: UserRequestDependencies) {
-    this.jobHandler = new JobHandler(deps.leadership, deps.jobRecords, deps.clock);
+    this.jobHandler = new JobHandler(deps.leaderView, deps.jobRecords, deps.clock);
     this.submissionHandler = new SubmissionHandler({ ...deps, jobHandler: this.jobHandler });
   }
 
@@ -72,7 +72,7 @@
    * send it round in a loop.
    */
   async handleRelayed(request: UserPeerRequest): Promise<ApiResponse> {
-    if (!this.deps.leadership.authorisedTerm()?.isReady) return SERVICE_UNAVAILABLE;
+    if (!this.deps.leaderView.authorisedTerm()?.isReady) return SERVICE_UNAVAILABLE;
     switch (request.type) {
       case 'submitJob':
         return this.withDeadline(this.submissionHandler.submit(request.body, 'handleLocally'));
--- a/src/api/worker-heartbeat-handler.ts
+++ b/src/api/worker-heartbeat-handler.ts
@@ -67,7 +67,7 @@
 export interface WorkerHeartbeatDependencies {
   /** The id of this controller. */
   readonly controllerId: ControllerId;
-  readonly leadership: LeaderView;
+  readonly leaderView: LeaderView;
   readonly relay: HeartbeatRelay;
   readonly clock: Clock;
   /** Whether this controller alone is cut off from the store and its peers. */
@@ -79,11 +79,11 @@
   private readonly redirects = new ExpiringMap<MachineId, Redirect>(REDIRECT_TTL);
   /** Since when the known leader has been unresponsive. */
   private leaderUnreachableSince: SteadyMs | undefined;
-  private readonly leadership: LeaderView;
+  private readonly leaderView: LeaderView;
   private readonly clock: Clock;
 
   constructor(private readonly deps: WorkerHeartbeatDependencies) {
-    this.leadership = deps.leadership;
+    this.leaderView = deps.leaderView;
     this.clock = deps.clock;
   }
 
@@ -91,7 +91,7 @@
   async handle(body: Buffer): Promise<ApiResponse> {
     const heartbeat = parseHeartbeat(body);
     if (!heartbeat) return INVALID_HEARTBEAT;
-    const term = this.leadership.authorisedTerm();
+    const term = this.leaderView.authorisedTerm();
     if (term) return this.respondAsLeader(heartbeat, term);
     // The controller that this one takes for the leader may have ended long ago.
     if (this.deps.isIsolated()) return CANNOT_HANDLE_HEARTBEAT;
@@ -102,14 +102,14 @@
     const response = await this.deps.relay.send(heartbeat, body.length);
     if (response) return { status: 200, body: encodeWorkerHeartbeatResponse(response) };
     // This controller may have become the leader while it waited for a response.
-    const ownTerm = this.leadership.authorisedTerm();
+    const ownTerm = this.leaderView.authorisedTerm();
     return ownTerm ? this.respondAsLeader(heartbeat, ownTerm) : CANNOT_HANDLE_HEARTBEAT;
   }
 
   /** The leader, if it is a peer that has been unresponsive for longer than a failover takes. */
   private unreachableLeader(): ControllerId | undefined {
-    const leader = this.leadership.leaderId();
-    if (leader === undefined || leader === this.deps.controllerId || this.leadership.leaderPeer()) {
+    const leader = this.leaderView.leaderId();
+    if (leader === undefined || leader === this.deps.controllerId || this.leaderView.leaderPeer()) {
       this.leaderUnreachableSince = undefined;
       return undefined;
     }
@@ -130,7 +130,7 @@
       return redirectTo(follower);
     if (!(await this.waitUntilReady(term))) return CANNOT_HANDLE_HEARTBEAT;
     const response = term.handleHeartbeat(heartbeat);
-    return this.leadership.authorisedTerm() === term
+    return this.leaderView.authorisedTerm() === term
       ? { status: 200, body: encodeWorkerHeartbeatResponse(response) }
       : CANNOT_HANDLE_HEARTBEAT;
   }
@@ -142,7 +142,7 @@
    */
   private async waitUntilReady(term: Term): Promise<boolean> {
     if (!term.isReady) await term.recoveryOrTimeout;
-    return term.isReady && this.leadership.authorisedTerm() === term;
+    return term.isReady && this.leaderView.authorisedTerm() === term;
   }
 
   /** Handles heartbeats that a peer relayed and returns one response for each, in the same order. */
@@ -151,14 +151,14 @@
     epoch: number,
     heartbeats: readonly RelayedHeartbeat[],
   ): Promise<PeerResponse> {
-    const term = this.leadership.authorisedTerm();
+    const term = this.leaderView.authorisedTerm();
     if (!term || !(await this.waitUntilReady(term))) return allRefused(heartbeats.length);
     const responses: HeartbeatResponse[] = [];
     let commandCount = 0;
     for (const relayed of heartbeats) {
       if (responses.length > 0 && responses.length % HEARTBEATS_PER_EVENT_LOOP_TURN === 0) {
         await sleep(this.clock, ms(0));
-        if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
+        if (this.leaderView.authorisedTerm() !== term) return allRefused(heartbeats.length);
       }
       const isFull = commandCount >= MAX_COMMANDS_PER_BATCH;
       const response = isFull ? REFUSED : this.respondToRelayed(term, sender, epoch, relayed);
@@ -166,7 +166,7 @@
       responses.push(response);
     }
     // These responses may lead to a 200 only if the term still has authority after all heartbeats are handled.
-    if (this.leadership.authorisedTerm() !== term) return allRefused(heartbeats.length);
+    if (this.leaderView.authorisedTerm() !== term) return allRefused(heartbeats.length);
     return { type: 'heartbeatResponses', epoch: term.epoch, responses };
   }
 
@@ -190,7 +190,7 @@
 
   /** The follower that a worker is redirected to; undefined if no peer is responsive. */
   private redirectTargetFor(machine: string): ControllerId | undefined {
-    const peerIds = this.leadership.responsivePeerIds();
+    const peerIds = this.leaderView.responsivePeerIds();
     let hash = 0;
     for (let i = 0; i < machine.length; i++) hash = (hash * 31 + machine.charCodeAt(i)) >>> 0;
     return peerIds[hash % Math.max(1, peerIds.length)];
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -51,7 +51,7 @@
   private readonly catalog = new MachineCatalog();
   private readonly catalogSync: CatalogSync;
   private readonly peerLiveness: PeerLiveness;
-  private readonly leadership: LeaderView;
+  private readonly leaderView: LeaderView;
   private readonly imageHints = new ImageHintCache();
   private hasSeenLeader = false;
 
@@ -78,12 +78,12 @@
     this.jobRecords = new JobRecords(this.store, clock, this.recordLimits);
     this.cloud = new CloudClient(http, settings.cloudEndpoint, clock, settings.cloud.requestRate);
     this.election = this.createElection();
-    this.leadership = new LeaderView(this.election, peers);
+    this.leaderView = new LeaderView(this.election, peers);
     this.catalogSync = new CatalogSync({
       store: this.store,
       catalog: this.catalog,
       clock,
-      isLeader: () => this.leadership.term !== undefined,
+      isLeader: () => this.leaderView.term !== undefined,
     });
     this.peerLiveness = new PeerLiveness(peers, clock, log, {
       ownStatus: () => this.ownStatus(),
@@ -114,11 +114,11 @@
   }
 
   private createUserRequestHandler(): UserRequestHandler {
-    const { catalog, jobRecords, leadership, recordLimits } = this;
+    const { catalog, jobRecords, leaderView, recordLimits } = this;
     const { clock, log } = this.environment;
     return new UserRequestHandler({
       admission: new AdmissionControl(catalog, this.settings.teams, recordLimits),
-      leadership,
+      leaderView,
       jobRecords,
       clock,
       log,
@@ -127,17 +127,17 @@
   }
 
   private createWorkerHeartbeatHandler(): WorkerHeartbeatHandler {
-    const { leadership } = this;
+    const { leaderView } = this;
     const { controllerId } = this.settings;
     const { clock, log } = this.environment;
     return new WorkerHeartbeatHandler({
       controllerId,
-      leadership,
+      leaderView,
       relay: new HeartbeatRelay({
         controllerId,
         clock,
         log,
-        leaderPeer: () => leadership.leaderPeer(),
+        leaderPeer: () => leaderView.leaderPeer(),
       }),
       clock,
       isIsolated: () => this.isIsolated(),
@@ -147,7 +147,7 @@
   private createPeerRequestHandler(): PeerRequestHandler {
     const { clock, http } = this.environment;
     return new PeerRequestHandler({
-      leadership: this.leadership,
+      leaderView: this.leaderView,
       userRequestHandler: this.userRequestHandler,
       workerHeartbeatHandler: this.workerHeartbeatHandler,
       http,
@@ -182,25 +182,25 @@
       broadcastImageHints: (machines) => this.broadcastImageHints(machines),
       peers,
     });
-    this.leadership.term = term;
-    runInBackground(term.start(), log, 'recovery of jobs and machines at the start of the term');
+    this.leaderView.term = term;
+    runInBackground(term.start(), log, 'recovery of the job records at the start of the term');
   }
 
   private endTerm(): void {
-    this.leadership.term?.close();
-    this.leadership.term = undefined;
+    this.leaderView.term?.close();
+    this.leaderView.term = undefined;
   }
 
   private ownStatus(): PeerStatus {
     return {
       leader: this.election.leader() ?? '',
       epoch: this.election.leaderEpoch(),
-      storeReachable: isRecentResponse(this.store.servedAt, this.environment.clock.steady()),
+      storeReachable: isRecentResponse(this.store.lastResponseAt, this.environment.clock.steady()),
     };
   }
 
   private isIsolated(): boolean {
-    return this.peerLiveness.isIsolated(this.store.servedAt);
+    return this.peerLiveness.isIsolated(this.store.lastResponseAt);
   }
 
   private broadcastImageHints(machines: readonly MachineImages[]): void {
@@ -243,6 +243,6 @@
     this.catalogSync.stop();
     this.election.stop();
     this.peerLiveness.stop();
-    this.leadership.term?.close();
+    this.leaderView.term?.close();
   }
 }
--- a/src/leader/election.ts
+++ b/src/leader/election.ts
@@ -241,7 +241,10 @@
    */
   private async probeStore(): Promise<void> {
     const { clock, store } = this.deps;
-    if (this.heldLease || durationBetween(store.servedAt, clock.steady()) < PROBE_SILENCE_THRESHOLD)
+    if (
+      this.heldLease ||
+      durationBetween(store.lastResponseAt, clock.steady()) < PROBE_SILENCE_THRESHOLD
+    )
       return;
     const read = await store.get(LEADER_KEY, PROBE_TIMEOUT, { urgent: true });
     const isChanged =
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -101,7 +101,7 @@
       onFinished: (job, final) => {
         log.info({ job: job.id, team: final.team, status: final.status }, 'job finished');
       },
-      onLeadershipLost: () => onDeposed(this.epoch),
+      onLeaderKeyLost: () => onDeposed(this.epoch),
     };
     return new Ledger({
       store,
--- a/src/ledger/ledger-events.ts
+++ b/src/ledger/ledger-events.ts
@@ -12,5 +12,5 @@
   /** The creation of the job was definitely not applied, so the job does not exist: the user must submit it again. */
   onDropped(job: Job): void;
   /** Another controller wrote the leader key: this leader's term has ended. */
-  onLeadershipLost(): void;
+  onLeaderKeyLost(): void;
 }
--- a/src/ledger/transaction-writer.ts
+++ b/src/ledger/transaction-writer.ts
@@ -26,7 +26,7 @@
   readonly waiters: CommitWaiters;
   readonly outcomeHandler: WriteOutcomeHandler;
   readonly resolver: OutcomeResolver;
-  readonly events: Pick<LedgerEvents, 'onLeadershipLost'>;
+  readonly events: Pick<LedgerEvents, 'onLeaderKeyLost'>;
   /** Held while a commit is recorded, so that no transaction is assembled meanwhile. */
   readonly lock: Mutex;
   /** Delays all writing after failures. */
@@ -65,7 +65,7 @@
         return;
       }
       case 'conflict':
-        if (result.failed.includes(LEADER_KEY)) events.onLeadershipLost();
+        if (result.failed.includes(LEADER_KEY)) events.onLeaderKeyLost();
         else await this.resolveConflict(batch, new Set(result.failed));
         return;
       case 'unknown':
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -62,7 +62,7 @@
   private readonly clock: Clock;
   private readonly budget: RateBudget;
   private readonly queue: RequestQueue;
-  private lastServedAt: SteadyMs;
+  private lastResponseTime: SteadyMs;
 
   constructor({ http, endpoint, clock, random, limits, controllerCount }: StoreClientOptions) {
     this.http = http;
@@ -70,12 +70,12 @@
     this.clock = clock;
     this.budget = new RateBudget(clock, limits, controllerCount);
     this.queue = new RequestQueue(this.budget, clock, random);
-    this.lastServedAt = clock.steady();
+    this.lastResponseTime = clock.steady();
   }
 
   /** When the store last sent a response other than 503 (unavailable). */
-  get servedAt(): SteadyMs {
-    return this.lastServedAt;
+  get lastResponseAt(): SteadyMs {
+    return this.lastResponseTime;
   }
 
   /** Adapts this controller's share of the rates to its role. */
@@ -119,7 +119,7 @@
       endpoint: this.endpoint,
     });
     if (outcome.kind !== 'response') return outcome;
-    if (outcome.status !== 503) this.lastServedAt = this.clock.steady();
+    if (outcome.status !== 503) this.lastResponseTime = this.clock.steady();
     if (outcome.status === 429) this.budget.onThrottled(writes);
     return outcome;
   }
--- a/test/support/leader-request-handlers.ts
+++ b/test/support/leader-request-handlers.ts
@@ -52,11 +52,11 @@
   const peers = new Map<ControllerId, Peer>();
   const catalog = new MachineCatalog();
   catalog.update(machineTypes);
-  const leadership = new LeaderView(
+  const leaderView = new LeaderView(
     { authority: () => epoch, leader: () => ControllerId('node-0') },
     peers,
   );
-  leadership.term = term as unknown as Term;
+  leaderView.term = term as unknown as Term;
   const isIsolated = (): boolean => false;
   const userRequestHandler = new UserRequestHandler({
     admission: new AdmissionControl(
@@ -64,7 +64,7 @@
       settings.teams,
       new RecordLimits(settings.storeLimits),
     ),
-    leadership,
+    leaderView,
     jobRecords,
     clock,
     log: pino({ level: 'silent' }),
@@ -72,12 +72,12 @@
   });
   const workerHeartbeatHandler = new WorkerHeartbeatHandler({
     controllerId: settings.controllerId,
-    leadership,
+    leaderView,
     relay: new HeartbeatRelay({
       controllerId: settings.controllerId,
       clock,
       log: pino({ level: 'silent' }),
-      leaderPeer: () => leadership.leaderPeer(),
+      leaderPeer: () => leaderView.leaderPeer(),
     }),
     clock,
     isIsolated,
--- a/test/unit/record-limits.test.ts
+++ b/test/unit/record-limits.test.ts
@@ -208,7 +208,7 @@
     onReplaced: () => undefined,
     onDropped: () => undefined,
     onFinished: (job: Job) => committed.push(`${job.id} finished`),
-    onLeadershipLost: () => assert.fail('leadership lost'),
+    onLeaderKeyLost: () => assert.fail('leader key lost'),
   };
   const put = { writes: [{ put: 'leader', data: {} }] };
   const written = storeService.handle('POST', '/multi', put, controllerId) as {
