--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -143,7 +143,10 @@
   readonly commands: readonly Command[];
 }
 
-/** A request with direct commands. A worker rejects it unless the fencing token and the session match its own. */
+/**
+ * A request with direct commands. A worker rejects it if the fencing token is lower than the highest that the worker
+ * has seen, or if the session is not its current one.
+ */
 export interface CommandRequest extends WorkerHeartbeatResponse {
   readonly session: number;
 }
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -220,7 +220,7 @@
     this.lastHeartbeatAt = clock.steady() + MIN_HEARTBEAT_INTERVAL_MS - times.heartbeatMs;
   }
 
-  /** Records a higher fencing token, and soon sends a heartbeat with it unless one did so within the last half of a lease. */
+  /** Records a higher fencing token. An early heartbeat reports it, unless another token caused one within half a lease. */
   private recordToken(token: number): void {
     if (token <= this.fencingToken) return;
     this.fencingToken = token;
--- a/test/unit/machine-catalog.test.ts
+++ b/test/unit/machine-catalog.test.ts
@@ -22,7 +22,7 @@
 };
 const LARGE: MachineType = { ...SMALL, name: 'large', cpus: 32 };
 
-void test('an update reports a change of the machine types, but not a change of prices alone', () => {
+void test('an update detects a change of the machine types, but not a change of prices alone', () => {
   const cases: [name: string, update: MachineType[], isChange: boolean][] = [
     ['the same types', [SMALL, LARGE], false],
     ['another on-demand price', [{ ...SMALL, onDemandPrice: 0.5 }, LARGE], false],
