--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -57,7 +57,7 @@
   /** The address where users and workers reach this controller. */
   readonly apiEndpoint: Endpoint;
   /** The address where the other controllers reach this controller. */
-  readonly clusterEndpoint: Endpoint;
+  readonly peerEndpoint: Endpoint;
   readonly otherControllers: readonly OtherController[];
   readonly cloudEndpoint: Endpoint;
   readonly storeEndpoint: Endpoint;
@@ -113,7 +113,7 @@
   | 'controllerId'
   | 'zone'
   | 'apiEndpoint'
-  | 'clusterEndpoint'
+  | 'peerEndpoint'
   | 'otherControllers'
   | 'cloudEndpoint'
   | 'storeEndpoint'
@@ -124,7 +124,7 @@
   controllerId: ControllerId(file.node),
   zone: file.area,
   apiEndpoint: Endpoint(file.api_addr),
-  clusterEndpoint: Endpoint(file.cluster_listen),
+  peerEndpoint: Endpoint(file.cluster_listen),
   otherControllers: file.others.map(({ node, endpoint }) => ({
     controllerId: ControllerId(node),
     endpoint: Endpoint(endpoint),
--- a/src/servers.ts
+++ b/src/servers.ts
@@ -38,7 +38,7 @@
   listenWithRetries(
     [
       { server: api, endpoint: settings.apiEndpoint, clients: 'users and workers' },
-      { server: peers, endpoint: settings.clusterEndpoint, clients: 'the other controllers' },
+      { server: peers, endpoint: settings.peerEndpoint, clients: 'the other controllers' },
     ],
     log,
   );
--- a/test/standin/controller-processes.ts
+++ b/test/standin/controller-processes.ts
@@ -106,7 +106,7 @@
       handleHttpRequest(controller, method, path, body),
     );
     network.attach(
-      controllerSettings.clusterEndpoint,
+      controllerSettings.peerEndpoint,
       controllerSettings.zone,
       (_method, _path, body) => controller.handlePeerFrame(body as Buffer),
     );
@@ -155,7 +155,7 @@
   }
 
   private endpointsOf(controllerIndex: number): readonly Endpoint[] {
-    const { apiEndpoint, clusterEndpoint } = this.dependencies.settings.of(controllerIndex);
-    return [apiEndpoint, clusterEndpoint];
+    const { apiEndpoint, peerEndpoint } = this.dependencies.settings.of(controllerIndex);
+    return [apiEndpoint, peerEndpoint];
   }
 }
--- a/test/standin/network-faults.ts
+++ b/test/standin/network-faults.ts
@@ -27,14 +27,12 @@
   isolate(controller: number, refusesConnections: boolean): void {
     const { network, settings } = this.dependencies;
     const isolated = settings.of(controller);
-    const clusterEndpoints = new Set<string>(
-      settings.all.map(({ clusterEndpoint }) => clusterEndpoint),
-    );
+    const peerEndpoints = new Set<string>(settings.all.map(({ peerEndpoint }) => peerEndpoint));
     for (const other of settings.all) {
       const isUnreachable =
         other === isolated
-          ? (address: string) => address === STORE_ADDRESS || clusterEndpoints.has(address)
-          : (address: string) => address === isolated.clusterEndpoint;
+          ? (address: string) => address === STORE_ADDRESS || peerEndpoints.has(address)
+          : (address: string) => address === isolated.peerEndpoint;
       network.isolate(other.controllerId, isUnreachable, refusesConnections);
     }
   }
@@ -48,8 +46,8 @@
   /** Sets whether connections between controllers are refused. */
   setPeerConnectionsRefused(isRefused: boolean): void {
     for (const controller of CONTROLLERS) {
-      const { clusterEndpoint } = this.dependencies.settings.of(controller);
-      this.dependencies.network.setConnectionsRefused(clusterEndpoint, isRefused);
+      const { peerEndpoint } = this.dependencies.settings.of(controller);
+      this.dependencies.network.setConnectionsRefused(peerEndpoint, isRefused);
     }
   }
 
