--- a/src/config/settings-file.ts
+++ b/src/config/settings-file.ts
@@ -96,10 +96,10 @@
 }: SettingsFile): string | undefined {
   const names = [node, ...others.map((other) => other.node)];
   if (new Set(names).size !== names.length) {
-    return 'others: a controller is listed twice, or is this controller itself';
+    return 'others: a controller is listed twice, or this controller itself is listed';
   }
   if (params.nodes !== names.length) {
-    return `params.nodes: says ${params.nodes}, but node and others name ${names.length}`;
+    return `params.nodes: is ${params.nodes}, but node and others name ${names.length} controllers`;
   }
   if (addresses.api_addr === addresses.cluster_listen) {
     return 'cluster_listen: is the same address as api_addr';
