--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -268,7 +268,7 @@
   private recordRented(machines: readonly MachineId[], offer: Offer, now: SteadyMs): void {
     const { fleet } = this.view;
     for (const id of machines) {
-      // A late response may name machines that have already gone again.
+      // A late response may name machines that are already gone.
       if (fleet.isGone(id)) continue;
       const machine = fleet.upsertMachine(id, offer, '');
       machine.rentedAt ??= now;
@@ -316,7 +316,7 @@
   }
 }
 
-/** Whether something that was last done at `last`, if ever, is due again. */
+/** Whether at least `interval` has passed since `last`; true if `last` is undefined. */
 const isDue = (last: SteadyMs | undefined, interval: number, now: SteadyMs): boolean =>
   last === undefined || durationBetween(last, now) >= interval;
 
--- a/src/leader/gang-lifecycle.ts
+++ b/src/leader/gang-lifecycle.ts
@@ -3,8 +3,8 @@
  * take the known state of the tasks; `gang-manager.ts` carries out the actions that they choose.
  *
  * All tasks of an attempt are placed in one transaction under one attempt number. An attempt that loses a task
- * is stopped as a whole, whether or not it had begun to run, and the next one is placed only when every task
- * of this one is proven absent. It is therefore not necessary to know for certain whether a gang had started.
+ * is stopped as a whole, whether or not it had begun to run. The next attempt is placed only when every task of the
+ * stopped attempt is proven absent. It is therefore not necessary to know for certain whether a gang had started.
  */
 import { ms, type DurationMs } from '../units/index.js';
 
@@ -70,7 +70,7 @@
 export function nextGangAction(gang: GangState): GangAction {
   const phase = gangPhase(gang);
   if (phase === 'done') return gang.waitingCount + gang.tasks.length > 0 ? 'complete' : 'none';
-  // Without the lost task, the others would occupy their machines without making progress until they detect the loss.
+  // The other tasks make no progress without the lost one, but occupy their machines until they detect the loss.
   if (phase === 'stopping' && gang.tasks.length < gang.taskCount) return 'stopAttempt';
   if (phase === 'running' && shouldCheckpoint(gang)) return 'checkpointAndStop';
   return 'none';
--- a/src/leader/status-reconciler.ts
+++ b/src/leader/status-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciles the status of a machine with the placements that the job records have there. */
+/** Compares the status of a machine with its placements in the job records, and resolves the differences. */
 import { isProvenAbsent } from '../fleet/attempt-absence.js';
 import type { AssignedTask } from '../fleet/machine-load.js';
 import type { Machine } from '../fleet/machine.js';
@@ -114,7 +114,7 @@
       this.placements.requeueTask(job, assigned.index, 'the task is not on its machine');
   }
 
-  /** Marks the task as running, and logs how the time between submission and start was spent. */
+  /** Marks the task as running, and logs the times since its submission and since its placement. */
   private recordStart(machine: Machine, job: Job, index: number, placement: Placement): void {
     this.placements.markRunning(job, index, placement);
     const { clock, log } = this.deps;
@@ -134,9 +134,9 @@
 }
 
 /**
- * Whether a task that is missing from the machine's status is queued again once its absence is proven, instead of
- * being started. An inherited placement is not started: the previous leader may have released its resources without
- * writing that to the store, so a start could exceed the quota of the team.
+ * Whether a task that is missing from the machine's status is queued again once its absence is proven. Otherwise the
+ * task is started. An inherited placement is not started: the previous leader may have released the resources of the
+ * placement without writing that to the store, so a start could exceed the quota of the team.
  */
 const shouldRequeueIfAbsent = (machine: Machine, job: Job, placement: Placement): boolean =>
   shouldStopTask(job, placement) ||
--- a/src/ledger/batch-assembler.ts
+++ b/src/ledger/batch-assembler.ts
@@ -8,7 +8,7 @@
 
 /** Progress is written only while at least this share of a full burst of writes remains for other changes. */
 const MIN_BUDGET_SHARE_FOR_PROGRESS = 0.6;
-/** How long progress waits that was not written for that reason. */
+/** The time until the assembler tries again to write progress that it held back for that reason. */
 const PROGRESS_RETRY_INTERVAL = ms(500);
 
 /** The next transaction, if any, and when to assemble again. */
@@ -53,7 +53,10 @@
     return { batch: undefined, checkAfter: ms(checkAfter) };
   }
 
-  /** Adds records in order until one does not fit. Less urgent records are not written before that one. */
+  /**
+   * Adds records in order until one does not fit; less urgent records are not written before that one. A record that
+   * must be written by itself is skipped unless the batch is still empty.
+   */
   private addRecords(
     builder: BatchBuilder,
     jobs: readonly Job[],
--- a/src/ledger/compact-record.ts
+++ b/src/ledger/compact-record.ts
@@ -34,9 +34,9 @@
   n: count,
   /** How many tasks are done. */
   d: count,
-  /** The prefix of machine names that follow the pattern. */
+  /** The prefix of the naming pattern of machines, which is a prefix and a number. */
   k: z.string(),
-  /** The minimum number of digits that follow the prefix; 0 if no name follows the pattern. */
+  /** The minimum number of digits after the prefix; 0 if no name follows the pattern. */
   g: count,
   /** Machine names that do not follow the pattern; absent if there are none. */
   m: z.array(z.string()).optional(),
--- a/test/sim/combined-faults.test.ts
+++ b/test/sim/combined-faults.test.ts
@@ -59,7 +59,7 @@
 }
 
 const combinations: readonly FaultCombination[] = [
-  // The times from the refusal to the outage: before, while and after the leader key expires.
+  // The outage begins this long after the refusal: before, while and after the leader key expires.
   ...[500, 2000, 3800, 4300, 5000, 8000, 12_000].map((outageAfterMs): FaultCombination => ({
     name: `the store refuses the leader only, and all controllers ${outageAfterMs} ms later for longer than cancel_s`,
     seeds: [1, 2, 3, 4, 5],
@@ -163,15 +163,15 @@
     maxCpus: 0,
     run: async (cluster, seed) => {
       await startLongJobs(cluster, 5, 80_000);
-      const some = [...cluster.workers.keys()].slice(0, 3);
-      for (const id of some) {
+      const faultyMachines = [...cluster.workers.keys()].slice(0, 3);
+      for (const id of faultyMachines) {
         if (seed % 2 === 0) cluster.setIncomingDropped(id, true);
         else cluster.setMachineHung(id, true);
       }
       killLeader(cluster, 5000);
       schedule(cluster, 2000, () => cluster.cancelRunningJobs(3, 0));
       await cluster.run(18_000);
-      for (const id of some) {
+      for (const id of faultyMachines) {
         cluster.setIncomingDropped(id, false);
         cluster.setMachineHung(id, false);
       }
@@ -241,14 +241,14 @@
     maxCpus: 0,
     run: async (cluster, seed) => {
       await startLongJobs(cluster, 5, 70_000);
-      const [cut, b, c] =
+      const [isolatedZone, otherZone, thirdZone] =
         seed === 1 ? ['a', 'b', 'c'] : seed === 2 ? ['b', 'a', 'c'] : ['c', 'a', 'b'];
-      cluster.network.setPartitioned(cut, b, true);
-      cluster.network.setPartitioned(cut, c, true);
-      cluster.network.setPartitioned(cut, NO_ZONE, true);
+      cluster.network.setPartitioned(isolatedZone, otherZone, true);
+      cluster.network.setPartitioned(isolatedZone, thirdZone, true);
+      cluster.network.setPartitioned(isolatedZone, NO_ZONE, true);
       cluster.cancelRunningJobs(2, 0);
       await cluster.run(50_000);
-      cluster.network.setPartitioned(cut, NO_ZONE, false);
+      cluster.network.setPartitioned(isolatedZone, NO_ZONE, false);
     },
   },
   {
@@ -258,8 +258,8 @@
     run: async (cluster, seed) => {
       await startLongJobs(cluster, 4, 45_000);
       for (let i = 0; i < 4; i++) cluster.users.submit({ taskCount: 3, cpus: 2 }, 9000);
-      const some = [...cluster.workers.keys()].slice(0, 2);
-      for (const id of some) {
+      const faultyMachines = [...cluster.workers.keys()].slice(0, 2);
+      for (const id of faultyMachines) {
         if (seed % 2 === 0) cluster.setHeartbeatsBlocked(id, true);
         else cluster.setMachineHung(id, true);
       }
@@ -337,9 +337,12 @@
       await cluster.run(2500);
       cluster.network.extraDelayMs = () => 60 * cluster.random();
       for (let i = 0; i < 24; i++) {
-        const urgent = i % 2 === 0;
-        const size = urgent ? { cpus: 1 } : { cpus: [2, 6][i % 4 === 1 ? 0 : 1] ?? 2 };
-        cluster.users.submit({ ...size, taskCount: 3, priority: urgent ? 'high' : 'normal' }, 6000);
+        const isUrgent = i % 2 === 0;
+        const size = isUrgent ? { cpus: 1 } : { cpus: [2, 6][i % 4 === 1 ? 0 : 1] ?? 2 };
+        cluster.users.submit(
+          { ...size, taskCount: 3, priority: isUrgent ? 'high' : 'normal' },
+          6000,
+        );
         await cluster.run(1500);
       }
       await cluster.run(30_000);
--- a/test/standin/machine-fleet.ts
+++ b/test/standin/machine-fleet.ts
@@ -1,4 +1,4 @@
-/** The rented machines of a simulated cluster with their workers, and the faults of machines. */
+/** The rented machines of a simulated cluster with their workers, and methods that inject machine faults. */
 import type { Random } from '../../src/units/index.js';
 import { ProcessClock, type VirtualTime } from './clock.js';
 import { Cloud, type RentedMachine } from './cloud.js';
@@ -79,7 +79,7 @@
     this.dependencies.network.detach(machine.address);
   }
 
-  /** Rents machines without a request of a controller. */
+  /** Rents machines directly, without a request from a controller. */
   rent(count: number): void {
     const { zones } = this.dependencies.settings;
     this.cloud.capacityPerOffer = count;
@@ -103,7 +103,7 @@
     this.dependencies.network.setHung(workerOnMachine.machine.address, isHung);
   }
 
-  /** Restarts a worker at once, without any of its state. */
+  /** Restarts a worker immediately. It loses all of its state. */
   restartWorker(id: string): void {
     this.workers.get(id)?.worker.restart();
   }
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -11,7 +11,7 @@
   readonly lease: number | undefined;
 }
 
-/** A change as watch responses contain it. */
+/** A change in the format of watch responses. */
 interface Change {
   readonly put?: string;
   readonly delete?: string;
@@ -52,10 +52,10 @@
 }
 
 const LEASE_SWEEP_INTERVAL_MS = 50;
-/** How much later than due a lease expires. */
+/** The delay between the end of a lease's TTL and its expiry. */
 const LEASE_EXPIRY_DELAY_MS = 50;
 const MAX_PAGE_ENTRIES = 1000;
-/** The most conditions of a transaction, as a multiple of the most operations. */
+/** A transaction may have this many conditions for each operation that the limits allow. */
 const MAX_CONDITIONS_PER_OP = 4;
 
 /** A token bucket that holds the tokens of at most one second. */
@@ -70,7 +70,7 @@
     this.tokens = rate;
   }
 
-  /** Takes all of the tokens, or none and returns false if there are too few. */
+  /** Takes `count` tokens. Takes none and returns false if the bucket holds fewer. */
   take(count: number, rate: number): boolean {
     const { now } = this.time;
     this.tokens = Math.min(rate, this.tokens + ((now - this.refilledAt) / 1000) * rate);
@@ -91,7 +91,7 @@
   private readonly leases = new Map<number, Lease>();
   /** The most recent changes, for watches. */
   private changes: Change[] = [];
-  /** A watch from an earlier revision gets a 410 response, since some later changes are discarded. */
+  /** A watch from an earlier revision gets a 410 response, since changes that it needs have been discarded. */
   private oldestWatchableRevision = 0;
   private watchers: Watcher[] = [];
   private isUnavailable = false;
--- a/test/standin/users.ts
+++ b/test/standin/users.ts
@@ -1,6 +1,6 @@
 /**
- * Simulated users, as the protocol describes them: they submit, poll, cancel and repeat requests, and record each
- * response to detect one that contradicts an earlier one.
+ * Simulated users, as the protocol describes them: they submit, poll and cancel jobs, repeat requests, and check
+ * that no response contradicts an earlier one.
  */
 import type { HttpOutcome } from '../../src/net/http.js';
 import { Endpoint, ms, type Random } from '../../src/units/index.js';
@@ -25,7 +25,7 @@
   /** The status in the last response to its user, as the protocol names it. */
   lastStatus: string;
   isCancelRequested: boolean;
-  /** When a response told its user that it is cancelled. */
+  /** When a response told the user that the job is cancelled. */
   cancelledAt: number | undefined;
   /** The indexes of the tasks that the workers have completed. */
   readonly completedTasks: Set<number>;
@@ -33,7 +33,7 @@
   readonly gang: GangRun | undefined;
   /** When a request about it last got a response. */
   lastResponseAt: number;
-  /** Since when it has waited while some machine has room for it. */
+  /** Since when it has been waiting although some machine has room for it. */
   placeableSince: number | undefined;
   /** The user's open connection to a controller process. */
   connection: Connection | undefined;
@@ -72,7 +72,7 @@
 
 /** Simulates all users. */
 export class Users {
-  /** The last polls: their times, and whether each was successful, that is, got the response 200 or 404. */
+  /** The most recent polls with their times. A poll is successful if the status of its response is 200 or 404. */
   private polls: { readonly at: number; readonly isSuccessful: boolean }[] = [];
   private jobCount = 0;
   private readonly clock: ProcessClock;
