--- a/src/ledger/batch-assembler.ts
+++ b/src/ledger/batch-assembler.ts
@@ -8,7 +8,7 @@
 
 /** Progress is written only while at least this share of a full burst of writes remains for other changes. */
 const MIN_BUDGET_SHARE_FOR_PROGRESS = 0.6;
-/** The time until the assembler tries again to write progress that it held back for that reason. */
+/** The time until the assembler tries again to write progress that it held back to leave this share. */
 const PROGRESS_RETRY_INTERVAL = ms(500);
 
 /** The next transaction, if any, and when to assemble again. */
